--- a/crates/control/src/configuration_shard/mod.rs
+++ b/crates/control/src/configuration_shard/mod.rs
@@ -42,7 +42,7 @@
         /// Its identity.
         identity: NodeIdentity,
         /// The fewest members that have to be left.
-        fewest: u16,
+        min_members: u16,
     },
     /// For the table of stores.
     Store(StoreCommand),
@@ -109,8 +109,8 @@
                 let changed = self.directory.admit(node);
                 (ConfigurationOutcome::Directory, self.directory_change(changed))
             }
-            ConfigurationCommand::DropControl { identity, fewest } => {
-                let may_drop = self.directory.nodes().len() > usize::from(fewest);
+            ConfigurationCommand::DropControl { identity, min_members } => {
+                let may_drop = self.directory.nodes().len() > usize::from(min_members);
                 let changed = may_drop && self.directory.drop_node(identity);
                 (ConfigurationOutcome::Directory, self.directory_change(changed))
             }
--- a/crates/control/src/configuration_shard/tests.rs
+++ b/crates/control/src/configuration_shard/tests.rs
@@ -117,7 +117,7 @@
     let mut shard = ConfigurationShard::default();
     admit(&mut shard, node(1, "core-1"));
     admit(&mut shard, node(2, "core-2"));
-    shard.apply(ConfigurationCommand::DropControl { identity: NodeIdentity(2), fewest: 0 });
+    shard.apply(ConfigurationCommand::DropControl { identity: NodeIdentity(2), min_members: 0 });
     assert_eq!(identities(&shard), [1]);
     admit(&mut shard, node(2, "core-2"));
     assert_eq!(identities(&shard), [1, 2]);
@@ -129,9 +129,9 @@
     for identity in 1..=4 {
         admit(&mut shard, node(identity, &format!("core-{identity}")));
     }
-    shard.apply(ConfigurationCommand::DropControl { identity: NodeIdentity(2), fewest: 3 });
+    shard.apply(ConfigurationCommand::DropControl { identity: NodeIdentity(2), min_members: 3 });
     assert_eq!(identities(&shard), [1, 3, 4]);
-    shard.apply(ConfigurationCommand::DropControl { identity: NodeIdentity(3), fewest: 3 });
+    shard.apply(ConfigurationCommand::DropControl { identity: NodeIdentity(3), min_members: 3 });
     assert_eq!(identities(&shard), [1, 3, 4]);
 }
 
--- a/crates/control/src/feed/subscribers.rs
+++ b/crates/control/src/feed/subscribers.rs
@@ -100,13 +100,13 @@
 
     /// Whether all gatekeepers that are counted have at least this generation in force.
     #[must_use]
-    pub fn all_have(&self, generation: Generation, now: Duration) -> bool {
+    pub fn all_gatekeepers_have(&self, generation: Generation, now: Duration) -> bool {
         self.active_gatekeepers(now).all(|gatekeeper| gatekeeper.generation >= generation)
     }
 
     /// The machines of the gatekeepers that are counted, each with the generation in force there.
     #[must_use]
-    pub fn in_force(&self, now: Duration) -> Vec<SubscribedGatekeeper> {
+    pub fn gatekeeper_generations(&self, now: Duration) -> Vec<SubscribedGatekeeper> {
         let gatekeepers = self.active_gatekeepers(now);
         gatekeepers
             .map(|gatekeeper| SubscribedGatekeeper {
@@ -118,7 +118,7 @@
 
     /// How many machines have a gatekeeper that is counted.
     #[must_use]
-    pub fn gatekeepers(&self, now: Duration) -> u32 {
+    pub fn gatekeeper_count(&self, now: Duration) -> u32 {
         let gatekeepers = self.active_gatekeepers(now);
         let names: BTreeSet<&str> = gatekeepers.map(|gatekeeper| gatekeeper.node_name.as_str()).collect();
         names.len() as u32
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -12,7 +12,7 @@
     scrape_configuration_shard(process, scrape);
     let fresh = f64::from(u8::from(process.is_fresh()));
     scrape.gauge("fresh", "1 while in touch with the owner of every group", fresh);
-    let gatekeepers = process.subscribers().borrow().gatekeepers(process.now());
+    let gatekeepers = process.subscribers().borrow().gatekeeper_count(process.now());
     scrape.gauge("gatekeepers_here", "Gatekeepers that subscribe here", f64::from(gatekeepers));
     scrape.gauge(
         "gatekeepers",
--- a/crates/control/src/process/configuration.rs
+++ b/crates/control/src/process/configuration.rs
@@ -124,7 +124,7 @@
     pub(super) async fn wait_until_in_force_here(&self, generation: Generation, limit: Duration) {
         let mut changed = self.subscribers.borrow().changed();
         let wait = async {
-            while !self.subscribers.borrow().all_have(generation, self.clock.now()) {
+            while !self.subscribers.borrow().all_gatekeepers_have(generation, self.clock.now()) {
                 if changed.changed().await.is_err() {
                     return;
                 }
--- a/crates/control/src/process/gatekeeper_count.rs
+++ b/crates/control/src/process/gatekeeper_count.rs
@@ -67,7 +67,7 @@
 
     /// Reports this process's count to the owner of shard 0 and takes over the total.
     pub(super) async fn report(&self) {
-        let count = self.subscribers.borrow().gatekeepers(self.clock.now());
+        let count = self.subscribers.borrow().gatekeeper_count(self.clock.now());
         if let Some(total) = self.record_at_owner(count).await {
             self.total.set(total);
         }
--- a/crates/control/src/process/membership.rs
+++ b/crates/control/src/process/membership.rs
@@ -130,14 +130,14 @@
     pub(super) fn drop_failed_member(&self, now: Duration) -> Option<ConfigurationCommand> {
         let host = self.client.host();
         let mut failure_detector = self.failure_detector.borrow_mut();
-        let fewest = failure_detector.min_members();
+        let min_members = failure_detector.min_members();
         let identity = failure_detector.evaluate(
             &self.client.members(),
             self.client.identity(),
             |identity| host.since_last_contact(identity),
             now,
         )?;
-        Some(ConfigurationCommand::DropControl { identity, fewest })
+        Some(ConfigurationCommand::DropControl { identity, min_members })
     }
 
     /// This process does not own shard 0, or is out of contact with its quorum.
@@ -181,7 +181,7 @@
             return false;
         }
         let identity = self.client.identity();
-        let command = ConfigurationCommand::DropControl { identity, fewest: min_members };
+        let command = ConfigurationCommand::DropControl { identity, min_members };
         let Ok(committed) = self.client.commit(CONFIGURATION_SHARD, encode(&command).to_vec()).await else {
             return false;
         };
--- a/crates/control/src/process/mod.rs
+++ b/crates/control/src/process/mod.rs
@@ -276,6 +276,6 @@
     /// From now on subscribers are sent to other control processes.
     pub fn stop(&self) {
         self.is_stopping.set(true);
-        self.shards().wake();
+        self.shards().notify_waiters();
     }
 }
--- a/crates/control/src/process/subscriber_reports.rs
+++ b/crates/control/src/process/subscriber_reports.rs
@@ -40,7 +40,7 @@
 
     /// The gatekeepers that subscribe here.
     pub(super) fn gatekeepers_here(&self) -> Vec<SubscribedGatekeeper> {
-        self.subscribers.borrow().in_force(self.clock.now())
+        self.subscribers.borrow().gatekeeper_generations(self.clock.now())
     }
 
     /// The reports of all control processes, this one included. Those that don't answer in time are left out.
--- a/crates/control/src/shards/mod.rs
+++ b/crates/control/src/shards/mod.rs
@@ -238,7 +238,7 @@
     }
 
     /// Notifies everything that waits for a change, without one.
-    pub fn wake(&self) {
+    pub fn notify_waiters(&self) {
         self.changed.send_modify(|count| *count += 1);
     }
 
--- a/crates/control/src/shards/tests.rs
+++ b/crates/control/src/shards/tests.rs
@@ -117,7 +117,7 @@
         },
         1 => ConfigurationCommand::DropControl {
             identity: NodeIdentity(u64::from(two % 8)),
-            fewest: u16::from(one % 3),
+            min_members: u16::from(one % 3),
         },
         2 => ConfigurationCommand::Store(StoreCommand::Join {
             node: StoreNode {
--- a/crates/control/tests/golden_storage.rs
+++ b/crates/control/tests/golden_storage.rs
@@ -77,7 +77,7 @@
     );
     golden_file::check(
         "command/drop_control",
-        &ConfigurationCommand::DropControl { identity: NodeIdentity(11), fewest: 3 },
+        &ConfigurationCommand::DropControl { identity: NodeIdentity(11), min_members: 3 },
     );
 }
 
--- a/crates/control/tests/world/world/members.rs
+++ b/crates/control/tests/world/world/members.rs
@@ -44,7 +44,7 @@
         let dropped =
             process.members.evaluate(&members, identity, since_last_contact, Duration::from_millis(now));
         if let Some(identity) = dropped {
-            let command = ConfigurationCommand::DropControl { identity, fewest: min_members };
+            let command = ConfigurationCommand::DropControl { identity, min_members };
             process.propose(Shard(0), encode(&command).to_vec(), Waiter::Nobody);
         }
     }
@@ -130,7 +130,7 @@
 
     pub(super) fn ask_to_be_dropped(&mut self, slot: usize) {
         let (identity, min_members) = (self.nodes[slot].identity, self.min_members() as u16);
-        let command = ConfigurationCommand::DropControl { identity, fewest: min_members };
+        let command = ConfigurationCommand::DropControl { identity, min_members };
         let goal = Goal::Propose { group: Shard(0), command: encode(&command).to_vec() };
         self.begin(slot, goal, Caller::Nobody);
     }
--- a/crates/gatekeeper/src/proxy/balance/mod.rs
+++ b/crates/gatekeeper/src/proxy/balance/mod.rs
@@ -3,7 +3,7 @@
 //! A worker of a language-model service is scored by the prompt tokens that stand before the request's first token
 //! there: what of its own prompt is not cached, and the prompts of others that are still being read. Rendezvous hashing
 //! gives prompts homes that every gatekeeper finds again, also after a restart: with few gatekeepers a subject has one, so
-//! that its shared part is not read everywhere; with many each session has one, as what is popular is kept everywhere. A
+//! that its shared segment is not read everywhere; with many each session has one, as what is popular is kept everywhere. A
 //! worker of any other service is scored by how full it is.
 
 mod answer_time;
@@ -20,7 +20,7 @@
 mod worker_set;
 
 pub use load::LoadReport;
-pub use prefix::PromptPart;
+pub use prefix::PromptSegment;
 
 use crate::proxy::balance::{
     answer_time::AnswerTime, popularity::Popularity, worker::WorkerEntry, worker_set::WorkerSet,
@@ -36,7 +36,7 @@
 const QUEUE_SHARE: f64 = 1.0;
 /// The same at language models, whose requests take their slots for longer.
 const MODEL_QUEUE_SHARE: f64 = 0.5;
-/// The part of that share by which each lower priority shortens the queue.
+/// The segment of that share by which each lower priority shortens the queue.
 const QUEUE_SHARE_STEP: f64 = 0.25;
 /// Priorities from here on are treated alike.
 const MAX_RANK: u32 = 4;
@@ -45,13 +45,13 @@
 const BUSY_SHARE: f64 = 0.25;
 
 /// Tells whether a free connection to a worker is kept.
-pub type IsConnected<'a> = &'a dyn Fn(&WorkerId) -> bool;
+pub type HasIdleConnection<'a> = &'a dyn Fn(&WorkerId) -> bool;
 
 /// What the choice of a worker goes by.
 #[derive(Clone, Default)]
-pub struct Choice<'a> {
-    /// The parts of the prompt, in order.
-    pub parts: &'a [PromptPart],
+pub struct SelectionCriteria<'a> {
+    /// The segments of the prompt, in order.
+    pub prompt_segments: &'a [PromptSegment],
     /// Workers at which this request was attempted before.
     pub attempted: &'a [WorkerId],
     /// The worker that answered the turn before this one, as another gatekeeper may have had it.
@@ -63,7 +63,7 @@
     /// The request may run more than once.
     pub idempotent: bool,
     /// Where free connections are kept; `None`: this is not known.
-    pub is_connected: Option<IsConnected<'a>>,
+    pub has_idle_connection: Option<HasIdleConnection<'a>>,
 }
 
 /// Why there is no worker for a request.
@@ -77,7 +77,7 @@
 
 /// A worker that was chosen, and where it is.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Chosen {
+pub struct SelectedWorker {
     /// Its id.
     pub id: WorkerId,
     /// Its address.
@@ -142,7 +142,7 @@
 
     /// Whether the service has a worker that takes requests.
     #[must_use]
-    pub fn has_ready(&self) -> bool {
+    pub fn has_ready_worker(&self) -> bool {
         self.workers.iter().any(|(_, worker)| worker.is_ready())
     }
 
@@ -172,7 +172,11 @@
     ///
     /// # Errors
     /// Where none can serve.
-    pub fn choose(&self, now: Duration, choice: &Choice<'_>) -> Result<Chosen, NoWorker> {
+    pub fn select_worker(
+        &self,
+        now: Duration,
+        choice: &SelectionCriteria<'_>,
+    ) -> Result<SelectedWorker, NoWorker> {
         let candidates = self.candidates(now, choice);
         if candidates.is_empty() {
             return Err(NoWorker::Absent);
@@ -191,14 +195,14 @@
             }
         }
         match best {
-            Some((_, id, worker)) => Ok(Chosen { id: id.clone(), address: worker.address.clone() }),
+            Some((_, id, worker)) => Ok(SelectedWorker { id: id.clone(), address: worker.address.clone() }),
             None if rejected => Err(NoWorker::Full),
             None => Err(NoWorker::Absent),
         }
     }
 
     /// Ready workers at which the request was not attempted, without ejected ones unless too many are.
-    fn candidates(&self, now: Duration, choice: &Choice<'_>) -> Vec<(&WorkerId, &WorkerEntry)> {
+    fn candidates(&self, now: Duration, choice: &SelectionCriteria<'_>) -> Vec<(&WorkerId, &WorkerEntry)> {
         let ready =
             || self.workers.iter().filter(|(id, worker)| worker.is_ready() && !choice.attempted.contains(id));
         let healthy: Vec<_> =
@@ -208,8 +212,9 @@
     }
 
     /// Whether a worker's queue is too long for a request of this rank.
-    fn is_full(&self, now: Duration, worker: &WorkerEntry, choice: &Choice<'_>) -> bool {
-        let continues_program = choice.continues_program || worker.prefixes.knows_last(choice.parts);
+    fn is_full(&self, now: Duration, worker: &WorkerEntry, choice: &SelectionCriteria<'_>) -> bool {
+        let continues_program =
+            choice.continues_program || worker.prefixes.has_last_segment(choice.prompt_segments);
         let rank = choice.priority.min(MAX_RANK).saturating_sub(u32::from(continues_program));
         let share = if self.kv_cache_tokens > 0 { MODEL_QUEUE_SHARE } else { QUEUE_SHARE };
         let share = share * (1.0 - QUEUE_SHARE_STEP * f64::from(rank));
@@ -220,9 +225,9 @@
     // ---- What happens at a worker ----
 
     /// A request is on its way to a worker.
-    pub fn sent(&mut self, now: Duration, id: &WorkerId, parts: &[PromptPart]) -> WorkerSlot {
+    pub fn request_sent(&mut self, now: Duration, id: &WorkerId, segments: &[PromptSegment]) -> WorkerSlot {
         let memory = self.kv_cache_tokens;
-        if let Some(subject) = parts.first().filter(|_| self.workers.has_subset) {
+        if let Some(subject) = segments.first().filter(|_| self.workers.has_subset) {
             self.popularity.record(now, subject.id);
         }
         let mut prompt_tokens = 0;
@@ -230,9 +235,9 @@
             worker.in_flight += 1;
             worker.health.attempt_started(now);
             if memory > 0 {
-                let all: u32 = parts.iter().map(|part| part.tokens).sum();
-                prompt_tokens = all.saturating_sub(worker.prefixes.cached_tokens(parts));
-                worker.prefixes.insert(parts, memory);
+                let all: u32 = segments.iter().map(|segment| segment.tokens).sum();
+                prompt_tokens = all.saturating_sub(worker.prefixes.cached_tokens(segments));
+                worker.prefixes.insert(segments, memory);
                 worker.prefill_tokens += prompt_tokens;
             }
         }
@@ -240,7 +245,7 @@
     }
 
     /// The worker has begun to answer: the prompt has been read.
-    pub fn begun(&mut self, now: Duration, slot: &mut WorkerSlot, report: Option<LoadReport>) {
+    pub fn answer_started(&mut self, now: Duration, slot: &mut WorkerSlot, report: Option<LoadReport>) {
         self.record_answer_time(now, slot);
         let Some(worker) = self.workers.get_mut(&slot.worker) else { return };
         worker.prefill_tokens = worker.prefill_tokens.saturating_sub(slot.prompt_tokens);
@@ -260,21 +265,21 @@
     /// How long an answer of this worker may take to begin, going by what was usual recently; `None`: nothing is known,
     /// or the worker is busy.
     #[must_use]
-    pub fn usual_time(&self, now: Duration, id: &str) -> Option<Duration> {
+    pub fn answer_start_limit(&self, now: Duration, id: &str) -> Option<Duration> {
         let worker = self.workers.get(id)?;
         let busy = worker.load(now).total() >= f64::from(worker.capacity) * BUSY_SHARE;
         if busy { None } else { self.answer_time.usual_limit() }
     }
 
     /// The worker has done what it was asked to, so far.
-    pub fn answered(&mut self, now: Duration, id: &str) {
+    pub fn attempt_succeeded(&mut self, now: Duration, id: &str) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.health.answered(now);
         }
     }
 
     /// The worker rejected the request, and perhaps reported its load.
-    pub fn rejected(&mut self, now: Duration, slot: &WorkerSlot, report: Option<LoadReport>) {
+    pub fn attempt_rejected(&mut self, now: Duration, slot: &WorkerSlot, report: Option<LoadReport>) {
         let Some(worker) = self.workers.get_mut(&slot.worker) else { return };
         match report {
             Some(report) => {
@@ -288,14 +293,14 @@
     }
 
     /// The connection failed, what came on it was no answer, or it was the worker's own failure.
-    pub fn failed(&mut self, now: Duration, id: &str) {
+    pub fn attempt_failed(&mut self, now: Duration, id: &str) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.health.failed(now);
         }
     }
 
     /// An answer has not begun after the longest time that is usual. It may still come, so this ejects nobody.
-    pub fn overdue(&mut self, now: Duration, id: &str) {
+    pub fn answer_overdue(&mut self, now: Duration, id: &str) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.health.overdue(now);
         }
@@ -309,14 +314,14 @@
     }
 
     /// Another worker is at that address now: this one gets nothing more until the feed names another address.
-    pub fn replaced(&mut self, id: &str) {
+    pub fn worker_replaced(&mut self, id: &str) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.replaced = true;
         }
     }
 
     /// The request has ended there.
-    pub fn ended(&mut self, slot: &WorkerSlot) {
+    pub fn request_ended(&mut self, slot: &WorkerSlot) {
         let Some(worker) = self.workers.get_mut(&slot.worker) else { return };
         worker.in_flight = worker.in_flight.saturating_sub(1);
         worker.prefill_tokens = worker.prefill_tokens.saturating_sub(slot.prompt_tokens);
--- a/crates/gatekeeper/src/proxy/balance/prefix.rs
+++ b/crates/gatekeeper/src/proxy/balance/prefix.rs
@@ -1,22 +1,22 @@
-//! Which parts of prompts a worker has probably in its prefix cache, by what was sent there.
+//! Which segments of prompts a worker has probably in its prefix cache, by what was sent there.
 
 use fnv::FnvHashMap;
 
 /// Share of a worker's KV cache that is assumed to hold prompt prefixes.
 const CACHED_SHARE: f64 = 0.6;
-/// Most parts that are remembered of one worker.
-const MAX_PARTS: usize = 512;
+/// Most segments that are remembered of one worker.
+const MAX_SEGMENTS: usize = 512;
 
-/// A part of a prompt.
+/// A segment of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PromptPart {
+pub struct PromptSegment {
     /// Names its content.
     pub id: u64,
     /// Its length in tokens.
     pub tokens: u32,
 }
 
-impl PromptPart {
+impl PromptSegment {
     /// Reads `Prompt-Prefix`: `ID:TOKENS` separated by commas, the ids in hex. What can't be read ends the list.
     #[must_use]
     pub fn parse_all(text: &str) -> Vec<Self> {
@@ -30,7 +30,7 @@
 }
 
 #[derive(Debug)]
-struct CachedPart {
+struct CachedSegment {
     tokens: u32,
     used: u64,
 }
@@ -38,52 +38,53 @@
 /// Parts that were sent to a worker; the least recently used are evicted first.
 #[derive(Debug, Default)]
 pub(super) struct PrefixCache {
-    parts: FnvHashMap<u64, CachedPart>,
+    segments: FnvHashMap<u64, CachedSegment>,
     tokens: u64,
     uses: u64,
 }
 
 impl PrefixCache {
-    /// Tokens at the beginning of the prompt that the worker has probably cached: a part counts only if all before it
+    /// Tokens at the beginning of the prompt that the worker has probably cached: a segment counts only if all before it
     /// are cached completely.
-    pub fn cached_tokens(&self, parts: &[PromptPart]) -> u32 {
+    pub fn cached_tokens(&self, segments: &[PromptSegment]) -> u32 {
         let mut cached = 0;
-        for part in parts {
-            let Some(cached_part) = self.parts.get(&part.id) else { break };
-            cached += cached_part.tokens.min(part.tokens);
-            if cached_part.tokens < part.tokens {
+        for segment in segments {
+            let Some(cached_segment) = self.segments.get(&segment.id) else { break };
+            cached += cached_segment.tokens.min(segment.tokens);
+            if cached_segment.tokens < segment.tokens {
                 break;
             }
         }
         cached
     }
 
-    /// Whether the prompt's last part, which is its session's own, was sent to the worker before.
-    pub fn knows_last(&self, parts: &[PromptPart]) -> bool {
-        parts.last().is_some_and(|part| self.parts.contains_key(&part.id))
+    /// Whether the prompt's last segment, which is its session's own, was sent to the worker before.
+    pub fn has_last_segment(&self, segments: &[PromptSegment]) -> bool {
+        segments.last().is_some_and(|segment| self.segments.contains_key(&segment.id))
     }
 
-    /// The parts have been sent to the worker, whose KV cache holds `kv_cache_tokens`.
-    pub fn insert(&mut self, parts: &[PromptPart], kv_cache_tokens: u32) {
+    /// The segments have been sent to the worker, whose KV cache holds `kv_cache_tokens`.
+    pub fn insert(&mut self, segments: &[PromptSegment], kv_cache_tokens: u32) {
         self.uses += 1;
-        for part in parts {
-            let cached_part = self.parts.entry(part.id).or_insert(CachedPart { tokens: 0, used: 0 });
-            self.tokens += u64::from(part.tokens.saturating_sub(cached_part.tokens));
-            cached_part.tokens = cached_part.tokens.max(part.tokens);
-            cached_part.used = self.uses;
+        for segment in segments {
+            let cached_segment =
+                self.segments.entry(segment.id).or_insert(CachedSegment { tokens: 0, used: 0 });
+            self.tokens += u64::from(segment.tokens.saturating_sub(cached_segment.tokens));
+            cached_segment.tokens = cached_segment.tokens.max(segment.tokens);
+            cached_segment.used = self.uses;
         }
         let most = (f64::from(kv_cache_tokens) * CACHED_SHARE) as u64;
-        if self.tokens > most || self.parts.len() > MAX_PARTS {
+        if self.tokens > most || self.segments.len() > MAX_SEGMENTS {
             self.evict_least_recently_used();
         }
     }
 
     /// Evicts the quarter that was not used for longest.
     fn evict_least_recently_used(&mut self) {
-        let mut uses: Vec<u64> = self.parts.values().map(|cached_part| cached_part.used).collect();
+        let mut uses: Vec<u64> = self.segments.values().map(|cached_segment| cached_segment.used).collect();
         uses.sort_unstable();
         let Some(oldest) = uses.get(uses.len() / 4).copied() else { return };
-        self.parts.retain(|_, cached_part| cached_part.used > oldest);
-        self.tokens = self.parts.values().map(|cached_part| u64::from(cached_part.tokens)).sum();
+        self.segments.retain(|_, cached_segment| cached_segment.used > oldest);
+        self.tokens = self.segments.values().map(|cached_segment| u64::from(cached_segment.tokens)).sum();
     }
 }
--- a/crates/gatekeeper/src/proxy/balance/score.rs
+++ b/crates/gatekeeper/src/proxy/balance/score.rs
@@ -1,12 +1,12 @@
 //! Scores the workers for one request: the least score is the best.
 
 use crate::proxy::balance::{
-    Balancer, Choice, PromptPart, WorkerId, subset::rendezvous, worker::WorkerEntry,
+    Balancer, PromptSegment, SelectionCriteria, WorkerId, subset::rendezvous, worker::WorkerEntry,
 };
 use fnv::FnvHashMap;
 use std::time::Duration;
 
-/// Range of the random part of a score, below any difference that counts.
+/// Range of the random segment of a score, below any difference that counts.
 const TIE_BREAK_RANGE: f64 = 1e-3;
 /// Prompt tokens that one running request costs another.
 const TOKENS_OF_A_RUNNING_REQUEST: f64 = 250.0;
@@ -14,8 +14,8 @@
 const TOKENS_OF_A_WAITING_REQUEST: f64 = 1000.0;
 /// Prompt tokens by which each rank in a subject's order of workers sets a worker back.
 const TOKENS_OF_A_RANK: f64 = 60.0;
-/// How much more a shared part counts that a worker would have to prefill: it takes time from others there, too.
-const SHARED_PART_WEIGHT: f64 = 1.2;
+/// How much more a shared segment counts that a worker would have to prefill: it takes time from others there, too.
+const SHARED_PREFIX_WEIGHT: f64 = 1.2;
 /// Share of a turn's prompt that the worker of the turn before it has probably cached.
 const SHARE_OF_A_CONTINUED_PROMPT: f64 = 0.8;
 /// Ranks in that order that are told apart.
@@ -56,12 +56,12 @@
         &self,
         now: Duration,
         candidates: &[(&'a WorkerId, &WorkerEntry)],
-        choice: &Choice<'_>,
+        choice: &SelectionCriteria<'_>,
     ) -> ScoringContext<'a> {
         ScoringContext {
-            ranks: self.ranks(candidates, choice.parts),
+            ranks: self.ranks(candidates, choice.prompt_segments),
             usual_failures: usual_failures(now, candidates),
-            cached_by_others: self.cached_by_others(now, choice.parts),
+            cached_by_others: self.cached_by_others(now, choice.prompt_segments),
         }
     }
 
@@ -70,7 +70,7 @@
         &self,
         now: Duration,
         (id, worker): (&WorkerId, &WorkerEntry),
-        choice: &Choice<'_>,
+        choice: &SelectionCriteria<'_>,
         context: &ScoringContext<'_>,
     ) -> f64 {
         let failures = (worker.health.recent_failures(now) - context.usual_failures).max(0.0);
@@ -84,12 +84,12 @@
     fn ranks<'a>(
         &self,
         candidates: &[(&'a WorkerId, &WorkerEntry)],
-        parts: &[PromptPart],
+        segments: &[PromptSegment],
     ) -> FnvHashMap<&'a WorkerId, usize> {
-        // The last part is the session's own, the first one is what many requests share: one home of that would be
+        // The last segment is the session's own, the first one is what many requests share: one home of that would be
         // crowded where each gatekeeper sees little of its load.
-        let homed = if self.workers.has_subset { parts.last() } else { parts.first() };
-        let Some(key) = homed.filter(|_| self.kv_cache_tokens > 0).map(|part| part.id) else {
+        let homed = if self.workers.has_subset { segments.last() } else { segments.first() };
+        let Some(key) = homed.filter(|_| self.kv_cache_tokens > 0).map(|segment| segment.id) else {
             return FnvHashMap::default();
         };
         let mut order: Vec<((bool, bool, u64), &'a WorkerId)> = candidates
@@ -105,7 +105,7 @@
         &self,
         now: Duration,
         (id, worker): (&WorkerId, &WorkerEntry),
-        choice: &Choice<'_>,
+        choice: &SelectionCriteria<'_>,
         context: &ScoringContext<'_>,
     ) -> f64 {
         if self.kv_cache_tokens == 0 {
@@ -113,20 +113,20 @@
         }
         let rank = context.ranks.get(id).copied().unwrap_or(RANKS);
         let is_previous = choice.previous_worker == Some(&**id);
-        let mut cached = worker.prefixes.cached_tokens(choice.parts).max(context.cached_by_others);
-        if !self.workers.has_subset && rank == 0 && cached == 0 && choice.parts.len() > 1 {
+        let mut cached = worker.prefixes.cached_tokens(choice.prompt_segments).max(context.cached_by_others);
+        if !self.workers.has_subset && rank == 0 && cached == 0 && choice.prompt_segments.len() > 1 {
             // Another gatekeeper has probably sent the subject there.
-            cached = choice.parts.first().map_or(0, |part| part.tokens) / 2;
+            cached = choice.prompt_segments.first().map_or(0, |segment| segment.tokens) / 2;
         }
-        let all: u32 = choice.parts.iter().map(|part| part.tokens).sum();
+        let all: u32 = choice.prompt_segments.iter().map(|segment| segment.tokens).sum();
         if is_previous {
             cached = cached.max((f64::from(all) * SHARE_OF_A_CONTINUED_PROMPT) as u32);
         }
-        let own = choice.parts.last().map_or(0, |part| part.tokens);
+        let own = choice.prompt_segments.last().map_or(0, |segment| segment.tokens);
         let own_unread = own.min(all.saturating_sub(cached));
         let shared_unread = all.saturating_sub(own).saturating_sub(cached);
         let unread = f64::from(own_unread)
-            + f64::from(shared_unread) * SHARED_PART_WEIGHT
+            + f64::from(shared_unread) * SHARED_PREFIX_WEIGHT
             + f64::from(worker.prefill_tokens);
         let load = worker.load(now);
         let running = load.total() * TOKENS_OF_A_RUNNING_REQUEST;
@@ -137,8 +137,8 @@
     }
 
     /// Tokens at the beginning of a prompt that any worker has probably cached, as other gatekeepers have sent them there.
-    fn cached_by_others(&self, now: Duration, parts: &[PromptPart]) -> u32 {
-        let [shared, _, ..] = parts else { return 0 };
+    fn cached_by_others(&self, now: Duration, segments: &[PromptSegment]) -> u32 {
+        let [shared, _, ..] = segments else { return 0 };
         if !self.workers.has_subset {
             return 0;
         }
@@ -155,7 +155,7 @@
     }
 
     /// What failures beyond the usual set a worker back by.
-    fn setback(&self, failures: f64, choice: &Choice<'_>) -> f64 {
+    fn setback(&self, failures: f64, choice: &SelectionCriteria<'_>) -> f64 {
         let each = if self.kv_cache_tokens == 0 { LOAD_OF_A_FAILURE } else { TOKENS_OF_A_FAILURE };
         let weight = if choice.idempotent { 1.0 } else { NON_IDEMPOTENT_WEIGHT };
         failures * each * weight
@@ -163,9 +163,11 @@
 
     /// What a connection that would have to be opened sets a worker back by. At a language model the time for it is
     /// short beside that for reading a prompt.
-    fn connecting(&self, id: &WorkerId, worker: &WorkerEntry, choice: &Choice<'_>) -> f64 {
+    fn connecting(&self, id: &WorkerId, worker: &WorkerEntry, choice: &SelectionCriteria<'_>) -> f64 {
         let costs_little = self.kv_cache_tokens > 0;
-        if costs_little || choice.is_connected.is_none_or(|is_connected| is_connected(id)) {
+        if costs_little
+            || choice.has_idle_connection.is_none_or(|has_idle_connection| has_idle_connection(id))
+        {
             return 0.0;
         }
         REQUESTS_OF_A_CONNECTION / f64::from(worker.capacity.max(1))
--- a/crates/gatekeeper/src/proxy/balance/tests.rs
+++ b/crates/gatekeeper/src/proxy/balance/tests.rs
@@ -1,4 +1,4 @@
-use super::{Balancer, Choice, LoadReport, NoWorker, PromptPart, WorkerId};
+use super::{Balancer, LoadReport, NoWorker, PromptSegment, SelectionCriteria, WorkerId};
 
 use opalrun_wire::feed::{Worker, WorkerState};
 use std::{
@@ -34,16 +34,16 @@
     balancer
 }
 
-fn parts(list: &[(u64, u32)]) -> Vec<PromptPart> {
-    list.iter().map(|(id, tokens)| PromptPart { id: *id, tokens: *tokens }).collect()
+fn segments(list: &[(u64, u32)]) -> Vec<PromptSegment> {
+    list.iter().map(|(id, tokens)| PromptSegment { id: *id, tokens: *tokens }).collect()
 }
 
 #[test]
 fn the_header_of_prompt_parts_is_read_and_garbage_ends_it() {
-    let read = PromptPart::parse_all("5c1e07a2:800,91bd3f06:410, e4402b7d:250");
-    assert_eq!(read, parts(&[(0x5c1e_07a2, 800), (0x91bd_3f06, 410), (0xe440_2b7d, 250)]));
-    assert_eq!(PromptPart::parse_all("5c:1,what"), parts(&[(0x5c, 1)]));
-    assert!(PromptPart::parse_all("").is_empty());
+    let read = PromptSegment::parse_all("5c1e07a2:800,91bd3f06:410, e4402b7d:250");
+    assert_eq!(read, segments(&[(0x5c1e_07a2, 800), (0x91bd_3f06, 410), (0xe440_2b7d, 250)]));
+    assert_eq!(PromptSegment::parse_all("5c:1,what"), segments(&[(0x5c, 1)]));
+    assert!(PromptSegment::parse_all("").is_empty());
     assert_eq!(LoadReport::parse("3, 0,8"), Some(LoadReport { running: 3, waiting: 0, slots: 8 }));
     assert_eq!(LoadReport::parse("3,0"), None);
 }
@@ -53,8 +53,8 @@
     let mut balancer = balancer(3, 4, 0);
     let mut used = BTreeSet::new();
     for _ in 0..3 {
-        let chosen = balancer.choose(at(0), &Choice::default()).expect("all are free");
-        balancer.sent(at(0), &chosen.id, &[]);
+        let chosen = balancer.select_worker(at(0), &SelectionCriteria::default()).expect("all are free");
+        balancer.request_sent(at(0), &chosen.id, &[]);
         used.insert(chosen.id);
     }
     assert_eq!(used.len(), 3);
@@ -64,13 +64,15 @@
 fn what_others_have_at_a_worker_counts_and_is_forgotten() {
     let mut balancer = balancer(2, 4, 0);
     let first = WorkerId::from("w0");
-    let mut slot = balancer.sent(at(0), &first, &[]);
-    balancer.begun(at(0), &mut slot, Some(LoadReport { running: 4, waiting: 3, slots: 4 }));
-    balancer.ended(&slot);
+    let mut slot = balancer.request_sent(at(0), &first, &[]);
+    balancer.answer_started(at(0), &mut slot, Some(LoadReport { running: 4, waiting: 3, slots: 4 }));
+    balancer.request_ended(&slot);
     for _ in 0..8 {
-        assert_eq!(&*balancer.choose(at(1), &Choice::default()).expect("w1").id, "w1");
+        assert_eq!(&*balancer.select_worker(at(1), &SelectionCriteria::default()).expect("w1").id, "w1");
     }
-    let later = (0..64).filter_map(|_| balancer.choose(at(60_000), &Choice::default()).ok()).collect_ids();
+    let later = (0..64)
+        .filter_map(|_| balancer.select_worker(at(60_000), &SelectionCriteria::default()).ok())
+        .collect_ids();
     assert_eq!(later.len(), 2);
 }
 
@@ -78,12 +80,13 @@
 fn among_equals_a_worker_with_a_free_connection_is_taken_but_never_a_fuller_one() {
     let mut balancer = balancer(4, 4, 0);
     let connected = WorkerId::from("w2");
-    let is_connected = |id: &WorkerId| *id == connected;
-    let choice = Choice { is_connected: Some(&is_connected), ..Choice::default() };
-    let chosen = (0..32).filter_map(|_| balancer.choose(at(0), &choice).ok()).collect_ids();
+    let has_idle_connection = |id: &WorkerId| *id == connected;
+    let choice =
+        SelectionCriteria { has_idle_connection: Some(&has_idle_connection), ..SelectionCriteria::default() };
+    let chosen = (0..32).filter_map(|_| balancer.select_worker(at(0), &choice).ok()).collect_ids();
     assert_eq!(chosen, BTreeSet::from([connected.clone()]));
-    balancer.sent(at(0), &connected, &[]);
-    let chosen = (0..64).filter_map(|_| balancer.choose(at(0), &choice).ok()).collect_ids();
+    balancer.request_sent(at(0), &connected, &[]);
+    let chosen = (0..64).filter_map(|_| balancer.select_worker(at(0), &choice).ok()).collect_ids();
     assert!(!chosen.contains(&connected) && chosen.len() == 3);
 }
 
@@ -91,7 +94,7 @@
     fn collect_ids(self) -> BTreeSet<WorkerId>;
 }
 
-impl<I: Iterator<Item = super::Chosen>> CollectIds for I {
+impl<I: Iterator<Item = super::SelectedWorker>> CollectIds for I {
     fn collect_ids(self) -> BTreeSet<WorkerId> {
         self.map(|chosen| chosen.id).collect()
     }
@@ -103,20 +106,20 @@
     let mut list: Vec<_> = (0..3).map(|n| worker(&format!("w{n}"), "here", 4)).collect();
     list[0].state = WorkerState::Draining;
     balancer.set_workers(at(1), list.iter());
-    balancer.replaced("w1");
+    balancer.worker_replaced("w1");
     assert!(!balancer.is_ready("w0") && !balancer.is_ready("w1"));
-    assert_eq!(&*balancer.choose(at(1), &Choice::default()).expect("w2").id, "w2");
+    assert_eq!(&*balancer.select_worker(at(1), &SelectionCriteria::default()).expect("w2").id, "w2");
     let attempted = [WorkerId::from("w2")];
-    let choice = Choice { attempted: &attempted, ..Choice::default() };
-    assert_eq!(balancer.choose(at(1), &choice), Err(NoWorker::Absent));
+    let choice = SelectionCriteria { attempted: &attempted, ..SelectionCriteria::default() };
+    assert_eq!(balancer.select_worker(at(1), &choice), Err(NoWorker::Absent));
     balancer.set_workers(at(2), [].iter());
-    assert!(!balancer.has_ready());
+    assert!(!balancer.has_ready_worker());
 }
 
 #[test]
 fn a_replaced_worker_comes_back_only_at_another_address() {
     let mut balancer = balancer(1, 4, 0);
-    balancer.replaced("w0");
+    balancer.worker_replaced("w0");
     let mut list = [worker("w0", "here", 4)];
     balancer.set_workers(at(1), list.iter());
     assert!(!balancer.is_ready("w0"));
@@ -129,65 +132,80 @@
 fn consecutive_failures_eject_a_worker_but_never_more_than_half() {
     let mut balancer = balancer(3, 4, 0);
     for _ in 0..3 {
-        balancer.failed(at(0), "w0");
+        balancer.attempt_failed(at(0), "w0");
     }
-    let chosen = (0..64).filter_map(|_| balancer.choose(at(1), &Choice::default()).ok()).collect_ids();
+    let chosen = (0..64)
+        .filter_map(|_| balancer.select_worker(at(1), &SelectionCriteria::default()).ok())
+        .collect_ids();
     assert!(!chosen.contains("w0"));
     for name in ["w1", "w2"] {
-        (0..3).for_each(|_| balancer.failed(at(1), name));
+        (0..3).for_each(|_| balancer.attempt_failed(at(1), name));
     }
-    let chosen = (0..64).filter_map(|_| balancer.choose(at(2), &Choice::default()).ok()).collect_ids();
+    let chosen = (0..64)
+        .filter_map(|_| balancer.select_worker(at(2), &SelectionCriteria::default()).ok())
+        .collect_ids();
     assert_eq!(chosen.len(), 3, "all of them can hardly be at fault");
     let after = at(10_000);
-    assert!((0..64).filter_map(|_| balancer.choose(after, &Choice::default()).ok()).collect_ids().len() == 3);
+    assert!(
+        (0..64)
+            .filter_map(|_| balancer.select_worker(after, &SelectionCriteria::default()).ok())
+            .collect_ids()
+            .len()
+            == 3
+    );
 }
 
 #[test]
 fn a_full_service_rejects_the_less_urgent_first_and_never_while_a_slot_is_free() {
     let mut balancer = balancer(1, 4, 0);
     let only = WorkerId::from("w0");
-    let choice = |priority| Choice { priority, ..Choice::default() };
+    let choice = |priority| SelectionCriteria { priority, ..SelectionCriteria::default() };
     for sent in 0..4 {
-        assert!(balancer.choose(at(0), &choice(9)).is_ok(), "{sent} of 4 places are taken");
-        balancer.sent(at(0), &only, &[]);
+        assert!(balancer.select_worker(at(0), &choice(9)).is_ok(), "{sent} of 4 places are taken");
+        balancer.request_sent(at(0), &only, &[]);
     }
-    assert_eq!(balancer.choose(at(0), &choice(9)), Err(NoWorker::Full));
-    assert!(balancer.choose(at(0), &choice(0)).is_ok());
-    (0..4).for_each(|_| drop(balancer.sent(at(0), &only, &[])));
-    assert_eq!(balancer.choose(at(0), &choice(0)), Err(NoWorker::Full));
+    assert_eq!(balancer.select_worker(at(0), &choice(9)), Err(NoWorker::Full));
+    assert!(balancer.select_worker(at(0), &choice(0)).is_ok());
+    (0..4).for_each(|_| drop(balancer.request_sent(at(0), &only, &[])));
+    assert_eq!(balancer.select_worker(at(0), &choice(0)), Err(NoWorker::Full));
 }
 
 #[test]
 fn a_session_returns_to_the_worker_that_keeps_its_prompt() {
     let mut balancer = balancer(8, 32, ENGINE_MEMORY);
-    let first = parts(&[(1, 2500), (100, 500)]);
-    let choice = Choice { parts: &first, ..Choice::default() };
-    let home = balancer.choose(at(0), &choice).expect("all are free").id;
-    let mut slot = balancer.sent(at(0), &home, &first);
-    balancer.begun(at(1), &mut slot, None);
-    balancer.ended(&slot);
-    let next = parts(&[(1, 2500), (100, 500), (101, 300)]);
+    let first = segments(&[(1, 2500), (100, 500)]);
+    let choice = SelectionCriteria { prompt_segments: &first, ..SelectionCriteria::default() };
+    let home = balancer.select_worker(at(0), &choice).expect("all are free").id;
+    let mut slot = balancer.request_sent(at(0), &home, &first);
+    balancer.answer_started(at(1), &mut slot, None);
+    balancer.request_ended(&slot);
+    let next = segments(&[(1, 2500), (100, 500), (101, 300)]);
     for _ in 0..16 {
-        let choice = Choice { parts: &next, ..Choice::default() };
-        assert_eq!(balancer.choose(at(5), &choice).expect("free").id, home);
+        let choice = SelectionCriteria { prompt_segments: &next, ..SelectionCriteria::default() };
+        assert_eq!(balancer.select_worker(at(5), &choice).expect("free").id, home);
     }
 }
 
 #[test]
 fn one_subject_has_the_same_home_at_every_gatekeeper_until_that_is_busy() {
-    let first = parts(&[(7, 2500), (100, 900)]);
-    let choice = Choice { parts: &first, ..Choice::default() };
+    let first = segments(&[(7, 2500), (100, 900)]);
+    let choice = SelectionCriteria { prompt_segments: &first, ..SelectionCriteria::default() };
     let homes: BTreeSet<_> = (0..6)
-        .filter_map(|_| balancer(9, 32, ENGINE_MEMORY).choose(at(0), &choice).ok())
+        .filter_map(|_| balancer(9, 32, ENGINE_MEMORY).select_worker(at(0), &choice).ok())
         .map(|chosen| chosen.id)
         .collect();
     assert_eq!(homes.len(), 1);
     let mut busy = balancer(9, 32, ENGINE_MEMORY);
     let mut used: BTreeMap<WorkerId, u32> = BTreeMap::new();
     for n in 0..12 {
-        let next = parts(&[(7, 2500), (200 + n, 900)]);
-        let chosen = busy.choose(at(0), &Choice { parts: &next, ..Choice::default() }).expect("free");
-        busy.sent(at(0), &chosen.id, &next);
+        let next = segments(&[(7, 2500), (200 + n, 900)]);
+        let chosen = busy
+            .select_worker(
+                at(0),
+                &SelectionCriteria { prompt_segments: &next, ..SelectionCriteria::default() },
+            )
+            .expect("free");
+        busy.request_sent(at(0), &chosen.id, &next);
         *used.entry(chosen.id).or_default() += 1;
     }
     let most = used.values().max().copied().unwrap_or_default();
@@ -200,10 +218,10 @@
     let mut balancer = Balancer::new("here", 1);
     let list = [worker("far", "there", 6), worker("near", "here", 6)];
     balancer.set_workers(at(0), list.iter());
-    assert_eq!(&*balancer.choose(at(0), &Choice::default()).expect("free").id, "near");
-    balancer.sent(at(0), &WorkerId::from("near"), &[]);
-    balancer.sent(at(0), &WorkerId::from("near"), &[]);
-    assert_eq!(&*balancer.choose(at(0), &Choice::default()).expect("free").id, "far");
+    assert_eq!(&*balancer.select_worker(at(0), &SelectionCriteria::default()).expect("free").id, "near");
+    balancer.request_sent(at(0), &WorkerId::from("near"), &[]);
+    balancer.request_sent(at(0), &WorkerId::from("near"), &[]);
+    assert_eq!(&*balancer.select_worker(at(0), &SelectionCriteria::default()).expect("free").id, "far");
 }
 
 #[test]
@@ -214,8 +232,13 @@
     let list: Vec<_> = zones.iter().enumerate().map(|(n, zone)| worker(&format!("w{n}"), zone, 32)).collect();
     balancer.set_workers(at(0), list.iter());
     for subject in 0..32 {
-        let prompt = parts(&[(subject, 2500), (1000 + subject, 500)]);
-        let chosen = balancer.choose(at(0), &Choice { parts: &prompt, ..Choice::default() }).expect("free");
+        let prompt = segments(&[(subject, 2500), (1000 + subject, 500)]);
+        let chosen = balancer
+            .select_worker(
+                at(0),
+                &SelectionCriteria { prompt_segments: &prompt, ..SelectionCriteria::default() },
+            )
+            .expect("free");
         assert!(["w3", "w4"].contains(&&*chosen.id));
     }
 }
@@ -229,17 +252,17 @@
             let now = at(step as u64 * 10);
             let id = WorkerId::from(format!("w{}", which % 3).as_str());
             match what % 6 {
-                0 | 1 => places.push(balancer.sent(now, &id, &parts(&[(u64::from(*which), 100)]))),
+                0 | 1 => places.push(balancer.request_sent(now, &id, &segments(&[(u64::from(*which), 100)]))),
                 2 => {
                     if let Some(slot) = places.first_mut() {
-                        balancer.begun(now, slot, LoadReport::parse("1,2,3"));
+                        balancer.answer_started(now, slot, LoadReport::parse("1,2,3"));
                     }
                 }
-                3 => balancer.failed(now, &id),
-                4 => balancer.rejected(now, &balancer_slot(&id), None),
+                3 => balancer.attempt_failed(now, &id),
+                4 => balancer.attempt_rejected(now, &balancer_slot(&id), None),
                 _ => {
                     if let Some(slot) = places.pop() {
-                        balancer.ended(&slot);
+                        balancer.request_ended(&slot);
                     }
                 }
             }
@@ -267,8 +290,13 @@
     let mut used: BTreeMap<WorkerId, u32> = BTreeMap::new();
     for gatekeeper in 0..300 {
         let balancer = subset_balancer(gatekeeper * 7919, 300, &workers);
-        let first = parts(&[(7, 2500), (100 + gatekeeper, 900)]);
-        let chosen = balancer.choose(at(0), &Choice { parts: &first, ..Choice::default() }).expect("free");
+        let first = segments(&[(7, 2500), (100 + gatekeeper, 900)]);
+        let chosen = balancer
+            .select_worker(
+                at(0),
+                &SelectionCriteria { prompt_segments: &first, ..SelectionCriteria::default() },
+            )
+            .expect("free");
         *used.entry(chosen.id).or_default() += 1;
     }
     assert!(used.len() >= 55, "five requests a worker leave few without any: {}", used.len());
@@ -282,11 +310,16 @@
     let mut balancer = subset_balancer(1, 77, &workers);
     let mut calm = BTreeSet::new();
     for n in 0..40 {
-        let next = parts(&[(n % 9, 2500), (100 + n, 900)]);
-        let chosen = balancer.choose(at(n), &Choice { parts: &next, ..Choice::default() }).expect("free");
-        let mut slot = balancer.sent(at(n), &chosen.id, &next);
-        balancer.begun(at(n), &mut slot, None);
-        balancer.ended(&slot);
+        let next = segments(&[(n % 9, 2500), (100 + n, 900)]);
+        let chosen = balancer
+            .select_worker(
+                at(n),
+                &SelectionCriteria { prompt_segments: &next, ..SelectionCriteria::default() },
+            )
+            .expect("free");
+        let mut slot = balancer.request_sent(at(n), &chosen.id, &next);
+        balancer.answer_started(at(n), &mut slot, None);
+        balancer.request_ended(&slot);
         calm.insert(chosen.id);
     }
     assert!(calm.len() <= 10, "{calm:?}");
@@ -294,9 +327,14 @@
     assert!(calm.iter().all(local), "{calm:?}");
     let mut busy = BTreeSet::new();
     for n in 0..400 {
-        let next = parts(&[(n % 9, 2500), (1000 + n, 900)]);
-        let chosen = balancer.choose(at(50), &Choice { parts: &next, ..Choice::default() }).expect("free");
-        drop(balancer.sent(at(50), &chosen.id, &next));
+        let next = segments(&[(n % 9, 2500), (1000 + n, 900)]);
+        let chosen = balancer
+            .select_worker(
+                at(50),
+                &SelectionCriteria { prompt_segments: &next, ..SelectionCriteria::default() },
+            )
+            .expect("free");
+        drop(balancer.request_sent(at(50), &chosen.id, &next));
         busy.insert(chosen.id);
     }
     assert!(busy.len() > 40, "the others serve, too: {}", busy.len());
@@ -306,7 +344,7 @@
 fn a_session_goes_on_at_its_worker_through_gatekeepers_that_know_nothing_of_it() {
     let workers: Vec<_> = (0..60).map(|n| worker(&format!("w{n}"), "here", 24)).collect();
     let gatekeeper = |number| subset_balancer(number, 70, &workers);
-    let session = |n: u64| parts(&[(7, 2500), (1000 + n, 500)]);
+    let session = |n: u64| segments(&[(7, 2500), (1000 + n, 500)]);
     let mut same = 0;
     for n in 0..32 {
         let homes: BTreeSet<_> = (0..4)
@@ -314,15 +352,24 @@
                 let mut restarted = gatekeeper(1);
                 // What it has served before tells it nothing of this session.
                 for other in 0..3 * n {
-                    let parts = session(5000 + other);
-                    let chosen =
-                        restarted.choose(at(n), &Choice { parts: &parts, ..Choice::default() }).ok()?;
-                    let mut slot = restarted.sent(at(n), &chosen.id, &parts);
-                    restarted.begun(at(n), &mut slot, None);
-                    restarted.ended(&slot);
+                    let segments = session(5000 + other);
+                    let chosen = restarted
+                        .select_worker(
+                            at(n),
+                            &SelectionCriteria { prompt_segments: &segments, ..SelectionCriteria::default() },
+                        )
+                        .ok()?;
+                    let mut slot = restarted.request_sent(at(n), &chosen.id, &segments);
+                    restarted.answer_started(at(n), &mut slot, None);
+                    restarted.request_ended(&slot);
                 }
-                let parts = session(n);
-                restarted.choose(at(n), &Choice { parts: &parts, ..Choice::default() }).ok()
+                let segments = session(n);
+                restarted
+                    .select_worker(
+                        at(n),
+                        &SelectionCriteria { prompt_segments: &segments, ..SelectionCriteria::default() },
+                    )
+                    .ok()
             })
             .map(|chosen| chosen.id)
             .collect();
@@ -331,8 +378,13 @@
     assert_eq!(same, 32);
     let homes: BTreeSet<_> = (0..32)
         .filter_map(|n| {
-            let parts = session(n);
-            gatekeeper(1).choose(at(0), &Choice { parts: &parts, ..Choice::default() }).ok()
+            let segments = session(n);
+            gatekeeper(1)
+                .select_worker(
+                    at(0),
+                    &SelectionCriteria { prompt_segments: &segments, ..SelectionCriteria::default() },
+                )
+                .ok()
         })
         .map(|chosen| chosen.id)
         .collect();
@@ -342,21 +394,23 @@
 #[test]
 fn a_worker_that_fails_part_of_its_requests_gets_few_until_it_answers_again() {
     let mut balancer = balancer(6, 32, ENGINE_MEMORY);
-    let session = parts(&[(1, 2500), (100, 500)]);
-    let idempotent = Choice { parts: &session, idempotent: true, ..Choice::default() };
-    let grey = balancer.choose(at(0), &idempotent).expect("free").id;
-    let mut slot = balancer.sent(at(0), &grey, &session);
-    balancer.begun(at(0), &mut slot, None);
-    balancer.ended(&slot);
+    let session = segments(&[(1, 2500), (100, 500)]);
+    let idempotent =
+        SelectionCriteria { prompt_segments: &session, idempotent: true, ..SelectionCriteria::default() };
+    let grey = balancer.select_worker(at(0), &idempotent).expect("free").id;
+    let mut slot = balancer.request_sent(at(0), &grey, &session);
+    balancer.answer_started(at(0), &mut slot, None);
+    balancer.request_ended(&slot);
     for step in 0..3 {
-        balancer.failed(at(step), &grey);
-        balancer.answered(at(step), &grey);
+        balancer.attempt_failed(at(step), &grey);
+        balancer.attempt_succeeded(at(step), &grey);
     }
-    let other = parts(&[(1, 2500), (101, 500)]);
-    let next = Choice { parts: &other, idempotent: true, ..Choice::default() };
-    assert_ne!(balancer.choose(at(10), &next).expect("free").id, grey);
+    let other = segments(&[(1, 2500), (101, 500)]);
+    let next =
+        SelectionCriteria { prompt_segments: &other, idempotent: true, ..SelectionCriteria::default() };
+    assert_ne!(balancer.select_worker(at(10), &next).expect("free").id, grey);
     assert_eq!(
-        balancer.choose(at(30_000), &next).expect("free").id,
+        balancer.select_worker(at(30_000), &next).expect("free").id,
         grey,
         "it has the prompt, and time has passed"
     );
@@ -365,28 +419,30 @@
 #[test]
 fn a_worker_comes_back_by_a_request_that_may_be_repeated() {
     let mut balancer = balancer(3, 4, 0);
-    (0..2).for_each(|_| balancer.failed(at(0), "w0"));
+    (0..2).for_each(|_| balancer.attempt_failed(at(0), "w0"));
     let after_ejection = at(1000);
     let ids = |balancer: &Balancer, now, idempotent| {
-        let choice = Choice { idempotent, ..Choice::default() };
-        (0..64).filter_map(|_| balancer.choose(now, &choice).ok()).collect_ids()
+        let choice = SelectionCriteria { idempotent, ..SelectionCriteria::default() };
+        (0..64).filter_map(|_| balancer.select_worker(now, &choice).ok()).collect_ids()
     };
     for name in ["w1", "w2"] {
-        (0..4).for_each(|_| drop(balancer.sent(after_ejection, &WorkerId::from(name), &[])));
+        (0..4).for_each(|_| drop(balancer.request_sent(after_ejection, &WorkerId::from(name), &[])));
     }
     assert!(!ids(&balancer, after_ejection, false).contains("w0"), "others are fuller, but proven");
     assert!(ids(&balancer, after_ejection, true).contains("w0"));
-    drop(balancer.sent(after_ejection, &WorkerId::from("w0"), &[]));
+    drop(balancer.request_sent(after_ejection, &WorkerId::from("w0"), &[]));
     assert!(!ids(&balancer, after_ejection, true).contains("w0"), "one at a time");
-    balancer.answered(at(1100), "w0");
+    balancer.attempt_succeeded(at(1100), "w0");
     assert!(ids(&balancer, at(1100), false).contains("w0"));
 }
 
 #[test]
 fn an_ejected_worker_without_attempts_gets_requests_again_in_time() {
     let mut balancer = balancer(3, 4, 0);
-    (0..4).for_each(|_| balancer.failed(at(0), "w0"));
-    let ids = (0..64).filter_map(|_| balancer.choose(at(60_000), &Choice::default()).ok()).collect_ids();
+    (0..4).for_each(|_| balancer.attempt_failed(at(0), "w0"));
+    let ids = (0..64)
+        .filter_map(|_| balancer.select_worker(at(60_000), &SelectionCriteria::default()).ok())
+        .collect_ids();
     assert_eq!(ids.len(), 3);
 }
 
@@ -394,22 +450,22 @@
 fn an_answer_is_waited_for_as_long_as_is_usual_unless_its_worker_is_busy() {
     let mut balancer = balancer(2, 8, 0);
     let worker = WorkerId::from("w0");
-    assert_eq!(balancer.usual_time(at(0), "w0"), None, "nothing is known yet");
+    assert_eq!(balancer.answer_start_limit(at(0), "w0"), None, "nothing is known yet");
     for n in 0..40 {
-        let mut slot = balancer.sent(at(n * 100), &worker, &[]);
-        balancer.begun(at(n * 100 + 40 + n % 3 * 10), &mut slot, None);
-        balancer.ended(&slot);
+        let mut slot = balancer.request_sent(at(n * 100), &worker, &[]);
+        balancer.answer_started(at(n * 100 + 40 + n % 3 * 10), &mut slot, None);
+        balancer.request_ended(&slot);
     }
-    let usual = balancer.usual_time(at(5000), "w0").expect("known");
+    let usual = balancer.answer_start_limit(at(5000), "w0").expect("known");
     assert!(usual > at(60) && usual < at(200), "{usual:?}");
-    (0..4).for_each(|_| drop(balancer.sent(at(5000), &worker, &[])));
-    assert_eq!(balancer.usual_time(at(5000), "w0"), None);
+    (0..4).for_each(|_| drop(balancer.request_sent(at(5000), &worker, &[])));
+    assert_eq!(balancer.answer_start_limit(at(5000), "w0"), None);
     for n in 0..16 {
-        let mut slot = balancer.sent(at(6000 + n), &WorkerId::from("w1"), &[]);
+        let mut slot = balancer.request_sent(at(6000 + n), &WorkerId::from("w1"), &[]);
         balancer.record_answer_time(at(6300 + n), &mut slot);
-        balancer.ended(&slot);
+        balancer.request_ended(&slot);
     }
-    let slower = balancer.usual_time(at(9000), "w1").expect("known");
+    let slower = balancer.answer_start_limit(at(9000), "w1").expect("known");
     assert!(slower > usual * 2, "all have become slow: {slower:?}");
 }
 
@@ -417,7 +473,7 @@
 fn failures_that_others_report_count_for_a_while_unless_too_many_are_suspected() {
     let mut balancer = balancer(6, 4, 0);
     let ids = |balancer: &Balancer, now| {
-        (0..64).filter_map(|_| balancer.choose(now, &Choice::default()).ok()).collect_ids()
+        (0..64).filter_map(|_| balancer.select_worker(now, &SelectionCriteria::default()).ok()).collect_ids()
     };
     balancer.set_suspects(at(0), &["w0".to_owned(), "w1".to_owned(), "of another service".to_owned()]);
     assert_eq!(ids(&balancer, at(1)).len(), 4);
@@ -434,9 +490,9 @@
 #[test]
 fn each_failure_is_reported_once() {
     let mut balancer = balancer(3, 4, 0);
-    balancer.failed(at(0), "w0");
-    balancer.failed(at(0), "w0");
-    balancer.answered(at(0), "w0");
+    balancer.attempt_failed(at(0), "w0");
+    balancer.attempt_failed(at(0), "w0");
+    balancer.attempt_succeeded(at(0), "w0");
     let reported = balancer.take_failures();
     assert_eq!(
         reported.iter().map(|reported| (&*reported.worker, reported.failures)).collect::<Vec<_>>(),
--- a/crates/gatekeeper/src/proxy/handler.rs
+++ b/crates/gatekeeper/src/proxy/handler.rs
@@ -4,7 +4,7 @@
     Proxy,
     answer::{self, Answer, forward},
     attempt::{AttemptFailure, Attempts, NextStep},
-    balance::{Choice, Chosen, NoWorker, WorkerId},
+    balance::{NoWorker, SelectedWorker, SelectionCriteria, WorkerId},
     body::{self, BodyError},
     event_stream::is_event_stream,
     failed_requests::{DisconnectWatch, FailureReason},
@@ -172,26 +172,30 @@
     ///
     /// # Errors
     /// Where none can serve it.
-    pub fn choose(&self, request: &ForwardedRequest, attempted: &[WorkerId]) -> Result<Chosen, NoWorker> {
-        let is_connected = |worker: &WorkerId| self.pools().has_idle(worker);
-        let choice = Choice {
-            parts: &request.terms.parts,
+    pub fn choose(
+        &self,
+        request: &ForwardedRequest,
+        attempted: &[WorkerId],
+    ) -> Result<SelectedWorker, NoWorker> {
+        let has_idle_connection = |worker: &WorkerId| self.pools().has_idle(worker);
+        let choice = SelectionCriteria {
+            prompt_segments: &request.terms.parts,
             attempted,
             priority: u32::from(request.route.priority),
             previous_worker: request.turn.previous_worker(),
             continues_program: request.terms.previous.is_some(),
             idempotent: request.route.is_idempotent(),
-            is_connected: Some(&is_connected),
+            has_idle_connection: Some(&has_idle_connection),
         };
         let now = self.now();
-        self.balance(&request.service, |balancer| balancer.choose(now, &choice))
+        self.balance(&request.service, |balancer| balancer.select_worker(now, &choice))
     }
 
     /// Sends the request to one worker. `may_attempt_more`: another one could be attempted after it.
     async fn attempt_at(
         self: &Rc<Self>,
         request: &Rc<ForwardedRequest>,
-        chosen: &Chosen,
+        chosen: &SelectedWorker,
         may_attempt_more: bool,
     ) -> AttemptOutcome {
         let deadline = self.answer_deadline(request, chosen, may_attempt_more);
@@ -213,9 +217,9 @@
 
     /// When an answer of this worker to the request is later than is usual and than the operator wants; `None`: what is
     /// usual is not known.
-    fn overdue_at(&self, request: &ForwardedRequest, chosen: &Chosen) -> Option<Instant> {
+    fn overdue_at(&self, request: &ForwardedRequest, chosen: &SelectedWorker) -> Option<Instant> {
         let now = self.now();
-        let usual = self.balance(&request.service, |b| b.usual_time(now, &chosen.id))?;
+        let usual = self.balance(&request.service, |b| b.answer_start_limit(now, &chosen.id))?;
         Some(Instant::now() + usual.max(request.route.target_latency))
     }
 
@@ -224,7 +228,7 @@
     async fn record_if_overdue<T>(
         &self,
         request: &ForwardedRequest,
-        chosen: &Chosen,
+        chosen: &SelectedWorker,
         overdue_at: Option<Instant>,
         beginning: impl Future<Output = T>,
     ) -> T {
@@ -234,7 +238,7 @@
             return begun;
         }
         let now = self.now();
-        self.balance(&request.service, |b| b.overdue(now, &chosen.id));
+        self.balance(&request.service, |b| b.answer_overdue(now, &chosen.id));
         beginning.await
     }
 
@@ -242,7 +246,7 @@
     fn answer_deadline(
         &self,
         request: &ForwardedRequest,
-        chosen: &Chosen,
+        chosen: &SelectedWorker,
         may_attempt_more: bool,
     ) -> Instant {
         if !request.route.is_idempotent() || !may_attempt_more {
@@ -255,7 +259,7 @@
         let target = request.route.target_latency;
         let max_wait = (target * targets).max(MIN_ANSWER_WAIT_LIMIT);
         let now = self.now();
-        let usual = self.balance(&request.service, |b| b.usual_time(now, &chosen.id));
+        let usual = self.balance(&request.service, |b| b.answer_start_limit(now, &chosen.id));
         let wait = usual.map_or(max_wait, |usual| usual.max(target).min(max_wait));
         request.deadline.min(Instant::now() + wait)
     }
--- a/crates/gatekeeper/src/proxy/terms.rs
+++ b/crates/gatekeeper/src/proxy/terms.rs
@@ -1,6 +1,6 @@
 //! What a request's headers say about how it is to be served.
 
-use crate::{lease, proxy::balance::PromptPart};
+use crate::{lease, proxy::balance::PromptSegment};
 use hyper::{HeaderMap, header::HeaderName};
 use snafu::{ResultExt, Snafu};
 use std::time::Duration;
@@ -79,7 +79,7 @@
     /// How long the client will wait, from `Deadline-Ms`.
     pub client_timeout: Option<Duration>,
     /// The parts of its prompt.
-    pub parts: Vec<PromptPart>,
+    pub parts: Vec<PromptSegment>,
     /// The program whose budget it draws on.
     pub program: Option<ProgramTerms>,
     /// The turn that it continues from.
@@ -98,7 +98,7 @@
         Ok(Self {
             request_id,
             client_timeout: number(headers, &DEADLINE_MS).map(Duration::from_millis),
-            parts: text(headers, &PROMPT_PREFIX).map(PromptPart::parse_all).unwrap_or_default(),
+            parts: text(headers, &PROMPT_PREFIX).map(PromptSegment::parse_all).unwrap_or_default(),
             program: program(headers)?,
             previous: name(headers, &PREVIOUS).map_err(|Improper| BadRequest::Previous)?,
             last_event_id: number(headers, &LAST_EVENT_ID),
--- a/crates/gatekeeper/src/proxy/upstream.rs
+++ b/crates/gatekeeper/src/proxy/upstream.rs
@@ -3,7 +3,7 @@
 use crate::proxy::{
     Proxy,
     attempt::AttemptFailure,
-    balance::{Chosen, LoadReport, WorkerSlot},
+    balance::{LoadReport, SelectedWorker, WorkerSlot},
     headers,
     request::ForwardedRequest,
     terms::{self, EXPECT_INSTANCE, LAST_EVENT_ID, NOT_EXECUTED, REQUEST_ID, SERVER_LOAD},
@@ -34,9 +34,9 @@
 }
 
 impl WorkerRequest {
-    fn begin(proxy: &Rc<Proxy>, request: &ForwardedRequest, chosen: &Chosen) -> Self {
+    fn begin(proxy: &Rc<Proxy>, request: &ForwardedRequest, chosen: &SelectedWorker) -> Self {
         let now = proxy.now();
-        let slot = proxy.balance(&request.service, |b| b.sent(now, &chosen.id, &request.terms.parts));
+        let slot = proxy.balance(&request.service, |b| b.request_sent(now, &chosen.id, &request.terms.parts));
         Self { proxy: proxy.clone(), service: request.service.clone(), slot: RefCell::new(slot) }
     }
 
@@ -44,13 +44,13 @@
     pub fn begun(&self, report: Option<LoadReport>) {
         let now = self.proxy.now();
         let slot = &mut *self.slot.borrow_mut();
-        self.proxy.balance(&self.service, |b| b.begun(now, slot, report));
+        self.proxy.balance(&self.service, |b| b.answer_started(now, slot, report));
     }
 
     /// The worker has done what it was asked to, so far.
     pub fn answered(&self) {
         let now = self.proxy.now();
-        self.proxy.balance(&self.service, |b| b.answered(now, self.slot.borrow().worker()));
+        self.proxy.balance(&self.service, |b| b.attempt_succeeded(now, self.slot.borrow().worker()));
     }
 
     /// No answer has begun before the time-out.
@@ -63,19 +63,19 @@
     /// What came was no complete answer, or the worker's own failure.
     pub fn failed(&self) {
         let now = self.proxy.now();
-        self.proxy.balance(&self.service, |b| b.failed(now, self.slot.borrow().worker()));
+        self.proxy.balance(&self.service, |b| b.attempt_failed(now, self.slot.borrow().worker()));
     }
 
     /// The worker rejected the request.
     fn rejected(&self, report: Option<LoadReport>) {
         let now = self.proxy.now();
-        self.proxy.balance(&self.service, |b| b.rejected(now, &self.slot.borrow(), report));
+        self.proxy.balance(&self.service, |b| b.attempt_rejected(now, &self.slot.borrow(), report));
     }
 }
 
 impl Drop for WorkerRequest {
     fn drop(&mut self) {
-        self.proxy.balance(&self.service, |b| b.ended(&self.slot.borrow()));
+        self.proxy.balance(&self.service, |b| b.request_ended(&self.slot.borrow()));
     }
 }
 
@@ -158,7 +158,7 @@
     pub async fn exchange(
         self: &Rc<Self>,
         request: &ForwardedRequest,
-        chosen: &Chosen,
+        chosen: &SelectedWorker,
         deadline: Instant,
         last_event_id: Option<u64>,
     ) -> Result<Exchange, AttemptFailure> {
@@ -204,7 +204,7 @@
     async fn connect(
         self: &Rc<Self>,
         request: &ForwardedRequest,
-        chosen: &Chosen,
+        chosen: &SelectedWorker,
         deadline: Instant,
     ) -> Result<Lease, AttemptFailure> {
         let lease = timeout_at(deadline, self.pools().lease(&chosen.id)).await;
@@ -218,16 +218,16 @@
         }
     }
 
-    fn failed(&self, request: &ForwardedRequest, chosen: &Chosen) {
+    fn failed(&self, request: &ForwardedRequest, chosen: &SelectedWorker) {
         let now = self.now();
-        self.balance(&request.service, |b| b.failed(now, &chosen.id));
+        self.balance(&request.service, |b| b.attempt_failed(now, &chosen.id));
     }
 
     /// Whether the answer is one to this request, and not a statement that it was not run.
     async fn check_head(
         &self,
         request: &ForwardedRequest,
-        chosen: &Chosen,
+        chosen: &SelectedWorker,
         exchange: Exchange,
     ) -> Result<Exchange, AttemptFailure> {
         if terms::text(&exchange.parts.headers, &REQUEST_ID) != Some(&request.terms.request_id) {
@@ -242,7 +242,7 @@
             return Ok(exchange);
         }
         if replaced {
-            self.balance(&request.service, |b| b.replaced(&chosen.id));
+            self.balance(&request.service, |b| b.worker_replaced(&chosen.id));
         } else {
             exchange.worker_request.rejected(exchange.load_report());
         }
@@ -273,7 +273,7 @@
 /// The request as this worker gets it.
 fn request_for(
     request: &ForwardedRequest,
-    chosen: &Chosen,
+    chosen: &SelectedWorker,
     last_event_id: Option<u64>,
 ) -> Request<RequestBody> {
     let mut message = Request::new(RequestBody::Complete(Some(request.body.clone())));
@@ -299,7 +299,7 @@
 
 impl Proxy {
     /// Keeps idle connections to this worker for less time than it does.
-    fn update_keep_alive(&self, chosen: &Chosen, parts: &Parts) {
+    fn update_keep_alive(&self, chosen: &SelectedWorker, parts: &Parts) {
         if let Some(seconds) = headers::keep_alive_seconds(&parts.headers) {
             self.record_keep_alive(&chosen.id, seconds);
         }
