--- a/crates/gatekeeper/examples/lease_cost.rs
+++ b/crates/gatekeeper/examples/lease_cost.rs
@@ -2,7 +2,7 @@
 //!
 //! `cargo run --profile tier -p opalrun-gatekeeper --example lease_cost -- 72000`
 
-use opalrun_gatekeeper::lease::{Action, Leases, Terms, TurnId};
+use opalrun_gatekeeper::lease::{Action, Leases, TurnBudget, TurnId};
 use std::time::{Duration, Instant};
 
 const USUAL_PROGRAMS: usize = 72_000;
@@ -21,7 +21,7 @@
 
 /// Begins a turn of a program and grants what it asks for.
 fn begin(leases: &mut Leases, program: &str, now: Duration) -> TurnId {
-    let turn = leases.begin(program, Terms { budget: BUDGET, max_units: MAX_UNITS_OF_A_TURN }, now);
+    let turn = leases.begin(program, TurnBudget { budget: BUDGET, max_units: MAX_UNITS_OF_A_TURN }, now);
     for action in leases.take_actions() {
         if let Action::Acquire { program, .. } = action {
             leases.granted(&program, 0, now);
@@ -41,7 +41,7 @@
     let bytes = resident_bytes().saturating_sub(before);
     let begun = Instant::now();
     for turn in &turns {
-        (0..EVENTS_OF_A_TURN).for_each(|_| leases.event(*turn, UNITS_OF_AN_EVENT, now));
+        (0..EVENTS_OF_A_TURN).for_each(|_| leases.record_units(*turn, UNITS_OF_AN_EVENT, now));
     }
     let for_an_event = begun.elapsed() / (programs as u32 * EVENTS_OF_A_TURN as u32);
     println!("{programs} programs with a turn each: {bytes} bytes, {} each", bytes / programs as u64);
--- a/crates/gatekeeper/src/lease/driver.rs
+++ b/crates/gatekeeper/src/lease/driver.rs
@@ -1,7 +1,7 @@
 //! The driver of the leases: does the input and output that the state machine [`Leases`] asks for, and calls it in
 //! time.
 
-use super::{Action, LeaseError, Leases, Terms, TurnId, metrics::AcquisitionMetrics};
+use super::{Action, LeaseError, Leases, TurnBudget, TurnId, metrics::AcquisitionMetrics};
 use fnv::FnvHashMap;
 use opalrun_store_client::StoreClient;
 use std::cell::RefCell;
@@ -93,9 +93,9 @@
     /// # Errors
     /// [`LeaseError::BudgetSpent`] when the budget does not hold the turn; [`LeaseError::Unavailable`] when no quorum
     /// of the stores has answered in time, or too many programs are known.
-    pub async fn begin(&self, program: &str, terms: Terms) -> Result<TurnLease<C>, LeaseError> {
+    pub async fn begin(&self, program: &str, turn_budget: TurnBudget) -> Result<TurnLease<C>, LeaseError> {
         let shared = &self.shared;
-        let turn = shared.leases.borrow_mut().begin(program, terms, shared.now());
+        let turn = shared.leases.borrow_mut().begin(program, turn_budget, shared.now());
         let lease = TurnLease { shared: Rc::clone(shared), turn };
         let (sender, receiver) = oneshot::channel();
         shared.pending_decisions.borrow_mut().insert(turn, sender);
@@ -148,7 +148,7 @@
         let began = self.now();
         let answer = self.store.acquire(&program, current, requested, ACQUISITION_TIMEOUT).await;
         let now = self.now();
-        self.metrics.ended(now.saturating_sub(began), answer.is_some());
+        self.metrics.record(now.saturating_sub(began), answer.is_some());
         match answer {
             Some(others_taken) => self.leases.borrow_mut().granted(&program, others_taken, now),
             None => self.leases.borrow_mut().unavailable(&program, now),
@@ -184,9 +184,9 @@
 
 impl<C: LeaseStore> TurnLease<C> {
     /// Counts units that are about to be relayed to the client.
-    pub fn event(&self, units: u64) {
+    pub fn record_units(&self, units: u64) {
         let now = self.shared.now();
-        self.shared.leases.borrow_mut().event(self.turn, units, now);
+        self.shared.leases.borrow_mut().record_units(self.turn, units, now);
     }
 }
 
--- a/crates/gatekeeper/src/lease/metrics.rs
+++ b/crates/gatekeeper/src/lease/metrics.rs
@@ -17,8 +17,8 @@
 
 impl AcquisitionMetrics {
     /// An acquisition has ended after this long; whether a quorum answered it.
-    pub fn ended(&self, time: Duration, answered: bool) {
-        self.times.observe(time.as_secs_f64());
+    pub fn record(&self, duration: Duration, answered: bool) {
+        self.times.observe(duration.as_secs_f64());
         if !answered {
             self.unanswered.inc();
         }
--- a/crates/gatekeeper/src/lease/mod.rs
+++ b/crates/gatekeeper/src/lease/mod.rs
@@ -13,14 +13,14 @@
 mod metrics;
 mod program;
 mod state;
-mod terms;
+mod turn_budget;
 mod turn_id;
 
 pub use action::Action;
 pub use driver::{LeaseStore, ProgramLeases, TurnLease};
 pub use error::LeaseError;
 pub use state::Leases;
-pub use terms::{Terms, TermsError};
+pub use turn_budget::{TurnBudget, TurnBudgetError};
 pub use turn_id::TurnId;
 
 #[cfg(test)]
--- a/crates/gatekeeper/src/lease/state.rs
+++ b/crates/gatekeeper/src/lease/state.rs
@@ -4,7 +4,7 @@
 //! order.
 
 use super::program::{ProgramLease, WaitingTurn};
-use super::{Action, LeaseError, Terms, TurnId};
+use super::{Action, LeaseError, TurnBudget, TurnId};
 use fnv::{FnvHashMap, FnvHashSet};
 use std::rc::Rc;
 use std::time::Duration;
@@ -71,7 +71,7 @@
 
     /// A turn of a program has arrived. An [`Action::Decide`] says, at once or later, whether it may be sent to a
     /// worker.
-    pub fn begin(&mut self, program: &str, terms: Terms, now: Duration) -> TurnId {
+    pub fn begin(&mut self, program: &str, turn_budget: TurnBudget, now: Duration) -> TurnId {
         self.last_turn += 1;
         let turn = TurnId(self.last_turn);
         let Some(program) = self.program_name(program) else {
@@ -81,16 +81,17 @@
         self.turns.insert(turn, Turn { program: Rc::clone(&program), reserved: 0 });
         self.activate(&program, now);
         let lease = self.programs.entry(Rc::clone(&program)).or_default();
-        lease.budget = if lease.largest_turn == 0 { terms.budget } else { lease.budget.min(terms.budget) };
-        lease.largest_turn = lease.largest_turn.max(terms.max_units);
+        lease.budget =
+            if lease.largest_turn == 0 { turn_budget.budget } else { lease.budget.min(turn_budget.budget) };
+        lease.largest_turn = lease.largest_turn.max(turn_budget.max_units);
         lease.last_used = now;
-        if lease.is_beyond_budget(terms.max_units) {
+        if lease.is_beyond_budget(turn_budget.max_units) {
             self.decide(turn, Err(LeaseError::BudgetSpent));
             return turn;
         }
         lease.waiting.push(WaitingTurn {
             turn,
-            max_units: terms.max_units,
+            max_units: turn_budget.max_units,
             is_requested: false,
             refuse_at: None,
         });
@@ -99,7 +100,7 @@
     }
 
     /// `units` of output are about to be relayed to the turn's client. An unknown turn is ignored.
-    pub fn event(&mut self, turn: TurnId, units: u64, now: Duration) {
+    pub fn record_units(&mut self, turn: TurnId, units: u64, now: Duration) {
         let Some(running) = self.turns.get_mut(&turn) else {
             return;
         };
@@ -152,10 +153,10 @@
             return;
         };
         lease.pending_acquisition = None;
-        let (given_up, retained) =
+        let (unavailable, retained) =
             lease.waiting.drain(..).partition(|waiting: &WaitingTurn| waiting.is_requested);
         lease.waiting = retained;
-        for waiting in given_up as Vec<WaitingTurn> {
+        for waiting in unavailable as Vec<WaitingTurn> {
             self.decide(waiting.turn, Err(LeaseError::Unavailable));
         }
         self.advance(&program, now);
@@ -298,14 +299,14 @@
             return;
         };
         let others = lease.others_taken;
-        let is_hopeless = others == 0 || lease.others_taken_at_refusal == Some(others);
+        let no_units_expected = others == 0 || lease.others_taken_at_refusal == Some(others);
         let mut refused = Vec::new();
         lease.waiting.retain_mut(|waiting| {
             if !waiting.is_requested {
                 return true;
             }
             let refuse_at = *waiting.refuse_at.get_or_insert(now + RECLAIM_TIMEOUT);
-            let refuse = is_hopeless || now >= refuse_at;
+            let refuse = no_units_expected || now >= refuse_at;
             if refuse {
                 refused.push(waiting.turn);
             }
--- a/crates/gatekeeper/src/lease/tests/decisions.rs
+++ b/crates/gatekeeper/src/lease/tests/decisions.rs
@@ -1,6 +1,6 @@
 //! What the leases decide, event by event.
 
-use crate::lease::{Action, LeaseError, Leases, Terms, TurnId};
+use crate::lease::{Action, LeaseError, Leases, TurnBudget, TurnId};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
     START + Duration::from_millis(milliseconds)
 }
 
-fn terms(budget: u64, max_units: u64) -> Terms {
-    Terms { budget, max_units }
+fn turn_budget(budget: u64, max_units: u64) -> TurnBudget {
+    TurnBudget { budget, max_units }
 }
 
 fn acquire(current: u64, requested: u64) -> Action {
@@ -37,7 +37,7 @@
 /// Leases with one turn of a large budget covered.
 fn with_one_turn(budget: u64, max_units: u64) -> (Leases, TurnId) {
     let mut leases = Leases::new(1);
-    let turn = leases.begin("p", terms(budget, max_units), START);
+    let turn = leases.begin("p", turn_budget(budget, max_units), START);
     assert_eq!(leases.take_actions(), [acquire(0, max_units)]);
     leases.granted("p", 0, START);
     assert_eq!(leases.take_actions(), [covered(turn)]);
@@ -53,30 +53,30 @@
 #[test]
 fn what_a_turn_did_not_use_covers_the_next_one_without_asking() {
     let (mut leases, first) = with_one_turn(10_000, 100);
-    leases.event(first, 30, ms(10));
+    leases.record_units(first, 30, ms(10));
     leases.end(first, ms(20));
-    let second = leases.begin("p", terms(10_000, 70), ms(30));
+    let second = leases.begin("p", turn_budget(10_000, 70), ms(30));
     assert_eq!(leases.take_actions(), [covered(second)]);
 }
 
 #[test]
 fn a_block_is_sized_to_recent_demand() {
     let (mut leases, first) = with_one_turn(10_000, 100);
-    leases.event(first, 100, ms(10));
-    leases.begin("p", terms(10_000, 50), ms(10));
+    leases.record_units(first, 100, ms(10));
+    leases.begin("p", turn_budget(10_000, 50), ms(10));
     assert_eq!(leases.take_actions(), [acquire(100, 250)]);
     let (mut leases, first) = with_one_turn(10_000, 100);
-    leases.event(first, 100, ms(10));
-    leases.begin("p", terms(10_000, 50), ms(60_000));
+    leases.record_units(first, 100, ms(10));
+    leases.begin("p", turn_budget(10_000, 50), ms(60_000));
     assert_eq!(leases.take_actions(), [acquire(100, 150)]);
 }
 
 #[test]
 fn turns_that_come_during_an_acquisition_wait_for_it_and_then_request_again_together() {
     let mut leases = Leases::new(1);
-    let first = leases.begin("p", terms(10_000, 100), START);
-    let second = leases.begin("p", terms(10_000, 50), START);
-    let third = leases.begin("p", terms(10_000, 60), START);
+    let first = leases.begin("p", turn_budget(10_000, 100), START);
+    let second = leases.begin("p", turn_budget(10_000, 50), START);
+    let third = leases.begin("p", turn_budget(10_000, 60), START);
     assert_eq!(leases.take_actions(), [acquire(0, 100)]);
     leases.granted("p", 0, ms(8));
     assert_eq!(leases.take_actions(), [covered(first), acquire(100, 210)]);
@@ -87,28 +87,28 @@
 #[test]
 fn a_turn_beyond_the_budget_is_refused_at_once() {
     let mut leases = Leases::new(1);
-    let turn = leases.begin("p", terms(100, 101), START);
+    let turn = leases.begin("p", turn_budget(100, 101), START);
     assert_eq!(leases.take_actions(), [refused(turn)]);
     let (mut leases, _) = with_one_turn(150, 100);
-    let second = leases.begin("p", terms(150, 51), ms(1));
+    let second = leases.begin("p", turn_budget(150, 51), ms(1));
     assert_eq!(leases.take_actions(), [refused(second)]);
 }
 
 #[test]
 fn the_smaller_of_two_budgets_is_enforced() {
     let (mut leases, first) = with_one_turn(10_000, 100);
-    leases.event(first, 100, ms(1));
+    leases.record_units(first, 100, ms(1));
     leases.end(first, ms(2));
-    let second = leases.begin("p", terms(150, 60), ms(3));
+    let second = leases.begin("p", turn_budget(150, 60), ms(3));
     assert_eq!(leases.take_actions(), [refused(second)]);
-    let third = leases.begin("p", terms(10_000, 60), ms(4));
+    let third = leases.begin("p", turn_budget(10_000, 60), ms(4));
     assert_eq!(leases.take_actions(), [refused(third)]);
 }
 
 #[test]
 fn the_excess_is_given_back_and_the_turn_deferred_while_others_may_give_back() {
     let mut leases = Leases::new(1);
-    let turn = leases.begin("p", terms(300, 100), START);
+    let turn = leases.begin("p", turn_budget(300, 100), START);
     leases.take_actions();
     leases.granted("p", 250, ms(8));
     assert_eq!(leases.take_actions(), [write(0)]);
@@ -123,7 +123,7 @@
 #[test]
 fn a_turn_is_refused_once_nothing_came_back_and_the_next_one_at_once() {
     let mut leases = Leases::new(1);
-    let turn = leases.begin("p", terms(300, 100), START);
+    let turn = leases.begin("p", turn_budget(300, 100), START);
     let mut now = START;
     let mut decided = None;
     while decided.is_none() {
@@ -141,11 +141,11 @@
     }
     assert_eq!(decided, Some((turn, Err(LeaseError::BudgetSpent))));
     assert!((ms(600)..=ms(900)).contains(&now), "{now:?}");
-    let second = leases.begin("p", terms(300, 100), now);
+    let second = leases.begin("p", turn_budget(300, 100), now);
     leases.take_actions();
     leases.granted("p", 250, now);
     assert_eq!(leases.take_actions()[0], refused(second));
-    let third = leases.begin("p", terms(300, 100), now);
+    let third = leases.begin("p", turn_budget(300, 100), now);
     leases.take_actions();
     leases.granted("p", 200, now);
     assert_eq!(leases.take_actions()[0], covered(third));
@@ -154,9 +154,9 @@
 #[test]
 fn an_unavailable_count_gives_neither_a_turn_nor_a_refusal() {
     let (mut leases, first) = with_one_turn(10_000, 100);
-    let second = leases.begin("p", terms(10_000, 100), ms(1));
+    let second = leases.begin("p", turn_budget(10_000, 100), ms(1));
     leases.take_actions();
-    let third = leases.begin("p", terms(10_000, 10), ms(2));
+    let third = leases.begin("p", turn_budget(10_000, 10), ms(2));
     leases.unavailable("p", ms(401));
     let actions = leases.take_actions();
     assert_eq!(actions, [unavailable(second), acquire(100, 110)]);
@@ -168,9 +168,9 @@
 #[test]
 fn a_turn_that_waits_is_covered_by_what_another_one_leaves() {
     let (mut leases, first) = with_one_turn(10_000, 100);
-    let second = leases.begin("p", terms(10_000, 80), ms(1));
+    let second = leases.begin("p", turn_budget(10_000, 80), ms(1));
     leases.take_actions();
-    leases.event(first, 20, ms(2));
+    leases.record_units(first, 20, ms(2));
     leases.end(first, ms(3));
     assert_eq!(leases.take_actions(), [covered(second)]);
     leases.granted("p", 0, ms(8));
@@ -180,11 +180,11 @@
 #[test]
 fn idle_units_are_given_back_within_half_a_second_though_another_turn_goes_on() {
     let (mut leases, first) = with_one_turn(10_000, 100);
-    leases.begin("p", terms(10_000, 100), ms(1));
+    leases.begin("p", turn_budget(10_000, 100), ms(1));
     leases.take_actions();
     leases.granted("p", 0, ms(2));
     leases.take_actions();
-    leases.event(first, 40, ms(3));
+    leases.record_units(first, 40, ms(3));
     leases.end(first, ms(4));
     while leases.take_actions() != [write(140)] {
         let now = leases.next_wake().unwrap();
@@ -196,7 +196,7 @@
 #[test]
 fn near_the_end_of_the_budget_nothing_lies_idle() {
     let (mut leases, first) = with_one_turn(400, 100);
-    leases.event(first, 40, ms(1));
+    leases.record_units(first, 40, ms(1));
     leases.end(first, ms(2));
     assert_eq!(leases.take_actions(), [write(40)]);
 }
@@ -204,15 +204,15 @@
 #[test]
 fn draining_gives_back_all_that_no_turn_needs() {
     let (mut leases, first) = with_one_turn(10_000, 100);
-    let second = leases.begin("p", terms(10_000, 100), ms(1));
+    let second = leases.begin("p", turn_budget(10_000, 100), ms(1));
     leases.take_actions();
     leases.granted("p", 0, ms(2));
     leases.take_actions();
-    leases.event(first, 40, ms(3));
+    leases.record_units(first, 40, ms(3));
     leases.end(first, ms(4));
     leases.drain();
     assert_eq!(leases.take_actions(), [write(140)]);
-    leases.event(second, 30, ms(5));
+    leases.record_units(second, 30, ms(5));
     leases.end(second, ms(6));
     assert_eq!(leases.take_actions(), [write(70)]);
 }
@@ -220,7 +220,7 @@
 #[test]
 fn a_worker_that_sends_more_than_the_maximum_is_counted() {
     let (mut leases, first) = with_one_turn(10_000, 100);
-    leases.event(first, 102, ms(1));
+    leases.record_units(first, 102, ms(1));
     leases.end(first, ms(2));
     assert_eq!(leases.take_actions(), [write(102)]);
 }
@@ -228,7 +228,7 @@
 #[test]
 fn a_turn_given_up_while_it_waits_leaves_nothing_behind() {
     let mut leases = Leases::new(1);
-    let turn = leases.begin("p", terms(10_000, 100), START);
+    let turn = leases.begin("p", turn_budget(10_000, 100), START);
     leases.take_actions();
     leases.end(turn, ms(1));
     leases.granted("p", 0, ms(8));
@@ -246,7 +246,7 @@
     let (mut leases, first) = with_one_turn(10_000, 100);
     leases.end(first, ms(1));
     leases.end(first, ms(2));
-    leases.event(first, 5, ms(3));
+    leases.record_units(first, 5, ms(3));
     leases.granted("q", 0, ms(4));
     leases.granted("p", 0, ms(4));
     leases.unavailable("q", ms(5));
--- a/crates/gatekeeper/src/lease/tests/driver.rs
+++ b/crates/gatekeeper/src/lease/tests/driver.rs
@@ -1,12 +1,12 @@
 //! The leases over a fake of the count, in paused time.
 
-use crate::lease::{LeaseError, LeaseStore, ProgramLeases, Terms};
+use crate::lease::{LeaseError, LeaseStore, ProgramLeases, TurnBudget};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::task::LocalSet;
 
-const TERMS: Terms = Terms { budget: 1_000, max_units: 100 };
+const TURN_BUDGET: TurnBudget = TurnBudget { budget: 1_000, max_units: 100 };
 
 /// A count of which the other holders have taken a fixed number of units; `None`: it does not answer.
 #[derive(Clone, Default)]
@@ -48,8 +48,8 @@
     LocalSet::new()
         .run_until(async {
             let leases = ProgramLeases::new(count, 1);
-            let turn = leases.begin("p", TERMS).await.unwrap();
-            turn.event(30);
+            let turn = leases.begin("p", TURN_BUDGET).await.unwrap();
+            turn.record_units(30);
             drop(turn);
             assert!(leases.drain(Duration::from_secs(1)).await);
         })
@@ -64,8 +64,8 @@
     LocalSet::new()
         .run_until(async {
             let leases = ProgramLeases::new(count, 1);
-            let turn = leases.begin("p", TERMS).await.unwrap();
-            turn.event(30);
+            let turn = leases.begin("p", TURN_BUDGET).await.unwrap();
+            turn.record_units(30);
             drop(turn);
             tokio::time::advance(Duration::from_millis(300)).await;
             tokio::time::sleep(Duration::from_millis(300)).await;
@@ -80,7 +80,7 @@
         .run_until(async {
             let leases = ProgramLeases::new(FakeLeaseStore::default(), 1);
             let started = tokio::time::Instant::now();
-            let error = leases.begin("p", TERMS).await.err();
+            let error = leases.begin("p", TURN_BUDGET).await.err();
             assert_eq!(error, Some(LeaseError::Unavailable));
             assert!(started.elapsed() <= Duration::from_millis(450));
         })
@@ -92,9 +92,9 @@
     LocalSet::new()
         .run_until(async {
             let leases = ProgramLeases::new(FakeLeaseStore::with_others(950), 1);
-            assert_eq!(leases.begin("p", TERMS).await.err(), Some(LeaseError::BudgetSpent));
+            assert_eq!(leases.begin("p", TURN_BUDGET).await.err(), Some(LeaseError::BudgetSpent));
             let started = tokio::time::Instant::now();
-            assert_eq!(leases.begin("p", TERMS).await.err(), Some(LeaseError::BudgetSpent));
+            assert_eq!(leases.begin("p", TURN_BUDGET).await.err(), Some(LeaseError::BudgetSpent));
             assert!(started.elapsed() <= Duration::from_millis(10));
         })
         .await;
@@ -107,7 +107,7 @@
     LocalSet::new()
         .run_until(async {
             let leases = ProgramLeases::new(count, 1);
-            let begin = leases.begin("p", TERMS);
+            let begin = leases.begin("p", TURN_BUDGET);
             assert!(tokio::time::timeout(Duration::from_millis(2), begin).await.is_err());
             tokio::time::sleep(Duration::from_secs(1)).await;
         })
--- a/crates/gatekeeper/src/lease/tests/mod.rs
+++ b/crates/gatekeeper/src/lease/tests/mod.rs
@@ -4,4 +4,4 @@
 mod decisions;
 mod driver;
 mod simulation;
-mod terms;
+mod turn_budget;
--- a/crates/gatekeeper/src/lease/tests/simulation.rs
+++ b/crates/gatekeeper/src/lease/tests/simulation.rs
@@ -1,6 +1,6 @@
 //! Several gatekeepers, one program and a model of its count, in simulated time.
 
-use crate::lease::{Action, LeaseError, Leases, Terms, TurnId};
+use crate::lease::{Action, LeaseError, Leases, TurnBudget, TurnId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -100,7 +100,7 @@
         let gatekeeper = gatekeeper % self.gatekeepers.len();
         let (budget, now) = (self.budget, self.now);
         let process = &mut self.gatekeepers[gatekeeper];
-        let id = process.leases.begin(PROGRAM, Terms { budget, max_units }, now);
+        let id = process.leases.begin(PROGRAM, TurnBudget { budget, max_units }, now);
         self.turns.push(Turn {
             holder: process.holder,
             id,
@@ -125,7 +125,7 @@
         self.turns[turn].units += units;
         let (holder, id, now) = (self.turns[turn].holder, self.turns[turn].id, self.now);
         if let Some(gatekeeper) = self.gatekeeper_of(holder) {
-            self.gatekeepers[gatekeeper].leases.event(id, units, now);
+            self.gatekeepers[gatekeeper].leases.record_units(id, units, now);
             self.run_actions(gatekeeper);
         }
     }
--- a/crates/gatekeeper/src/lease/terms.rs
+++ b/crates/gatekeeper/src/lease/turn_budget.rs
@@ -10,7 +10,7 @@
 
 /// A turn's budget, and the maximum that the turn itself may emit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Terms {
+pub struct TurnBudget {
     /// Units that all turns of the program may emit together.
     pub budget: u64,
     /// Units that this turn may emit.
@@ -20,23 +20,24 @@
 /// A header of a turn that can't be meant: the answer is 400.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{}: the header `{header}` is missing or absurd", ResultCode::TURN_TERMS_INVALID))]
-pub struct TermsError {
+pub struct TurnBudgetError {
     /// The header.
     header: &'static str,
 }
 
-impl Terms {
+impl TurnBudget {
     /// Reads the values of `Budget` (`1080`) and of `Token-Usage` (`1840,135`: of the prompt, and the most out).
     ///
     /// # Errors
     /// One of them is missing, not a whole number, or beyond all bounds.
-    pub fn parse(budget: Option<&str>, usage: Option<&str>) -> Result<Self, TermsError> {
-        let budget = budget.and_then(units).context(TermsSnafu { header: "Budget" })?;
-        let (prompt, max_units) =
-            usage.and_then(|value| value.split_once(',')).context(TermsSnafu { header: "Token-Usage" })?;
-        units(prompt).context(TermsSnafu { header: "Token-Usage" })?;
-        let max_units = units(max_units).context(TermsSnafu { header: "Token-Usage" })?;
-        ensure!(max_units > 0, TermsSnafu { header: "Token-Usage" });
+    pub fn parse(budget: Option<&str>, usage: Option<&str>) -> Result<Self, TurnBudgetError> {
+        let budget = budget.and_then(units).context(TurnBudgetSnafu { header: "Budget" })?;
+        let (prompt, max_units) = usage
+            .and_then(|value| value.split_once(','))
+            .context(TurnBudgetSnafu { header: "Token-Usage" })?;
+        units(prompt).context(TurnBudgetSnafu { header: "Token-Usage" })?;
+        let max_units = units(max_units).context(TurnBudgetSnafu { header: "Token-Usage" })?;
+        ensure!(max_units > 0, TurnBudgetSnafu { header: "Token-Usage" });
         Ok(Self { budget, max_units })
     }
 }
--- a/crates/gatekeeper/src/proxy/answer.rs
+++ b/crates/gatekeeper/src/proxy/answer.rs
@@ -13,7 +13,7 @@
 
 /// An answer without a body.
 #[must_use]
-pub fn plain(status: StatusCode) -> Answer {
+pub fn without_body(status: StatusCode) -> Answer {
     let mut answer = Response::new(ResponseBody::empty());
     *answer.status_mut() = status;
     answer
@@ -21,8 +21,8 @@
 
 /// An answer whose body tells what is wrong with the request.
 #[must_use]
-pub fn explained(status: StatusCode, problem: &str) -> Answer {
-    let mut answer = with_body(problem.to_owned().into());
+pub fn with_message(status: StatusCode, error: &str) -> Answer {
+    let mut answer = with_body(error.to_owned().into());
     *answer.status_mut() = status;
     answer
 }
@@ -39,7 +39,7 @@
 #[must_use]
 pub fn reject(retry_after: Duration) -> Answer {
     let seconds = (retry_after.as_secs_f64() * (0.75 + 0.5 * fastrand::f64())).max(MIN_RETRY_AFTER_S);
-    let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE);
+    let mut answer = without_body(StatusCode::SERVICE_UNAVAILABLE);
     if let Ok(value) = HeaderValue::try_from(format!("{seconds:.3}")) {
         answer.headers_mut().insert(header::RETRY_AFTER, value);
     }
@@ -48,7 +48,7 @@
 
 /// The answer closes its connection.
 #[must_use]
-pub fn closing(mut answer: Answer) -> Answer {
+pub fn with_close_header(mut answer: Answer) -> Answer {
     answer.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     answer
 }
--- a/crates/gatekeeper/src/proxy/attempt.rs
+++ b/crates/gatekeeper/src/proxy/attempt.rs
@@ -82,12 +82,12 @@
         if self.may_attempt_another(time_left) {
             return NextStep::AttemptAnother;
         }
-        if failure == AttemptFailure::WorkerFailed { NextStep::ForwardFailure } else { self.give_up() }
+        if failure == AttemptFailure::WorkerFailed { NextStep::ForwardFailure } else { self.when_exhausted() }
     }
 
     /// What to answer when no worker is left to attempt.
     #[must_use]
-    pub fn give_up(&self) -> NextStep {
+    pub fn when_exhausted(&self) -> NextStep {
         if self.may_have_run() { NextStep::Fail } else { NextStep::Reject }
     }
 
--- a/crates/gatekeeper/src/proxy/attempt/tests.rs
+++ b/crates/gatekeeper/src/proxy/attempt/tests.rs
@@ -31,7 +31,7 @@
     assert_eq!(rejected.failed(AttemptFailure::NotExecuted, Duration::ZERO), NextStep::Reject);
     let mut lost = Attempts::new(true, 2);
     assert_eq!(lost.failed(AttemptFailure::MayHaveRun, MIN_TIME_FOR_ATTEMPT / 2), NextStep::Fail);
-    assert_eq!(lost.give_up(), NextStep::Fail);
+    assert_eq!(lost.when_exhausted(), NextStep::Fail);
 }
 
 #[test]
--- a/crates/gatekeeper/src/proxy/event_stream.rs
+++ b/crates/gatekeeper/src/proxy/event_stream.rs
@@ -114,12 +114,12 @@
 
     /// Whether bytes of an event that has not ended are held.
     #[must_use]
-    pub fn holds_part(&self) -> bool {
+    pub fn has_incomplete_event(&self) -> bool {
         !self.bytes.is_empty()
     }
 
     /// What is held of an event that has not ended.
-    pub fn take_rest(&mut self) -> Bytes {
+    pub fn take_incomplete_event(&mut self) -> Bytes {
         self.searched = 0;
         self.bytes.split().freeze()
     }
--- a/crates/gatekeeper/src/proxy/event_stream/tests.rs
+++ b/crates/gatekeeper/src/proxy/event_stream/tests.rs
@@ -18,7 +18,7 @@
         assert_eq!(ids, [Some(1), Some(2), Some(3)], "in pieces of {size}");
         let joined: Vec<u8> = events.iter().flat_map(|event| event.raw.to_vec()).collect();
         assert_eq!(joined, text, "nothing is changed");
-        assert!(!reader.holds_part());
+        assert!(!reader.has_incomplete_event());
     }
 }
 
@@ -40,9 +40,9 @@
     let mut reader = EventReader::default();
     reader.push(b"id: 1\ndata: a\n\nid: 2\nda").expect("short events");
     assert_eq!(read_all(&mut reader).len(), 1);
-    assert!(reader.holds_part());
-    assert_eq!(&reader.take_rest()[..], b"id: 2\nda");
-    assert!(!reader.holds_part());
+    assert!(reader.has_incomplete_event());
+    assert_eq!(&reader.take_incomplete_event()[..], b"id: 2\nda");
+    assert!(!reader.has_incomplete_event());
 }
 
 #[test]
@@ -71,7 +71,7 @@
                 event.append_data(&mut data);
             }
         }
-        out.extend_from_slice(&reader.take_rest());
+        out.extend_from_slice(&reader.take_incomplete_event());
         assert_eq!(out, pieces.concat());
     });
 }
--- a/crates/gatekeeper/src/proxy/failed_requests.rs
+++ b/crates/gatekeeper/src/proxy/failed_requests.rs
@@ -7,7 +7,7 @@
     attempt::{AttemptFailure, Attempts},
     balance::NoWorker,
     request::ForwardedRequest,
-    terms,
+    request_parameters,
 };
 use opalrun_configuration::RouteType;
 use opalrun_metrics::LabelledCounter;
@@ -144,17 +144,17 @@
     pub fn record(&self, request: &ForwardedRequest, reason: FailureReason, attempts: u32) {
         self.count(request.route.route_type, reason);
         let Some(suppressed) = self.limit.admit(Instant::now()) else { return };
-        let header = |name| terms::text(&request.headers, name).unwrap_or("-");
+        let header = |name| request_parameters::header_text(&request.headers, name).unwrap_or("-");
         info!(
             reason = reason.name(),
             route = %request.route.name,
             kind = route_type_name(request.route.route_type),
-            program = header(&terms::PROGRAM),
-            session = header(&terms::SESSION),
-            id = %request.terms.request_id,
+            program = header(&request_parameters::PROGRAM),
+            session = header(&request_parameters::SESSION),
+            id = %request.parameters.request_id,
             held_ms = request.arrived.elapsed().as_millis() as u64,
             left_ms = request.time_left().as_millis() as u64,
-            program_left_ms = header(&terms::FINISH_MS),
+            program_left_ms = header(&request_parameters::FINISH_MS),
             tries = attempts,
             left_out = suppressed,
             "a request got no whole answer"
--- a/crates/gatekeeper/src/proxy/handler.rs
+++ b/crates/gatekeeper/src/proxy/handler.rs
@@ -10,8 +10,8 @@
     failed_requests::{DisconnectWatch, FailureReason},
     headers::remove_connection_headers,
     request::{self, ForwardedRequest},
+    request_parameters::{NOT_EXECUTED, RequestParameters},
     stream::{Stream, StreamStart},
-    terms::{NOT_EXECUTED, Terms},
     turn::Turn,
     upstream::Exchange,
 };
@@ -93,24 +93,28 @@
         let arrived = Instant::now();
         let configuration = self.configuration().ok_or_else(|| answer::reject(UNCONFIGURED_RETRY_AFTER))?;
         let (mut head, incoming) = request.into_parts();
-        let route = route_of(&configuration, &head).ok_or_else(|| self.without_route())?;
+        let route = route_of(&configuration, &head).ok_or_else(|| self.unknown_route_answer())?;
         if header_bytes(&head) > configuration.limits.max_header_bytes {
-            return Err(answer::closing(answer::plain(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE)));
+            return Err(answer::with_close_header(answer::without_body(
+                StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
+            )));
         }
-        let terms = Terms::read(&head.headers)
-            .map_err(|problem| answer::explained(StatusCode::BAD_REQUEST, &problem.to_string()))?;
-        let deadline = request::answer_by(arrived, &terms, &route);
+        let parameters = RequestParameters::read(&head.headers)
+            .map_err(|error| answer::with_message(StatusCode::BAD_REQUEST, &error.to_string()))?;
+        let deadline = request::request_deadline(arrived, &parameters, &route);
         let longest = configuration.limits.max_body_bytes;
-        let body = body::read_complete(incoming, &self.memory, longest, deadline).await.map_err(unread)?;
+        let body = body::read_complete(incoming, &self.memory, longest, deadline)
+            .await
+            .map_err(body_error_answer)?;
         remove_connection_headers(&mut head.headers);
         let uri = head.uri.path_and_query().cloned().map(Into::into);
         let service = route.choose_service(fastrand::f64()).to_owned();
         Ok(ForwardedRequest {
             method: head.method,
-            uri: uri.ok_or_else(|| answer::plain(StatusCode::BAD_REQUEST))?,
+            uri: uri.ok_or_else(|| answer::without_body(StatusCode::BAD_REQUEST))?,
             headers: head.headers,
             body: body.bytes,
-            terms,
+            parameters,
             service,
             route,
             arrived,
@@ -121,9 +125,9 @@
     }
 
     /// The answer to a request without a route, which a newer configuration may have.
-    fn without_route(&self) -> Answer {
+    fn unknown_route_answer(&self) -> Answer {
         if self.is_fresh() {
-            answer::plain(StatusCode::NOT_FOUND)
+            answer::without_body(StatusCode::NOT_FOUND)
         } else {
             answer::reject(UNCONFIGURED_RETRY_AFTER)
         }
@@ -136,18 +140,18 @@
         let mut attempted: Vec<WorkerId> = Vec::new();
         let watch = DisconnectWatch::new(&self.failed_requests, &request);
         loop {
-            let chosen = match self.choose(&request, &attempted) {
-                Ok(chosen) => chosen,
-                Err(problem) => {
-                    return watch.failed(&attempts, problem.into(), give_up(&request, &attempts));
+            let selected = match self.select_worker(&request, &attempted) {
+                Ok(selected) => selected,
+                Err(error) => {
+                    return watch.failed(&attempts, error.into(), final_answer(&request, &attempts));
                 }
             };
             if !attempted.is_empty() {
                 self.metrics.retried();
             }
-            attempted.push(chosen.id.clone());
+            attempted.push(selected.id.clone());
             let may_attempt_more = attempts.may_attempt_more();
-            match self.attempt_at(&request, &chosen, may_attempt_more).await {
+            match self.attempt_at(&request, &selected, may_attempt_more).await {
                 AttemptOutcome::Answer(answer) => return watch.answered(answer),
                 AttemptOutcome::Stream(stream) => return watch.answered(stream.relay(attempts, attempted)),
                 AttemptOutcome::WorkerFailed(answer) => {
@@ -161,7 +165,7 @@
                     let time_left = request.time_left();
                     if attempts.failed(failure, time_left) != NextStep::AttemptAnother {
                         let reason = FailureReason::after_attempt(failure, time_left);
-                        return watch.failed(&attempts, reason, give_up(&request, &attempts));
+                        return watch.failed(&attempts, reason, final_answer(&request, &attempts));
                     }
                 }
             }
@@ -172,55 +176,56 @@
     ///
     /// # Errors
     /// Where none can serve it.
-    pub fn choose(
+    pub fn select_worker(
         &self,
         request: &ForwardedRequest,
         attempted: &[WorkerId],
     ) -> Result<SelectedWorker, NoWorker> {
         let has_idle_connection = |worker: &WorkerId| self.pools().has_idle(worker);
-        let choice = SelectionCriteria {
-            prompt_segments: &request.terms.parts,
+        let criteria = SelectionCriteria {
+            prompt_segments: &request.parameters.prompt_segments,
             attempted,
             priority: u32::from(request.route.priority),
             previous_worker: request.turn.previous_worker(),
-            continues_program: request.terms.previous.is_some(),
+            continues_program: request.parameters.previous.is_some(),
             idempotent: request.route.is_idempotent(),
             has_idle_connection: Some(&has_idle_connection),
         };
         let now = self.now();
-        self.balance(&request.service, |balancer| balancer.select_worker(now, &choice))
+        self.with_balancer(&request.service, |balancer| balancer.select_worker(now, &criteria))
     }
 
     /// Sends the request to one worker. `may_attempt_more`: another one could be attempted after it.
     async fn attempt_at(
         self: &Rc<Self>,
         request: &Rc<ForwardedRequest>,
-        chosen: &SelectedWorker,
+        selected: &SelectedWorker,
         may_attempt_more: bool,
     ) -> AttemptOutcome {
-        let deadline = self.answer_deadline(request, chosen, may_attempt_more);
-        let overdue_at = self.overdue_at(request, chosen).filter(|at| *at < deadline);
-        let last_event_id = request.terms.last_event_id;
-        let exchange = self.exchange(request, chosen, deadline, last_event_id);
-        let exchange = match self.record_if_overdue(request, chosen, overdue_at, exchange).await {
+        let deadline = self.answer_deadline(request, selected, may_attempt_more);
+        let overdue_at = self.overdue_at(request, selected).filter(|at| *at < deadline);
+        let last_event_id = request.parameters.last_event_id;
+        let exchange = self.exchange(request, selected, deadline, last_event_id);
+        let exchange = match self.record_if_overdue(request, selected, overdue_at, exchange).await {
             Ok(exchange) => exchange,
             Err(failure) => return AttemptOutcome::Failed(failure),
         };
         if request.route.route_type == RouteType::Streaming && is_event_stream(&exchange.parts) {
             let overdue_at = overdue_at.filter(|at| Instant::now() < *at);
-            let stream = Stream::begin(self, request, &chosen.id, exchange, deadline);
-            return self.record_if_overdue(request, chosen, overdue_at, stream).await.into();
+            let stream = Stream::begin(self, request, &selected.id, exchange, deadline);
+            return self.record_if_overdue(request, selected, overdue_at, stream).await.into();
         }
-        exchange.worker_request.begun(exchange.load_report());
+        exchange.worker_request.answer_started(exchange.load_report());
         self.plain_answer(request, exchange).await
     }
 
-    /// When an answer of this worker to the request is later than is usual and than the operator wants; `None`: what is
-    /// usual is not known.
-    fn overdue_at(&self, request: &ForwardedRequest, chosen: &SelectedWorker) -> Option<Instant> {
+    /// When an answer of this worker to the request is later than is start_limit and than the operator wants; `None`: what is
+    /// start_limit is not known.
+    fn overdue_at(&self, request: &ForwardedRequest, selected: &SelectedWorker) -> Option<Instant> {
         let now = self.now();
-        let usual = self.balance(&request.service, |b| b.answer_start_limit(now, &chosen.id))?;
-        Some(Instant::now() + usual.max(request.route.target_latency))
+        let start_limit =
+            self.with_balancer(&request.service, |b| b.answer_start_limit(now, &selected.id))?;
+        Some(Instant::now() + start_limit.max(request.route.target_latency))
     }
 
     /// Waits for the beginning of an answer. When it is overdue, that counts against the worker at once, long before the
@@ -228,7 +233,7 @@
     async fn record_if_overdue<T>(
         &self,
         request: &ForwardedRequest,
-        chosen: &SelectedWorker,
+        selected: &SelectedWorker,
         overdue_at: Option<Instant>,
         beginning: impl Future<Output = T>,
     ) -> T {
@@ -238,7 +243,7 @@
             return begun;
         }
         let now = self.now();
-        self.balance(&request.service, |b| b.answer_overdue(now, &chosen.id));
+        self.with_balancer(&request.service, |b| b.answer_overdue(now, &selected.id));
         beginning.await
     }
 
@@ -246,7 +251,7 @@
     fn answer_deadline(
         &self,
         request: &ForwardedRequest,
-        chosen: &SelectedWorker,
+        selected: &SelectedWorker,
         may_attempt_more: bool,
     ) -> Instant {
         if !request.route.is_idempotent() || !may_attempt_more {
@@ -259,8 +264,8 @@
         let target = request.route.target_latency;
         let max_wait = (target * targets).max(MIN_ANSWER_WAIT_LIMIT);
         let now = self.now();
-        let usual = self.balance(&request.service, |b| b.answer_start_limit(now, &chosen.id));
-        let wait = usual.map_or(max_wait, |usual| usual.max(target).min(max_wait));
+        let start_limit = self.with_balancer(&request.service, |b| b.answer_start_limit(now, &selected.id));
+        let wait = start_limit.map_or(max_wait, |start_limit| start_limit.max(target).min(max_wait));
         request.deadline.min(Instant::now() + wait)
     }
 
@@ -295,22 +300,22 @@
 }
 
 /// The answer when no worker can be attempted any more.
-fn give_up(request: &ForwardedRequest, attempts: &Attempts) -> Answer {
-    match attempts.give_up() {
+fn final_answer(request: &ForwardedRequest, attempts: &Attempts) -> Answer {
+    match attempts.when_exhausted() {
         NextStep::Reject => answer::reject(request.route.target_latency.mul_f64(REJECTION_RETRY_AFTER_SHARE)),
-        _ if request.time_left().is_zero() => answer::plain(StatusCode::GATEWAY_TIMEOUT),
-        _ => answer::plain(StatusCode::BAD_GATEWAY),
+        _ if request.time_left().is_zero() => answer::without_body(StatusCode::GATEWAY_TIMEOUT),
+        _ => answer::without_body(StatusCode::BAD_GATEWAY),
     }
 }
 
-fn unread(problem: BodyError) -> Answer {
-    let status = match problem {
+fn body_error_answer(error: BodyError) -> Answer {
+    let status = match error {
         BodyError::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
         BodyError::TooSlow => StatusCode::REQUEST_TIMEOUT,
         BodyError::Broken => StatusCode::BAD_REQUEST,
-        BodyError::NoMemory => return answer::closing(answer::reject(UNCONFIGURED_RETRY_AFTER)),
+        BodyError::NoMemory => return answer::with_close_header(answer::reject(UNCONFIGURED_RETRY_AFTER)),
     };
-    answer::closing(answer::explained(status, &problem.to_string()))
+    answer::with_close_header(answer::with_message(status, &error.to_string()))
 }
 
 fn route_of(configuration: &Configuration, head: &hyper::http::request::Parts) -> Option<Arc<Route>> {
--- a/crates/gatekeeper/src/proxy/metrics.rs
+++ b/crates/gatekeeper/src/proxy/metrics.rs
@@ -15,7 +15,7 @@
     /// Attempts at another worker than a request's first.
     pub(super) retries: Counter,
     /// Turns that the stores have stored; the metric is called `turns_kept`.
-    pub(super) turns_kept: Counter,
+    pub(super) turns_stored: Counter,
 }
 
 impl Default for ProxyMetrics {
@@ -23,7 +23,7 @@
         let requests = LabelledCounter::default();
         let counter = |outcome: &str| requests.get_or_create(&vec![("outcome", outcome.to_owned())]).clone();
         let by_outcome = OUTCOMES.map(counter);
-        Self { requests, by_outcome, retries: Counter::default(), turns_kept: Counter::default() }
+        Self { requests, by_outcome, retries: Counter::default(), turns_stored: Counter::default() }
     }
 }
 
@@ -47,7 +47,7 @@
 
     /// The stores have stored a turn.
     pub fn turn_stored(&self) {
-        self.turns_kept.inc();
+        self.turns_stored.inc();
     }
 }
 
--- a/crates/gatekeeper/src/proxy/readiness.rs
+++ b/crates/gatekeeper/src/proxy/readiness.rs
@@ -2,7 +2,7 @@
 
 use crate::proxy::{
     Proxy,
-    answer::{Answer, plain},
+    answer::{Answer, without_body},
 };
 use hyper::{Request, StatusCode, body::Incoming};
 use opalrun_transport::{
@@ -23,8 +23,8 @@
     async fn handle(&self, request: Request<Incoming>, client: Client) -> Answer {
         client.peer.use_it();
         if request.uri().path() != READINESS_PATH {
-            return plain(StatusCode::NOT_FOUND);
+            return without_body(StatusCode::NOT_FOUND);
         }
-        plain(if self.0.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
+        without_body(if self.0.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
     }
 }
--- a/crates/gatekeeper/src/proxy/request.rs
+++ b/crates/gatekeeper/src/proxy/request.rs
@@ -1,6 +1,6 @@
 //! A client's request, read completely and checked.
 
-use crate::proxy::{body::MemoryReservation, terms::Terms, turn::Turn};
+use crate::proxy::{body::MemoryReservation, request_parameters::RequestParameters, turn::Turn};
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Uri};
 use opalrun_configuration::Route;
@@ -23,7 +23,7 @@
     /// Its body, with the turns before it where these are retained.
     pub body: Bytes,
     /// What the headers say.
-    pub terms: Terms,
+    pub parameters: RequestParameters,
     /// Its route.
     pub route: Arc<Route>,
     /// The service that is to answer it.
@@ -48,8 +48,8 @@
 
 /// When a request that came at `arrived` is to have been answered.
 #[must_use]
-pub fn answer_by(arrived: Instant, terms: &Terms, route: &Route) -> Instant {
-    let client = terms.client_timeout.unwrap_or(MAX_REQUEST_TIME);
+pub fn request_deadline(arrived: Instant, parameters: &RequestParameters, route: &Route) -> Instant {
+    let client = parameters.client_timeout.unwrap_or(MAX_REQUEST_TIME);
     let client = client.saturating_sub(ANSWER_MARGIN.min(client / 10));
     arrived + client.min(route.timeout).min(MAX_REQUEST_TIME)
 }
--- a/crates/gatekeeper/src/proxy/terms.rs
+++ b/crates/gatekeeper/src/proxy/request_parameters.rs
@@ -52,7 +52,7 @@
     #[snafu(display("{source}"))]
     Budget {
         /// Which one.
-        source: lease::TermsError,
+        source: lease::TurnBudgetError,
     },
     /// `Program` is doubled, empty or too long.
     #[snafu(display("Program is to be one text of 1 to {MAX_NAME_BYTES} characters"))]
@@ -64,75 +64,78 @@
 
 /// A program's budget as one of its turns names it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ProgramTerms {
+pub struct ProgramBudget {
     /// The program.
     pub program: String,
     /// What its turns may emit together, and this one.
-    pub terms: lease::Terms,
+    pub turn_budget: lease::TurnBudget,
 }
 
 /// What a request's headers say.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Terms {
+pub struct RequestParameters {
     /// Its `Request-Id`.
     pub request_id: String,
     /// How long the client will wait, from `Deadline-Ms`.
     pub client_timeout: Option<Duration>,
     /// The parts of its prompt.
-    pub parts: Vec<PromptSegment>,
+    pub prompt_segments: Vec<PromptSegment>,
     /// The program whose budget it draws on.
-    pub program: Option<ProgramTerms>,
+    pub program: Option<ProgramBudget>,
     /// The turn that it continues from.
     pub previous: Option<String>,
     /// The last event that the client has.
     pub last_event_id: Option<u64>,
 }
 
-impl Terms {
+impl RequestParameters {
     /// Reads the headers.
     ///
     /// # Errors
     /// Where one that decides what may be done can't be read.
     pub fn read(headers: &HeaderMap) -> Result<Self, BadRequest> {
-        let request_id = name(headers, &REQUEST_ID).ok().flatten().ok_or(BadRequest::RequestId)?;
+        let request_id = name_header(headers, &REQUEST_ID).ok().flatten().ok_or(BadRequest::RequestId)?;
         Ok(Self {
             request_id,
-            client_timeout: number(headers, &DEADLINE_MS).map(Duration::from_millis),
-            parts: text(headers, &PROMPT_PREFIX).map(PromptSegment::parse_all).unwrap_or_default(),
+            client_timeout: number_header(headers, &DEADLINE_MS).map(Duration::from_millis),
+            prompt_segments: header_text(headers, &PROMPT_PREFIX)
+                .map(PromptSegment::parse_all)
+                .unwrap_or_default(),
             program: program(headers)?,
-            previous: name(headers, &PREVIOUS).map_err(|Improper| BadRequest::Previous)?,
-            last_event_id: number(headers, &LAST_EVENT_ID),
+            previous: name_header(headers, &PREVIOUS).map_err(|InvalidHeader| BadRequest::Previous)?,
+            last_event_id: number_header(headers, &LAST_EVENT_ID),
         })
     }
 }
 
 /// The terms of a turn that draws on a budget; other requests of programs name none.
-fn program(headers: &HeaderMap) -> Result<Option<ProgramTerms>, BadRequest> {
-    let program = name(headers, &PROGRAM).map_err(|Improper| BadRequest::Program)?;
+fn program(headers: &HeaderMap) -> Result<Option<ProgramBudget>, BadRequest> {
+    let program = name_header(headers, &PROGRAM).map_err(|InvalidHeader| BadRequest::Program)?;
     let (Some(program), true) = (program, headers.contains_key(BUDGET)) else { return Ok(None) };
-    let terms =
-        lease::Terms::parse(text(headers, &BUDGET), text(headers, &TOKEN_USAGE)).context(BudgetSnafu)?;
-    Ok(Some(ProgramTerms { program, terms }))
+    let turn_budget =
+        lease::TurnBudget::parse(header_text(headers, &BUDGET), header_text(headers, &TOKEN_USAGE))
+            .context(BudgetSnafu)?;
+    Ok(Some(ProgramBudget { program, turn_budget }))
 }
 
 /// A header that is doubled, empty, too long or no text.
-struct Improper;
+struct InvalidHeader;
 
 /// The text of a header that names something.
-fn name(headers: &HeaderMap, header: &HeaderName) -> Result<Option<String>, Improper> {
+fn name_header(headers: &HeaderMap, header: &HeaderName) -> Result<Option<String>, InvalidHeader> {
     if !headers.contains_key(header) {
         return Ok(None);
     }
-    let value = text(headers, header).filter(|text| !text.is_empty() && text.len() <= MAX_NAME_BYTES);
-    value.map(|text| Some(text.to_owned())).ok_or(Improper)
+    let value = header_text(headers, header).filter(|text| !text.is_empty() && text.len() <= MAX_NAME_BYTES);
+    value.map(|text| Some(text.to_owned())).ok_or(InvalidHeader)
 }
 
-fn number(headers: &HeaderMap, header: &HeaderName) -> Option<u64> {
-    text(headers, header)?.parse().ok()
+fn number_header(headers: &HeaderMap, header: &HeaderName) -> Option<u64> {
+    header_text(headers, header)?.parse().ok()
 }
 
 /// The one value of a header; `None` where it is missing, doubled or no text.
-pub fn text<'a>(headers: &'a HeaderMap, header: &HeaderName) -> Option<&'a str> {
+pub fn header_text<'a>(headers: &'a HeaderMap, header: &HeaderName) -> Option<&'a str> {
     let mut values = headers.get_all(header).iter();
     let value = values.next().filter(|_| values.next().is_none())?;
     value.to_str().ok().map(str::trim)
--- a/crates/gatekeeper/src/proxy/terms/tests.rs
+++ b/crates/gatekeeper/src/proxy/request_parameters/tests.rs
@@ -1,4 +1,4 @@
-use super::{BadRequest, ProgramTerms, Terms};
+use super::{BadRequest, ProgramBudget, RequestParameters};
 use crate::lease;
 use hyper::{HeaderMap, header::HeaderName, header::HeaderValue};
 use std::time::Duration;
@@ -14,7 +14,7 @@
 
 #[test]
 fn a_turn_of_a_program_is_read() {
-    let terms = Terms::read(&headers(&[
+    let parameters = RequestParameters::read(&headers(&[
         ("request-id", "e5b2907c14da6f38"),
         ("program", "3fa81c"),
         ("session", "77d20b"),
@@ -24,19 +24,21 @@
         ("previous", "9c41"),
         ("last-event-id", "12"),
     ]));
-    let terms = terms.expect("a proper turn");
-    let expected =
-        ProgramTerms { program: "3fa81c".to_owned(), terms: lease::Terms { budget: 1080, max_units: 135 } };
-    assert_eq!(terms.program, Some(expected));
-    assert_eq!(terms.client_timeout, Some(Duration::from_secs(5)));
-    assert_eq!(terms.previous.as_deref(), Some("9c41"));
-    assert_eq!(terms.last_event_id, Some(12));
+    let parameters = parameters.expect("a proper turn");
+    let expected = ProgramBudget {
+        program: "3fa81c".to_owned(),
+        turn_budget: lease::TurnBudget { budget: 1080, max_units: 135 },
+    };
+    assert_eq!(parameters.program, Some(expected));
+    assert_eq!(parameters.client_timeout, Some(Duration::from_secs(5)));
+    assert_eq!(parameters.previous.as_deref(), Some("9c41"));
+    assert_eq!(parameters.last_event_id, Some(12));
 }
 
 #[test]
 fn a_tool_call_of_a_program_draws_on_no_budget() {
-    let terms = Terms::read(&headers(&[("request-id", "1"), ("program", "3fa81c")]));
-    assert_eq!(terms.expect("a proper call").program, None);
+    let parameters = RequestParameters::read(&headers(&[("request-id", "1"), ("program", "3fa81c")]));
+    assert_eq!(parameters.expect("a proper call").program, None);
 }
 
 #[test]
@@ -50,11 +52,11 @@
         (&[id, program, ("program", "q"), ("budget", "5")], BadRequest::Program),
         (&[id, ("previous", "a"), ("previous", "b")], BadRequest::Previous),
     ];
-    for (list, problem) in cases {
-        assert_eq!(Terms::read(&headers(list)), Err(problem), "{list:?}");
+    for (list, error) in cases {
+        assert_eq!(RequestParameters::read(&headers(list)), Err(error), "{list:?}");
     }
     for list in [[("budget", "-3"), ("token-usage", "1,2")], [("budget", "5"), ("token-usage", "12")]] {
-        let read = Terms::read(&headers(&[&[id, program], &list[..]].concat()));
+        let read = RequestParameters::read(&headers(&[&[id, program], &list[..]].concat()));
         assert!(matches!(read, Err(BadRequest::Budget { .. })), "{list:?}");
     }
 }
--- a/crates/gatekeeper/src/proxy/run.rs
+++ b/crates/gatekeeper/src/proxy/run.rs
@@ -16,11 +16,11 @@
 /// Connections of the platform's readiness checks.
 const READINESS_CONNECTIONS: usize = 32;
 /// Between looks whether what is known is fresh.
-const FRESHNESS_INTERVAL: Duration = Duration::from_millis(500);
+const FRESHNESS_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Between reports of requests that failed.
-const FAILURES_INTERVAL: Duration = Duration::from_millis(300);
+const FAILURE_REPORT_INTERVAL: Duration = Duration::from_millis(300);
 /// Between looks for idle connections to workers.
-const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+const IDLE_CONNECTION_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 /// After SIGTERM the platform still sends new connections until it has seen that the process is not ready.
 const NEW_CONNECTIONS_LINGER: Duration = Duration::from_millis(2500);
 /// How long the stores may take to record what is returned of programs' budgets.
@@ -28,7 +28,7 @@
 /// Beyond the configuration's time limits, for what is delayed on its way.
 const TIME_LIMIT_TOLERANCE: Duration = Duration::from_millis(500);
 /// Kept of the time until SIGKILL.
-const KILL_MARGIN: Duration = Duration::from_secs(1);
+const SIGKILL_MARGIN: Duration = Duration::from_secs(1);
 
 /// Why the proxy could not run.
 #[derive(Debug, Snafu)]
@@ -59,14 +59,14 @@
     let clients = listen(frontend).await?;
     let platform = listen(readiness).await?;
     let proxy = Proxy::new(&settings);
-    spawn_local(sweep(proxy.clone()));
+    spawn_local(close_idle_connections(proxy.clone()));
     let feed = ControlFeed::start_at(settings.agent_address());
     let (scraped, scraped_feed) = (proxy.clone(), feed.clone());
     opalrun_metrics::start(settings.metrics, move |scrape| {
         scraped.scrape(scrape);
         scraped_feed.scrape(scrape);
     });
-    spawn_local(follow(proxy.clone(), feed.clone()));
+    spawn_local(apply_feed_updates(proxy.clone(), feed.clone()));
     spawn_local(report_failures(proxy.clone(), feed));
     spawn_local(watch_settings(settings.clone()));
     serve(proxy, &settings, clients, platform, opalrun_net::signals::terminated()).await;
@@ -83,26 +83,26 @@
 ) {
     let readiness = ReadinessHandler(proxy.clone());
     let readiness = Server::new(readiness, server_settings(), READINESS_CONNECTIONS);
-    let answering = spawn_local(async move { readiness.accept(&platform).await });
+    let readiness_task = spawn_local(async move { readiness.accept(&platform).await });
     let max_connections = state::connections_of_clients(settings);
     let server = Server::new(ClientHandler(proxy.clone()), server_settings(), max_connections);
-    let limiting = spawn_local(apply_time_limits(proxy.clone(), server.clone()));
+    let time_limit_task = spawn_local(apply_time_limits(proxy.clone(), server.clone()));
     let acceptor = server.clone();
-    let accepting = spawn_local(async move { acceptor.accept(&clients).await });
+    let accept_task = spawn_local(async move { acceptor.accept(&clients).await });
     stop.await;
     info!("stopping");
     proxy.stop();
     server.stop();
     server.send_away(true);
     let lingering = tokio::time::sleep(NEW_CONNECTIONS_LINGER);
-    tokio::join!(lingering, proxy.return_leases(LEASE_RETURN_TIMEOUT));
-    accepting.abort();
+    tokio::join!(lingering, proxy.return_unused_units(LEASE_RETURN_TIMEOUT));
+    accept_task.abort();
     server.close();
-    let until = settings.bounds.grace.saturating_sub(NEW_CONNECTIONS_LINGER + KILL_MARGIN);
-    let _ = tokio::time::timeout(until, all_ended(&server)).await;
-    proxy.return_leases(LEASE_RETURN_TIMEOUT).await;
-    answering.abort();
-    limiting.abort();
+    let until = settings.bounds.grace.saturating_sub(NEW_CONNECTIONS_LINGER + SIGKILL_MARGIN);
+    let _ = tokio::time::timeout(until, all_connections_closed(&server)).await;
+    proxy.return_unused_units(LEASE_RETURN_TIMEOUT).await;
+    readiness_task.abort();
+    time_limit_task.abort();
 }
 
 /// Has the server keep to the times that the configuration in force gives clients.
@@ -118,7 +118,7 @@
     }
 }
 
-async fn all_ended(server: &Rc<Server<ClientHandler>>) {
+async fn all_connections_closed(server: &Rc<Server<ClientHandler>>) {
     while server.connections() > 0 {
         server.one_ended().await;
     }
@@ -140,12 +140,12 @@
 }
 
 /// Hands what control says to the proxy.
-async fn follow(proxy: Rc<Proxy>, feed: Rc<ControlFeed>) {
+async fn apply_feed_updates(proxy: Rc<Proxy>, feed: Rc<ControlFeed>) {
     let mut changes = feed.changes();
     proxy.apply(&feed.view());
     loop {
         // Freshness alone is no change.
-        match tokio::time::timeout(FRESHNESS_INTERVAL, changes.changed()).await {
+        match tokio::time::timeout(FRESHNESS_CHECK_INTERVAL, changes.changed()).await {
             Ok(_) => proxy.apply(&feed.view()),
             Err(_elapsed) => proxy.apply_freshness(&feed.view()),
         }
@@ -155,7 +155,7 @@
 /// Tells control of requests that failed at workers, so that other gatekeepers need not find out for themselves.
 async fn report_failures(proxy: Rc<Proxy>, feed: Rc<ControlFeed>) {
     loop {
-        tokio::time::sleep(FAILURES_INTERVAL).await;
+        tokio::time::sleep(FAILURE_REPORT_INTERVAL).await;
         let failures = proxy.take_failures();
         if !failures.is_empty() {
             feed.report_worker_failures(failures);
@@ -175,9 +175,9 @@
 }
 
 /// Closes connections to workers that have been idle for long.
-async fn sweep(proxy: Rc<Proxy>) {
+async fn close_idle_connections(proxy: Rc<Proxy>) {
     loop {
-        tokio::time::sleep(SWEEP_INTERVAL).await;
+        tokio::time::sleep(IDLE_CONNECTION_SWEEP_INTERVAL).await;
         proxy.pools().sweep();
     }
 }
--- a/crates/gatekeeper/src/proxy/scrape.rs
+++ b/crates/gatekeeper/src/proxy/scrape.rs
@@ -14,7 +14,7 @@
             &self.failed_requests.counters,
         );
         scrape.counter("retries", "Tries at another worker than a request's first", &metrics.retries);
-        scrape.counter("turns_kept", "Turns that the stores have kept", &metrics.turns_kept);
+        scrape.counter("turns_kept", "Turns that the stores have kept", &metrics.turns_stored);
         self.leases.metrics().scrape(scrape);
         let generation = self.configuration().map_or(0, |configuration| configuration.generation);
         scrape.gauge(
--- a/crates/gatekeeper/src/proxy/services.rs
+++ b/crates/gatekeeper/src/proxy/services.rs
@@ -29,7 +29,7 @@
     }
 
     /// Works with the balancer of a service, which is made where there is none.
-    pub fn with<T>(&self, service: &str, work: impl FnOnce(&mut Balancer) -> T) -> T {
+    pub fn with_balancer<T>(&self, service: &str, work: impl FnOnce(&mut Balancer) -> T) -> T {
         let mut balancers = self.balancers.borrow_mut();
         if !balancers.contains_key(service) {
             let mut balancer = Balancer::new(&self.zone, self.gatekeeper);
@@ -59,7 +59,7 @@
     /// All workers that are known, by service; those that are not among them are gone.
     pub fn set_workers(&self, now: Duration, workers: &HashMap<String, Workers>) {
         for (service, listed) in workers {
-            self.with(service, |balancer| {
+            self.with_balancer(service, |balancer| {
                 balancer.set_workers(now, listed.values().map(|worker| &**worker));
             });
         }
--- a/crates/gatekeeper/src/proxy/state.rs
+++ b/crates/gatekeeper/src/proxy/state.rs
@@ -117,7 +117,7 @@
     /// Requests of this gatekeeper that are at a worker.
     #[must_use]
     pub fn in_flight(&self, service: &str, worker: &str) -> u32 {
-        self.balance(service, |balancer| balancer.in_flight(worker))
+        self.with_balancer(service, |balancer| balancer.in_flight(worker))
     }
 
     /// Whether what is known was fresh a short while ago, so that a route that is not known does not exist.
@@ -138,8 +138,8 @@
     }
 
     /// Works with the balancer of a service.
-    pub(super) fn balance<T>(&self, service: &str, work: impl FnOnce(&mut Balancer) -> T) -> T {
-        self.services.with(service, work)
+    pub(super) fn with_balancer<T>(&self, service: &str, work: impl FnOnce(&mut Balancer) -> T) -> T {
+        self.services.with_balancer(service, work)
     }
 
     /// The connections to workers.
@@ -170,7 +170,7 @@
     /// Applies only when control last confirmed what is known.
     pub fn apply_freshness(&self, view: &ControlView) {
         if let Some(at) = view.fresh_at {
-            self.set_fresh(at.into_std());
+            self.confirm_freshness(at.into_std());
         }
     }
 
@@ -183,7 +183,7 @@
         for service in configuration.services.values() {
             let tokens = service.engine.as_ref().map_or(0, |engine| engine.kv_capacity);
             let tokens = u32::try_from(tokens).unwrap_or(u32::MAX);
-            self.balance(&service.name, |balancer| balancer.set_kv_cache_tokens(tokens));
+            self.with_balancer(&service.name, |balancer| balancer.set_kv_cache_tokens(tokens));
         }
         self.limits.send_if_modified(|limits| std::mem::replace(limits, configuration.limits) != *limits);
         self.configuration.replace(Some(configuration));
@@ -205,12 +205,12 @@
     }
 
     /// Returns what turns in flight do not need of their programs' budgets; `false`: not all in time.
-    pub(super) async fn return_leases(&self, limit: Duration) -> bool {
+    pub(super) async fn return_unused_units(&self, limit: Duration) -> bool {
         self.leases.drain(limit).await
     }
 
     /// What is known was confirmed at `at`.
-    pub fn set_fresh(&self, at: Instant) {
+    pub fn confirm_freshness(&self, at: Instant) {
         self.freshness.confirm(at);
     }
 
--- a/crates/gatekeeper/src/proxy/stream.rs
+++ b/crates/gatekeeper/src/proxy/stream.rs
@@ -86,12 +86,12 @@
             worker: worker.clone(),
             exchange: Some(exchange),
             reader: EventReader::default(),
-            last_id: request.terms.last_event_id,
+            last_id: request.parameters.last_event_id,
         };
         while !stream.reader.has_event() {
-            match stream.read_on(deadline).await {
+            match stream.read_chunk(deadline).await {
                 StreamRead::Bytes => {}
-                StreamRead::End => return stream.without_events().await,
+                StreamRead::End => return stream.finish_without_events().await,
                 StreamRead::Broken(cause) => {
                     stream.fail_before_first_event(cause);
                     return Err(AttemptFailure::MayHaveRun);
@@ -107,8 +107,8 @@
     }
 
     /// The worker's answer is complete and holds no event.
-    async fn without_events(mut self) -> Result<StreamStart, AttemptFailure> {
-        let rest = self.reader.take_rest();
+    async fn finish_without_events(mut self) -> Result<StreamStart, AttemptFailure> {
+        let rest = self.reader.take_incomplete_event();
         let Some(exchange) = self.exchange.take() else { return Err(AttemptFailure::MayHaveRun) };
         let parts = exchange.parts.clone();
         exchange.finish();
@@ -136,13 +136,13 @@
     /// Stores the turn, where its route is for turns that are retained.
     async fn store_turn(&self) -> Result<(), TurnNotStored> {
         let (request, worker) = (&self.request, &self.worker);
-        self.proxy.store_turn(&request.turn, &request.terms.request_id, worker).await
+        self.proxy.store_turn(&request.turn, &request.parameters.request_id, worker).await
     }
 
     fn record_first_event(&self) {
         if let Some(exchange) = &self.exchange {
-            exchange.worker_request.begun(exchange.load_report());
-            exchange.worker_request.answered();
+            exchange.worker_request.answer_started(exchange.load_report());
+            exchange.worker_request.succeeded();
         }
     }
 
@@ -151,7 +151,7 @@
         let (events, receiver) = mpsc::channel(EVENTS_AHEAD);
         let body = ResponseBody::streaming(BodyBuffer::new(&MemoryBudget::new(0)), receiver, None);
         let head = self.exchange.as_ref().map(|exchange| exchange.parts.clone());
-        let Some(head) = head else { return answer::plain(hyper::StatusCode::BAD_GATEWAY) };
+        let Some(head) = head else { return answer::without_body(hyper::StatusCode::BAD_GATEWAY) };
         tokio::task::spawn_local(self.run(events, attempts, attempted));
         forward(head, Response::new(body))
     }
@@ -165,14 +165,14 @@
     ) {
         loop {
             while let Some(event) = self.reader.next_event() {
-                if !self.pass_event(event, &events).await {
+                if !self.forward_event(event, &events).await {
                     return self.record_failure(FailureReason::ClientDisconnected, &attempts);
                 }
             }
             let deadline = self.event_deadline(&attempts);
             let came = tokio::select! {
                 biased;
-                came = self.read_on(deadline) => came,
+                came = self.read_chunk(deadline) => came,
                 () = events.closed() => StreamRead::ClientGone,
             };
             match came {
@@ -184,7 +184,7 @@
                 StreamRead::Broken(cause) => {
                     self.fail_exchange();
                     if !self.resume_elsewhere(cause, &mut attempts, &mut attempted).await {
-                        return self.record_failure(self.reason(), &attempts);
+                        return self.record_failure(self.break_reason(), &attempts);
                     }
                 }
             }
@@ -192,20 +192,20 @@
     }
 
     /// Passes an event on, unless the client has it. `false`: the client has gone.
-    async fn pass_event(&mut self, event: Event, events: &mpsc::Sender<Chunk>) -> bool {
+    async fn forward_event(&mut self, event: Event, events: &mpsc::Sender<Chunk>) -> bool {
         if let (Some(id), Some(last)) = (event.id, self.last_id)
             && id <= last
         {
             return true;
         }
         self.last_id = event.id.or(self.last_id);
-        self.request.turn.event(&event);
+        self.request.turn.record_event(&event);
         events.send(Chunk::Data(event.raw)).await.is_ok()
     }
 
     /// The worker's answer is complete.
     async fn end(mut self: Box<Self>, events: &mpsc::Sender<Chunk>, attempts: &Attempts) {
-        let rest: Bytes = self.reader.take_rest();
+        let rest: Bytes = self.reader.take_incomplete_event();
         if let Some(exchange) = self.exchange.take() {
             exchange.finish();
         }
@@ -223,12 +223,12 @@
     }
 
     /// Why a stream that can't be resumed elsewhere is cut.
-    fn reason(&self) -> FailureReason {
+    fn break_reason(&self) -> FailureReason {
         FailureReason::after_attempt(AttemptFailure::MayHaveRun, self.request.time_left())
     }
 
     /// Reads what comes next, until `deadline`.
-    async fn read_on(&mut self, deadline: Instant) -> StreamRead {
+    async fn read_chunk(&mut self, deadline: Instant) -> StreamRead {
         let Some(exchange) = &mut self.exchange else { return StreamRead::Broken(Cause::Closed) };
         match timeout_at(deadline, exchange.chunk()).await {
             Ok(Ok(Some(bytes))) if self.reader.push(&bytes).is_ok() => StreamRead::Bytes,
@@ -260,15 +260,15 @@
         info!(worker = &*self.worker, last_event = self.last_id, ?cause, "a stream broke off at its worker");
         let mut failure = AttemptFailure::MayHaveRun;
         while attempts.failed(failure, self.request.time_left()) == NextStep::AttemptAnother {
-            let Ok(chosen) = self.proxy.choose(&self.request, attempted) else { return false };
-            attempted.push(chosen.id.clone());
+            let Ok(selected) = self.proxy.select_worker(&self.request, attempted) else { return false };
+            attempted.push(selected.id.clone());
             let deadline = self.event_deadline(attempts);
-            let exchange = self.proxy.exchange(&self.request, &chosen, deadline, self.last_id).await;
+            let exchange = self.proxy.exchange(&self.request, &selected, deadline, self.last_id).await;
             failure = match exchange {
                 Ok(exchange) if is_event_stream(&exchange.parts) => {
-                    exchange.worker_request.begun(exchange.load_report());
+                    exchange.worker_request.answer_started(exchange.load_report());
                     self.exchange = Some(exchange);
-                    self.worker = chosen.id;
+                    self.worker = selected.id;
                     return true;
                 }
                 Ok(_) => AttemptFailure::WorkerFailed,
--- a/crates/gatekeeper/src/proxy/turn.rs
+++ b/crates/gatekeeper/src/proxy/turn.rs
@@ -32,12 +32,12 @@
 
 impl Turn {
     /// An event is about to go to the client.
-    pub fn event(&self, event: &Event) {
+    pub fn record_event(&self, event: &Event) {
         if !event.has_data() {
             return;
         }
         if let Some(lease) = &self.lease {
-            lease.event(self.event_units);
+            lease.record_units(self.event_units);
         }
         if let Some(retained) = &self.retained {
             event.append_data(&mut retained.output.borrow_mut());
--- a/crates/gatekeeper/src/proxy/turn_lifecycle.rs
+++ b/crates/gatekeeper/src/proxy/turn_lifecycle.rs
@@ -58,11 +58,11 @@
     }
 
     async fn chain(&self, request: &ForwardedRequest) -> Result<Chain, Answer> {
-        let Some(previous) = request.terms.previous.as_deref().filter(|_| request.route.retained) else {
+        let Some(previous) = request.parameters.previous.as_deref().filter(|_| request.route.retained) else {
             return Ok(Chain::default());
         };
-        self.turns.chain(previous).await.map_err(|problem| match problem {
-            ChainError::Unknown => answer::explained(StatusCode::NOT_FOUND, &problem.to_string()),
+        self.turns.chain(previous).await.map_err(|error| match error {
+            ChainError::Unknown => answer::with_message(StatusCode::NOT_FOUND, &error.to_string()),
             ChainError::Unavailable => {
                 self.failed_requests.record(request, FailureReason::TurnsUnavailable, 0);
                 answer::reject(STORES_RETRY_AFTER)
@@ -71,10 +71,10 @@
     }
 
     async fn lease(&self, request: &ForwardedRequest) -> Result<Option<TurnLease<Rc<StoreClient>>>, Answer> {
-        let Some(program) = &request.terms.program else { return Ok(None) };
-        let lease = self.leases.begin(&program.program, program.terms).await;
-        lease.map(Some).map_err(|problem| match problem {
-            LeaseError::BudgetSpent => answer::explained(StatusCode::PAYMENT_REQUIRED, &problem.to_string()),
+        let Some(program) = &request.parameters.program else { return Ok(None) };
+        let lease = self.leases.begin(&program.program, program.turn_budget).await;
+        lease.map(Some).map_err(|error| match error {
+            LeaseError::BudgetSpent => answer::with_message(StatusCode::PAYMENT_REQUIRED, &error.to_string()),
             LeaseError::Unavailable => {
                 self.failed_requests.record(request, FailureReason::BudgetUnavailable, 0);
                 answer::reject(STORES_RETRY_AFTER)
--- a/crates/gatekeeper/src/proxy/upstream.rs
+++ b/crates/gatekeeper/src/proxy/upstream.rs
@@ -6,7 +6,7 @@
     balance::{LoadReport, SelectedWorker, WorkerSlot},
     headers,
     request::ForwardedRequest,
-    terms::{self, EXPECT_INSTANCE, LAST_EVENT_ID, NOT_EXECUTED, REQUEST_ID, SERVER_LOAD},
+    request_parameters::{self, EXPECT_INSTANCE, LAST_EVENT_ID, NOT_EXECUTED, REQUEST_ID, SERVER_LOAD},
 };
 use bytes::{Bytes, BytesMut};
 use hyper::{Request, StatusCode, body::Incoming, header::HeaderValue, http::response::Parts};
@@ -34,48 +34,50 @@
 }
 
 impl WorkerRequest {
-    fn begin(proxy: &Rc<Proxy>, request: &ForwardedRequest, chosen: &SelectedWorker) -> Self {
+    fn begin(proxy: &Rc<Proxy>, request: &ForwardedRequest, selected: &SelectedWorker) -> Self {
         let now = proxy.now();
-        let slot = proxy.balance(&request.service, |b| b.request_sent(now, &chosen.id, &request.terms.parts));
+        let slot = proxy.with_balancer(&request.service, |b| {
+            b.request_sent(now, &selected.id, &request.parameters.prompt_segments)
+        });
         Self { proxy: proxy.clone(), service: request.service.clone(), slot: RefCell::new(slot) }
     }
 
     /// The worker has begun to answer.
-    pub fn begun(&self, report: Option<LoadReport>) {
+    pub fn answer_started(&self, report: Option<LoadReport>) {
         let now = self.proxy.now();
         let slot = &mut *self.slot.borrow_mut();
-        self.proxy.balance(&self.service, |b| b.answer_started(now, slot, report));
+        self.proxy.with_balancer(&self.service, |b| b.answer_started(now, slot, report));
     }
 
     /// The worker has done what it was asked to, so far.
-    pub fn answered(&self) {
+    pub fn succeeded(&self) {
         let now = self.proxy.now();
-        self.proxy.balance(&self.service, |b| b.attempt_succeeded(now, self.slot.borrow().worker()));
+        self.proxy.with_balancer(&self.service, |b| b.attempt_succeeded(now, self.slot.borrow().worker()));
     }
 
     /// No answer has begun before the time-out.
     pub fn timed_out(&self) {
         let now = self.proxy.now();
         let slot = &mut *self.slot.borrow_mut();
-        self.proxy.balance(&self.service, |b| b.record_answer_time(now, slot));
+        self.proxy.with_balancer(&self.service, |b| b.record_answer_time(now, slot));
     }
 
     /// What came was no complete answer, or the worker's own failure.
     pub fn failed(&self) {
         let now = self.proxy.now();
-        self.proxy.balance(&self.service, |b| b.attempt_failed(now, self.slot.borrow().worker()));
+        self.proxy.with_balancer(&self.service, |b| b.attempt_failed(now, self.slot.borrow().worker()));
     }
 
     /// The worker rejected the request.
     fn rejected(&self, report: Option<LoadReport>) {
         let now = self.proxy.now();
-        self.proxy.balance(&self.service, |b| b.attempt_rejected(now, &self.slot.borrow(), report));
+        self.proxy.with_balancer(&self.service, |b| b.attempt_rejected(now, &self.slot.borrow(), report));
     }
 }
 
 impl Drop for WorkerRequest {
     fn drop(&mut self) {
-        self.proxy.balance(&self.service, |b| b.request_ended(&self.slot.borrow()));
+        self.proxy.with_balancer(&self.service, |b| b.request_ended(&self.slot.borrow()));
     }
 }
 
@@ -96,7 +98,7 @@
 impl Exchange {
     /// How full the worker said it is.
     pub fn load_report(&self) -> Option<LoadReport> {
-        terms::text(&self.parts.headers, &SERVER_LOAD).and_then(LoadReport::parse)
+        request_parameters::header_text(&self.parts.headers, &SERVER_LOAD).and_then(LoadReport::parse)
     }
 
     /// The next chunk of the body; `None` at its end.
@@ -111,7 +113,7 @@
             if failed {
                 self.worker_request.failed();
             } else {
-                self.worker_request.answered();
+                self.worker_request.succeeded();
             }
             self.lease.give_back(false);
             Ok((self.parts, bytes))
@@ -158,42 +160,42 @@
     pub async fn exchange(
         self: &Rc<Self>,
         request: &ForwardedRequest,
-        chosen: &SelectedWorker,
+        selected: &SelectedWorker,
         deadline: Instant,
         last_event_id: Option<u64>,
     ) -> Result<Exchange, AttemptFailure> {
-        let worker_request = WorkerRequest::begin(self, request, chosen);
+        let worker_request = WorkerRequest::begin(self, request, selected);
         let mut dead_connections = 0;
         loop {
-            let mut lease = self.connect(request, chosen, deadline).await?;
+            let mut lease = self.connect(request, selected, deadline).await?;
             let progress = lease.progress();
-            let message = request_for(request, chosen, last_event_id);
+            let message = request_for(request, selected, last_event_id);
             let sent = timeout_at(deadline, lease.connection().send(message)).await;
             match sent {
                 Ok(Ok(response)) => {
                     lease.heard();
                     let (parts, body) = response.into_parts();
                     let exchange = Exchange { lease, body, parts, worker_request };
-                    return self.check_head(request, chosen, exchange).await;
+                    return self.check_head(request, selected, exchange).await;
                 }
                 Ok(Err(Failure::Unsent)) if lease.kept() && dead_connections < MAX_DEAD_CONNECTIONS => {
                     lease.stale();
                     dead_connections += 1;
                 }
                 Ok(Err(failure)) => {
-                    info!(worker = &*chosen.id, ?failure, "a worker broke off before its answer");
+                    info!(worker = &*selected.id, ?failure, "a worker broke off before its answer");
                     lease.cut_off();
-                    self.failed(request, chosen);
+                    self.failed(request, selected);
                     return Err(failure_of(&progress));
                 }
                 Err(_elapsed) => {
                     worker_request.timed_out();
                     if deadline < request.deadline {
-                        info!(worker = &*chosen.id, "a worker was silent for too long");
-                        self.failed(request, chosen);
+                        info!(worker = &*selected.id, "a worker was silent for too long");
+                        self.failed(request, selected);
                     } else {
                         let now = self.now();
-                        self.balance(&request.service, |b| b.request_timed_out(now, &chosen.id));
+                        self.with_balancer(&request.service, |b| b.request_timed_out(now, &selected.id));
                     }
                     return Err(failure_of(&progress));
                 }
@@ -204,37 +206,39 @@
     async fn connect(
         self: &Rc<Self>,
         request: &ForwardedRequest,
-        chosen: &SelectedWorker,
+        selected: &SelectedWorker,
         deadline: Instant,
     ) -> Result<Lease, AttemptFailure> {
-        let lease = timeout_at(deadline, self.pools().lease(&chosen.id)).await;
+        let lease = timeout_at(deadline, self.pools().lease(&selected.id)).await;
         match lease {
             Ok(Ok(lease)) => Ok(lease),
             Ok(Err(NoConnection::Refused | NoConnection::TimedOut)) => {
-                self.failed(request, chosen);
+                self.failed(request, selected);
                 Err(AttemptFailure::NotSent)
             }
             Ok(Err(_)) | Err(_) => Err(AttemptFailure::NotSent),
         }
     }
 
-    fn failed(&self, request: &ForwardedRequest, chosen: &SelectedWorker) {
+    fn failed(&self, request: &ForwardedRequest, selected: &SelectedWorker) {
         let now = self.now();
-        self.balance(&request.service, |b| b.attempt_failed(now, &chosen.id));
+        self.with_balancer(&request.service, |b| b.attempt_failed(now, &selected.id));
     }
 
     /// Whether the answer is one to this request, and not a statement that it was not run.
     async fn check_head(
         &self,
         request: &ForwardedRequest,
-        chosen: &SelectedWorker,
+        selected: &SelectedWorker,
         exchange: Exchange,
     ) -> Result<Exchange, AttemptFailure> {
-        if terms::text(&exchange.parts.headers, &REQUEST_ID) != Some(&request.terms.request_id) {
-            self.failed(request, chosen);
+        if request_parameters::header_text(&exchange.parts.headers, &REQUEST_ID)
+            != Some(&request.parameters.request_id)
+        {
+            self.failed(request, selected);
             return Err(AttemptFailure::MayHaveRun);
         }
-        self.update_keep_alive(chosen, &exchange.parts);
+        self.update_keep_alive(selected, &exchange.parts);
         let status = exchange.parts.status;
         let replaced = status == StatusCode::MISDIRECTED_REQUEST;
         let not_executed = exchange.parts.headers.contains_key(&NOT_EXECUTED);
@@ -242,7 +246,7 @@
             return Ok(exchange);
         }
         if replaced {
-            self.balance(&request.service, |b| b.worker_replaced(&chosen.id));
+            self.with_balancer(&request.service, |b| b.worker_replaced(&selected.id));
         } else {
             exchange.worker_request.rejected(exchange.load_report());
         }
@@ -273,7 +277,7 @@
 /// The request as this worker gets it.
 fn request_for(
     request: &ForwardedRequest,
-    chosen: &SelectedWorker,
+    selected: &SelectedWorker,
     last_event_id: Option<u64>,
 ) -> Request<RequestBody> {
     let mut message = Request::new(RequestBody::Complete(Some(request.body.clone())));
@@ -283,12 +287,12 @@
     headers.clone_from(&request.headers);
     // The whole time that is left: a worker that is waited for less may still answer in it once it has begun.
     let left_ms = request.time_left().as_millis().max(1);
-    headers.insert(terms::DEADLINE_MS, HeaderValue::from(left_ms as u64));
+    headers.insert(request_parameters::DEADLINE_MS, HeaderValue::from(left_ms as u64));
     headers.insert(
-        terms::PRIORITY,
+        request_parameters::PRIORITY,
         HeaderValue::from(u16::from(request.route.priority.min(LOWEST_WORKER_PRIORITY))),
     );
-    if let Ok(id) = HeaderValue::from_str(&chosen.id) {
+    if let Ok(id) = HeaderValue::from_str(&selected.id) {
         headers.insert(EXPECT_INSTANCE, id);
     }
     if let Some(id) = last_event_id {
@@ -299,9 +303,9 @@
 
 impl Proxy {
     /// Keeps idle connections to this worker for less time than it does.
-    fn update_keep_alive(&self, chosen: &SelectedWorker, parts: &Parts) {
+    fn update_keep_alive(&self, selected: &SelectedWorker, parts: &Parts) {
         if let Some(seconds) = headers::keep_alive_seconds(&parts.headers) {
-            self.record_keep_alive(&chosen.id, seconds);
+            self.record_keep_alive(&selected.id, seconds);
         }
     }
 }
--- a/crates/gatekeeper/tests/proxy/fakes.rs
+++ b/crates/gatekeeper/tests/proxy/fakes.rs
@@ -59,7 +59,7 @@
         self.socket
     }
 
-    async fn more(&mut self) -> bool {
+    async fn read_more(&mut self) -> bool {
         let mut buffer = [0; 4096];
         match self.socket.read(&mut buffer).await {
             Ok(n) if n > 0 => {
@@ -70,20 +70,20 @@
         }
     }
 
-    async fn until(&mut self, end: &[u8]) -> Option<Vec<u8>> {
+    async fn read_until(&mut self, end: &[u8]) -> Option<Vec<u8>> {
         loop {
             if let Some(at) = self.bytes.windows(end.len()).position(|window| window == end) {
                 return Some(self.bytes.drain(..at + end.len()).collect());
             }
-            if !self.more().await {
+            if !self.read_more().await {
                 return None;
             }
         }
     }
 
-    async fn exactly(&mut self, count: usize) -> Option<Vec<u8>> {
+    async fn read_exactly(&mut self, count: usize) -> Option<Vec<u8>> {
         while self.bytes.len() < count {
-            if !self.more().await {
+            if !self.read_more().await {
                 return None;
             }
         }
@@ -92,7 +92,7 @@
 
     /// A message without its body.
     pub async fn head(&mut self) -> Option<Message> {
-        let head = String::from_utf8(self.until(b"\r\n\r\n").await?).expect("a head in ASCII");
+        let head = String::from_utf8(self.read_until(b"\r\n\r\n").await?).expect("a head in ASCII");
         let mut lines = head.lines();
         let first_line = lines.next().unwrap_or_default().to_owned();
         let headers = lines
@@ -104,10 +104,10 @@
 
     /// The next chunk; empty: the last one.
     pub async fn chunk(&mut self) -> Option<Vec<u8>> {
-        let length = String::from_utf8(self.until(b"\r\n").await?).expect("a length");
+        let length = String::from_utf8(self.read_until(b"\r\n").await?).expect("a length");
         let length = usize::from_str_radix(length.trim(), 16).expect("a length in hex");
-        let data = self.exactly(length).await?;
-        self.exactly(2).await?;
+        let data = self.read_exactly(length).await?;
+        self.read_exactly(2).await?;
         Some(data)
     }
 
@@ -124,20 +124,20 @@
             }
         }
         let length = message.header("content-length").and_then(|length| length.parse().ok()).unwrap_or(0);
-        message.body = self.exactly(length).await?;
+        message.body = self.read_exactly(length).await?;
         Some(message)
     }
 
     /// All that comes until the end.
     pub async fn rest(&mut self) -> Vec<u8> {
-        while self.more().await {}
+        while self.read_more().await {}
         std::mem::take(&mut self.bytes)
     }
 }
 
 /// What a fake worker does with one request.
 #[derive(Clone)]
-pub enum Act {
+pub enum Behaviour {
     /// Sends these bytes, in which `{id}` stands for the request's id, and keeps the connection.
     Send(String),
     /// The same, and then closes the connection.
@@ -147,36 +147,41 @@
     /// Sends the bytes, waits until it is told to go on, then sends the others.
     SendWaitSend(String, Rc<Notify>, String),
     /// Never answers.
-    Silence,
+    NeverAnswer,
 }
 
 pub struct FakeWorker {
     pub id: String,
     pub address: SocketAddr,
-    /// Requests that came, in order.
+    /// Requests received, in order of arrival.
     pub requests: Rc<RefCell<Vec<Message>>>,
-    pub came: Rc<Notify>,
+    pub request_received: Rc<Notify>,
     pub connections: Rc<Cell<usize>>,
 }
 
 impl FakeWorker {
     /// Acts so on its first requests, and as on the last one of these on all others.
-    pub async fn start(id: &str, acts: Vec<Act>) -> Self {
+    pub async fn start(id: &str, behaviours: Vec<Behaviour>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("an address");
         let requests: Rc<RefCell<Vec<Message>>> = Rc::default();
-        let (came, connections): (Rc<Notify>, Rc<Cell<usize>>) = Default::default();
+        let (request_received, connections): (Rc<Notify>, Rc<Cell<usize>>) = Default::default();
         let worker = Self {
             id: id.to_owned(),
             address,
             requests: requests.clone(),
-            came: came.clone(),
+            request_received: request_received.clone(),
             connections: connections.clone(),
         };
         spawn_local(async move {
             while let Ok((socket, _)) = listener.accept().await {
                 connections.set(connections.get() + 1);
-                spawn_local(serve_connection(socket, acts.clone(), requests.clone(), came.clone()));
+                spawn_local(serve_connection(
+                    socket,
+                    behaviours.clone(),
+                    requests.clone(),
+                    request_received.clone(),
+                ));
             }
         });
         worker
@@ -190,7 +195,7 @@
         self.requests.borrow()[number].clone()
     }
 
-    pub fn listed(&self, service: &str) -> Worker {
+    pub fn feed_entry(&self, service: &str) -> Worker {
         Worker {
             id: self.id.clone(),
             service: service.to_owned(),
@@ -207,38 +212,39 @@
 
 async fn serve_connection(
     mut socket: TcpStream,
-    acts: Vec<Act>,
+    behaviours: Vec<Behaviour>,
     requests: Rc<RefCell<Vec<Message>>>,
-    came: Rc<Notify>,
+    request_received: Rc<Notify>,
 ) {
     let mut reader = Reader::new(&mut socket);
     while let Some(request) = reader.message().await {
         let id = request.header("request-id").unwrap_or_default().to_owned();
         let number = requests.borrow().len();
         requests.borrow_mut().push(request);
-        came.notify_one();
-        let act = acts.get(number).or(acts.last()).cloned().unwrap_or(Act::Silence);
+        request_received.notify_one();
+        let behaviour =
+            behaviours.get(number).or(behaviours.last()).cloned().unwrap_or(Behaviour::NeverAnswer);
         let fill = |text: String| text.replace("{id}", &id).into_bytes();
-        match act {
-            Act::Send(text) => drop(reader.socket().write_all(&fill(text)).await),
-            Act::SendAndClose(text) => {
+        match behaviour {
+            Behaviour::Send(text) => drop(reader.socket().write_all(&fill(text)).await),
+            Behaviour::SendAndClose(text) => {
                 let _ = reader.socket().write_all(&fill(text)).await;
                 return;
             }
-            Act::Close => return,
-            Act::SendWaitSend(first, go_on, second) => {
+            Behaviour::Close => return,
+            Behaviour::SendWaitSend(first, resume, second) => {
                 let _ = reader.socket().write_all(&fill(first)).await;
-                go_on.notified().await;
+                resume.notified().await;
                 let _ = reader.socket().write_all(&fill(second)).await;
             }
-            Act::Silence => std::future::pending().await,
+            Behaviour::NeverAnswer => std::future::pending().await,
         }
     }
 }
 
 /// A whole answer with this body.
-pub fn answer(status: &str, headers: &str, body: &str) -> Act {
-    Act::Send(format!(
+pub fn answer(status: &str, headers: &str, body: &str) -> Behaviour {
+    Behaviour::Send(format!(
         "HTTP/1.1 {status}\r\nRequest-Id: {{id}}\r\nServer-Signature: sig\r\n{headers}Content-Length: {}\r\n\r\n{body}",
         body.len()
     ))
@@ -265,7 +271,7 @@
 pub const LAST_CHUNK: &str = "0\r\n\r\n";
 
 /// A rejected request.
-pub fn not_executed() -> Act {
+pub fn not_executed() -> Behaviour {
     answer("503 Service Unavailable", "Not-Executed: 1\r\n", "")
 }
 
@@ -298,8 +304,8 @@
     pub async fn with(workers: &[&FakeWorker]) -> Self {
         let gatekeeper = Self::start().await;
         gatekeeper.configure(1, CONFIGURATION);
-        gatekeeper.list(workers);
-        gatekeeper.proxy.set_fresh(Instant::now());
+        gatekeeper.set_ready_workers(workers);
+        gatekeeper.proxy.confirm_freshness(Instant::now());
         gatekeeper
     }
 
@@ -309,12 +315,12 @@
         self.proxy.set_configuration(Rc::new(configuration));
     }
 
-    pub fn list(&self, workers: &[&FakeWorker]) {
-        self.list_as(workers.iter().map(|worker| worker.listed("s")).collect());
+    pub fn set_ready_workers(&self, workers: &[&FakeWorker]) {
+        self.set_workers(workers.iter().map(|worker| worker.feed_entry("s")).collect());
     }
 
     /// These are the workers of the service.
-    pub fn list_as(&self, workers: Vec<Worker>) {
+    pub fn set_workers(&self, workers: Vec<Worker>) {
         let workers = workers.into_iter().map(|worker| (worker.id.clone(), Rc::new(worker))).collect();
         self.proxy.set_workers(&[("s".to_owned(), workers)].into_iter().collect());
     }
--- a/crates/gatekeeper/tests/proxy/forwarding.rs
+++ b/crates/gatekeeper/tests/proxy/forwarding.rs
@@ -1,6 +1,6 @@
 //! Requests whose answers are no streams.
 
-use crate::fakes::{Act, CONFIGURATION, FakeWorker, Gatekeeper, answer, not_executed, request, run};
+use crate::fakes::{Behaviour, CONFIGURATION, FakeWorker, Gatekeeper, answer, not_executed, request, run};
 use opalrun_wire::feed::WorkerState;
 use std::time::Instant;
 
@@ -51,8 +51,8 @@
 #[test]
 fn a_request_that_may_have_run_is_never_sent_again_unless_it_is_safe() {
     run(async {
-        let lost = FakeWorker::start("w1", vec![Act::Close]).await;
-        let also = FakeWorker::start("w2", vec![Act::Close]).await;
+        let lost = FakeWorker::start("w1", vec![Behaviour::Close]).await;
+        let also = FakeWorker::start("w2", vec![Behaviour::Close]).await;
         let gatekeeper = Gatekeeper::with(&[&lost, &also]).await;
         let answer =
             gatekeeper.call(&request("POST", "/unsafe/a", "id-1", "", "x")).await.expect("an answer");
@@ -67,9 +67,9 @@
 #[test]
 fn a_safe_request_is_served_by_a_second_worker() {
     run(async {
-        let lost = FakeWorker::start("w1", vec![Act::Close]).await;
+        let lost = FakeWorker::start("w1", vec![Behaviour::Close]).await;
         let cut = "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nContent-Length: 50\r\n\r\nhalf";
-        let half = FakeWorker::start("w2", vec![Act::SendAndClose(cut.to_owned())]).await;
+        let half = FakeWorker::start("w2", vec![Behaviour::SendAndClose(cut.to_owned())]).await;
         let good = FakeWorker::start("w3", vec![answer("200 OK", "", "served")]).await;
         for bad in [&lost, &half] {
             let gatekeeper = Gatekeeper::with(&[bad, &good]).await;
@@ -94,7 +94,7 @@
                 answer.header("retry-after").and_then(|s| s.parse().ok()).expect("a pause");
             assert!(retry_after > 0.0 && retry_after < 1.0);
             assert_eq!(answer.header("server-signature"), None);
-            gatekeeper.list(&[]);
+            gatekeeper.set_ready_workers(&[]);
         }
         assert_eq!(full.count(), 1);
     });
@@ -104,7 +104,7 @@
 fn an_answer_to_another_request_is_never_passed_on() {
     run(async {
         let stray = "HTTP/1.1 200 OK\r\nRequest-Id: other\r\nContent-Length: 5\r\n\r\nstray";
-        let worker = FakeWorker::start("w1", vec![Act::Send(stray.to_owned())]).await;
+        let worker = FakeWorker::start("w1", vec![Behaviour::Send(stray.to_owned())]).await;
         let gatekeeper = Gatekeeper::with(&[&worker]).await;
         let answer = gatekeeper.call(&request("POST", "/unsafe/a", "id-1", "", "")).await.expect("an answer");
         assert_eq!(answer.status(), 502);
@@ -196,13 +196,13 @@
         let text = request("GET", "/safe/a", "id", "", "");
         let unconfigured = gatekeeper.call(&text).await.expect("an answer");
         assert_eq!(unconfigured.status(), 503, "nobody knows yet whether the route exists");
-        gatekeeper.list(&[&worker]);
+        gatekeeper.set_ready_workers(&[&worker]);
         gatekeeper.configure(5, CONFIGURATION);
         assert_eq!(gatekeeper.call(&text).await.expect("an answer").status(), 200);
         gatekeeper.configure(7, &CONFIGURATION.replace("/safe/", "/other/"));
         let stale = gatekeeper.call(&text).await.expect("an answer");
         assert_eq!(stale.status(), 503, "a newer configuration may have the route");
-        gatekeeper.proxy.set_fresh(Instant::now());
+        gatekeeper.proxy.confirm_freshness(Instant::now());
         assert_eq!(gatekeeper.call(&text).await.expect("an answer").status(), 404);
         gatekeeper.configure(6, CONFIGURATION);
         assert_eq!(gatekeeper.call(&text).await.expect("an answer").status(), 404);
@@ -215,9 +215,9 @@
         let leaving = FakeWorker::start("w1", vec![answer("200 OK", "", "x")]).await;
         let staying = FakeWorker::start("w2", vec![answer("200 OK", "", "x")]).await;
         let gatekeeper = Gatekeeper::with(&[&leaving, &staying]).await;
-        let mut draining = leaving.listed("s");
+        let mut draining = leaving.feed_entry("s");
         draining.state = WorkerState::Draining;
-        gatekeeper.list_as(vec![draining, staying.listed("s")]);
+        gatekeeper.set_workers(vec![draining, staying.feed_entry("s")]);
         for id in 0..4 {
             gatekeeper
                 .call(&request("GET", "/safe/a", &format!("id-{id}"), "", ""))
--- a/crates/gatekeeper/tests/proxy/metrics.rs
+++ b/crates/gatekeeper/tests/proxy/metrics.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     fakes::{FakeWorker, run},
-    programs::{gatekeeper, turn, whole},
+    programs::{complete_stream, gatekeeper, turn},
     stores::Stores,
 };
 use opalrun_metrics::Scrape;
@@ -11,7 +11,7 @@
 fn requests_turns_and_raises_are_counted() {
     run(async {
         let stores = Stores::start().await;
-        let worker = FakeWorker::start("w1", vec![whole(2)]).await;
+        let worker = FakeWorker::start("w1", vec![complete_stream(2)]).await;
         let gatekeeper = gatekeeper(&stores, &[&worker]).await;
         turn(&gatekeeper, "/kept/a", "t1", 40, None, "one").await.expect("an answer");
         let spent = turn(&gatekeeper, "/kept/a", "t2", 20, None, "two").await.expect("an answer");
--- a/crates/gatekeeper/tests/proxy/programs.rs
+++ b/crates/gatekeeper/tests/proxy/programs.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     fakes::{
-        Act, FakeWorker, Gatekeeper, LAST_CHUNK, Message, event, events, not_executed, request, run,
+        Behaviour, FakeWorker, Gatekeeper, LAST_CHUNK, Message, event, events, not_executed, request, run,
         stream_head,
     },
     stores::Stores,
@@ -25,8 +25,8 @@
     gatekeeper
 }
 
-pub fn whole(count: u64) -> Act {
-    Act::Send(stream_head() + &events(1, count) + LAST_CHUNK)
+pub fn complete_stream(count: u64) -> Behaviour {
+    Behaviour::Send(stream_head() + &events(1, count) + LAST_CHUNK)
 }
 
 /// A turn that may emit up to 30 tokens.
@@ -48,7 +48,7 @@
 fn a_turn_gets_all_that_was_said_before_it_also_at_another_gatekeeper() {
     run(async {
         let stores = Stores::start().await;
-        let worker = FakeWorker::start("w1", vec![whole(2)]).await;
+        let worker = FakeWorker::start("w1", vec![complete_stream(2)]).await;
         let first = gatekeeper(&stores, &[&worker]).await;
         let second = gatekeeper(&stores, &[&worker]).await;
         let answer = turn(&first, "/kept/a", "t1", 1000, None, "one").await.expect("a whole answer");
@@ -66,11 +66,11 @@
 fn a_turn_that_continues_from_none_is_answered_404_only_when_that_is_sure() {
     run(async {
         let mut stores = Stores::start().await;
-        let worker = FakeWorker::start("w1", vec![whole(2)]).await;
+        let worker = FakeWorker::start("w1", vec![complete_stream(2)]).await;
         let gatekeeper = gatekeeper(&stores, &[&worker]).await;
         let answer = turn(&gatekeeper, "/kept/a", "t2", 1000, Some("never"), "two").await.expect("an answer");
         assert_eq!(answer.status(), 404);
-        stores.leave(1);
+        stores.stop_all_but(1);
         let answer = turn(&gatekeeper, "/kept/a", "t3", 1000, Some("other"), "two").await.expect("an answer");
         assert_eq!(answer.status(), 503);
         assert!(answer.header("retry-after").is_some());
@@ -82,9 +82,9 @@
 fn a_turn_that_is_not_stored_does_not_look_complete() {
     run(async {
         let mut stores = Stores::start().await;
-        let worker = FakeWorker::start("w1", vec![whole(2)]).await;
+        let worker = FakeWorker::start("w1", vec![complete_stream(2)]).await;
         let gatekeeper = gatekeeper(&stores, &[&worker]).await;
-        stores.leave(1);
+        stores.stop_all_but(1);
         let text = request("POST", "/kept/a", "t1", "", "one");
         assert!(gatekeeper.call(&text).await.is_none(), "the answer is cut");
         assert_eq!(worker.count(), 1);
@@ -95,7 +95,7 @@
 fn a_program_spends_no_more_than_its_budget() {
     run(async {
         let stores = Stores::start().await;
-        let worker = FakeWorker::start("w1", vec![whole(10)]).await;
+        let worker = FakeWorker::start("w1", vec![complete_stream(10)]).await;
         let first = gatekeeper(&stores, &[&worker]).await;
         let second = gatekeeper(&stores, &[&worker]).await;
         let mut spent = 0;
@@ -117,7 +117,7 @@
 fn what_a_turn_did_not_use_can_be_spent_by_the_next() {
     run(async {
         let stores = Stores::start().await;
-        let worker = FakeWorker::start("w1", vec![not_executed(), whole(1)]).await;
+        let worker = FakeWorker::start("w1", vec![not_executed(), complete_stream(1)]).await;
         let gatekeeper = gatekeeper(&stores, &[&worker]).await;
         for number in 0..8 {
             let answer = turn(&gatekeeper, "/free/a", &format!("t{number}"), 50, None, "x").await;
@@ -133,9 +133,9 @@
 fn without_the_count_no_turn_runs_and_none_is_rejected_for_a_spent_budget() {
     run(async {
         let mut stores = Stores::start().await;
-        let worker = FakeWorker::start("w1", vec![whole(1)]).await;
+        let worker = FakeWorker::start("w1", vec![complete_stream(1)]).await;
         let gatekeeper = gatekeeper(&stores, &[&worker]).await;
-        stores.leave(1);
+        stores.stop_all_but(1);
         let answer = turn(&gatekeeper, "/free/a", "t1", 50, None, "x").await.expect("an answer");
         assert_eq!(answer.status(), 503);
         assert!(answer.header("retry-after").is_some());
--- a/crates/gatekeeper/tests/proxy/planned_work.rs
+++ b/crates/gatekeeper/tests/proxy/shutdown.rs
@@ -1,6 +1,8 @@
 //! The end of the process by SIGTERM.
 
-use crate::fakes::{Act, FakeWorker, Gatekeeper, LAST_CHUNK, Reader, events, request, run, stream_head};
+use crate::fakes::{
+    Behaviour, FakeWorker, Gatekeeper, LAST_CHUNK, Reader, events, request, run, stream_head,
+};
 use std::{rc::Rc, time::Instant};
 use tokio::{io::AsyncWriteExt, net::TcpStream, sync::Notify};
 
@@ -18,7 +20,7 @@
         assert_eq!(readiness(&gatekeeper).await, 503);
         gatekeeper.configure(1, crate::fakes::CONFIGURATION);
         assert_eq!(readiness(&gatekeeper).await, 503);
-        gatekeeper.proxy.set_fresh(Instant::now());
+        gatekeeper.proxy.confirm_freshness(Instant::now());
         assert_eq!(readiness(&gatekeeper).await, 200);
     });
 }
@@ -26,17 +28,18 @@
 #[test]
 fn what_is_in_hand_is_answered_after_the_signal() {
     run(async {
-        let go_on = Rc::new(Notify::new());
-        let act = Act::SendWaitSend(stream_head() + &events(1, 1), go_on.clone(), events(2, 2) + LAST_CHUNK);
-        let worker = FakeWorker::start("w1", vec![act]).await;
+        let resume = Rc::new(Notify::new());
+        let behaviour =
+            Behaviour::SendWaitSend(stream_head() + &events(1, 1), resume.clone(), events(2, 2) + LAST_CHUNK);
+        let worker = FakeWorker::start("w1", vec![behaviour]).await;
         let gatekeeper = Gatekeeper::with(&[&worker]).await;
-        gatekeeper.proxy.set_fresh(Instant::now());
+        gatekeeper.proxy.confirm_freshness(Instant::now());
         let mut socket = gatekeeper.connect().await;
         socket.write_all(request("POST", "/stream/a", "id", "", "x").as_bytes()).await.expect("it reads");
-        worker.came.notified().await;
+        worker.request_received.notified().await;
         gatekeeper.stop.notify_one();
         while readiness(&gatekeeper).await == 200 {}
-        go_on.notify_one();
+        resume.notify_one();
         let answer = Reader::new(&mut socket).message().await.expect("a whole answer");
         assert!(answer.body.ends_with(b"piece 2\n\n"));
         // It ends by itself once nothing is in hand.
--- a/crates/gatekeeper/tests/proxy/stores.rs
+++ b/crates/gatekeeper/tests/proxy/stores.rs
@@ -58,7 +58,7 @@
     }
 
     /// Ends the stores, but for so many.
-    pub fn leave(&mut self, count: usize) {
+    pub fn stop_all_but(&mut self, count: usize) {
         self.tasks.drain(count..).for_each(|task| task.abort());
     }
 }
--- a/crates/gatekeeper/tests/proxy/streams.rs
+++ b/crates/gatekeeper/tests/proxy/streams.rs
@@ -1,13 +1,14 @@
 //! Streams of events.
 
 use crate::fakes::{
-    Act, FakeWorker, Gatekeeper, LAST_CHUNK, Reader, event, events, not_executed, request, run, stream_head,
+    Behaviour, FakeWorker, Gatekeeper, LAST_CHUNK, Reader, event, events, not_executed, request, run,
+    stream_head,
 };
 use std::rc::Rc;
 use tokio::{io::AsyncWriteExt, sync::Notify};
 
-fn complete_stream(from: u64, to: u64) -> Act {
-    Act::Send(stream_head() + &events(from, to) + LAST_CHUNK)
+fn complete_stream(from: u64, to: u64) -> Behaviour {
+    Behaviour::Send(stream_head() + &events(from, to) + LAST_CHUNK)
 }
 
 fn texts(from: u64, to: u64) -> Vec<u8> {
@@ -17,21 +18,22 @@
 #[test]
 fn events_are_passed_on_as_they_come() {
     run(async {
-        let go_on = Rc::new(Notify::new());
-        let act = Act::SendWaitSend(stream_head() + &events(1, 2), go_on.clone(), events(3, 3) + LAST_CHUNK);
-        let worker = FakeWorker::start("w1", vec![act]).await;
+        let resume = Rc::new(Notify::new());
+        let behaviour =
+            Behaviour::SendWaitSend(stream_head() + &events(1, 2), resume.clone(), events(3, 3) + LAST_CHUNK);
+        let worker = FakeWorker::start("w1", vec![behaviour]).await;
         let gatekeeper = Gatekeeper::with(&[&worker]).await;
         let mut socket = gatekeeper.connect().await;
         socket.write_all(request("POST", "/stream/a", "id", "", "x").as_bytes()).await.expect("it reads");
         let mut reader = Reader::new(&mut socket);
         let head = reader.head().await.expect("a head");
         assert_eq!((head.status(), head.header("server-signature")), (200, Some("sig")));
-        let mut came = Vec::new();
-        while came.len() < texts(1, 2).len() {
-            came.extend(reader.chunk().await.expect("before the stream's end"));
+        let mut received = Vec::new();
+        while received.len() < texts(1, 2).len() {
+            received.extend(reader.chunk().await.expect("before the stream's end"));
         }
-        assert_eq!(came, texts(1, 2));
-        go_on.notify_one();
+        assert_eq!(received, texts(1, 2));
+        resume.notify_one();
         assert_eq!(reader.chunk().await.expect("the last event"), texts(3, 3));
         assert!(reader.chunk().await.expect("the end").is_empty());
     });
@@ -42,8 +44,8 @@
     run(async {
         let half = stream_head() + &events(1, 2) + "20\r\nid: 3\nda";
         let workers = [
-            FakeWorker::start("w1", vec![Act::SendAndClose(half.clone())]).await,
-            FakeWorker::start("w2", vec![Act::SendAndClose(half)]).await,
+            FakeWorker::start("w1", vec![Behaviour::SendAndClose(half.clone())]).await,
+            FakeWorker::start("w2", vec![Behaviour::SendAndClose(half)]).await,
         ];
         let gatekeeper = Gatekeeper::with(&[&workers[0], &workers[1]]).await;
         let mut socket = gatekeeper.connect().await;
@@ -59,7 +61,7 @@
 #[test]
 fn a_stream_that_broke_before_its_first_event_is_answered_by_a_failure() {
     run(async {
-        let worker = FakeWorker::start("w1", vec![Act::SendAndClose(stream_head())]).await;
+        let worker = FakeWorker::start("w1", vec![Behaviour::SendAndClose(stream_head())]).await;
         let gatekeeper = Gatekeeper::with(&[&worker]).await;
         let answer = gatekeeper.call(&request("POST", "/stream/a", "id", "", "x")).await.expect("an answer");
         assert_eq!(answer.status(), 502);
@@ -70,13 +72,13 @@
 fn a_resumed_stream_is_complete_and_holds_no_event_twice() {
     run(async {
         let half = stream_head() + &events(1, 2) + "20\r\nid: 3\nda";
-        let breaking = FakeWorker::start("w1", vec![Act::SendAndClose(half)]).await;
+        let breaking = FakeWorker::start("w1", vec![Behaviour::SendAndClose(half)]).await;
         let gatekeeper = Gatekeeper::with(&[&breaking]).await;
         let finishing = FakeWorker::start("w2", vec![complete_stream(2, 5)]).await;
         let mut socket = gatekeeper.connect().await;
         socket.write_all(request("POST", "/resume/a", "id", "", "x").as_bytes()).await.expect("it reads");
-        breaking.came.notified().await;
-        gatekeeper.list(&[&breaking, &finishing]);
+        breaking.request_received.notified().await;
+        gatekeeper.set_ready_workers(&[&breaking, &finishing]);
         let answer = Reader::new(&mut socket).message().await.expect("a whole answer");
         assert_eq!(answer.body, texts(1, 5));
         assert_eq!(finishing.request(0).header("last-event-id"), Some("2"));
@@ -99,8 +101,9 @@
 #[test]
 fn a_worker_is_left_when_the_client_has_gone() {
     run(async {
-        let act = Act::SendWaitSend(stream_head() + &events(1, 1), Rc::new(Notify::new()), String::new());
-        let worker = FakeWorker::start("w1", vec![act]).await;
+        let behaviour =
+            Behaviour::SendWaitSend(stream_head() + &events(1, 1), Rc::new(Notify::new()), String::new());
+        let worker = FakeWorker::start("w1", vec![behaviour]).await;
         let gatekeeper = Gatekeeper::with(&[&worker]).await;
         let mut socket = gatekeeper.connect().await;
         socket.write_all(request("POST", "/stream/a", "id", "", "x").as_bytes()).await.expect("it reads");
--- a/crates/gatekeeper/tests/proxy/timeouts.rs
+++ b/crates/gatekeeper/tests/proxy/timeouts.rs
@@ -1,8 +1,8 @@
 //! Workers that do not answer in time. The clock stands still until a request has reached its worker, and then runs ahead.
 
 use crate::fakes::{
-    Act, CONFIGURATION, FakeWorker, Gatekeeper, LAST_CHUNK, Message, Reader, answer, event, events, request,
-    run, stream_head,
+    Behaviour, CONFIGURATION, FakeWorker, Gatekeeper, LAST_CHUNK, Message, Reader, answer, event, events,
+    request, run, stream_head,
 };
 use std::{rc::Rc, time::Duration};
 use tokio::{io::AsyncWriteExt, sync::Notify};
@@ -15,8 +15,8 @@
     gatekeeper.configure(2, &short.replace("\"target_latency_ms\":5000", "\"target_latency_ms\":200"));
     let mut socket = gatekeeper.connect().await;
     socket.write_all(text.as_bytes()).await.expect("it reads");
-    silent.came.notified().await;
-    gatekeeper.list(&[silent, other]);
+    silent.request_received.notified().await;
+    gatekeeper.set_ready_workers(&[silent, other]);
     tokio::time::pause();
     let answer = Reader::new(&mut socket).message().await;
     tokio::time::resume();
@@ -26,7 +26,7 @@
 #[test]
 fn an_idempotent_request_leaves_an_unresponsive_worker_in_time() {
     run(async {
-        let silent = FakeWorker::start("w1", vec![Act::Silence]).await;
+        let silent = FakeWorker::start("w1", vec![Behaviour::NeverAnswer]).await;
         let good = FakeWorker::start("w2", vec![answer("200 OK", "", "served")]).await;
         let answer = call(&request("GET", "/safe/a", "id", "", ""), &silent, &good).await.expect("an answer");
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"served"[..]));
@@ -37,7 +37,7 @@
 #[test]
 fn an_unsafe_request_waits_for_its_worker_until_its_client_gives_up() {
     run(async {
-        let silent = FakeWorker::start("w1", vec![Act::Silence]).await;
+        let silent = FakeWorker::start("w1", vec![Behaviour::NeverAnswer]).await;
         let good = FakeWorker::start("w2", vec![answer("200 OK", "", "served")]).await;
         let answer =
             call(&request("POST", "/unsafe/a", "id", "", ""), &silent, &good).await.expect("an answer");
@@ -49,9 +49,10 @@
 #[test]
 fn a_resumable_stream_is_resumed_elsewhere_when_its_next_event_times_out() {
     run(async {
-        let act = Act::SendWaitSend(stream_head() + &events(1, 2), Rc::new(Notify::new()), String::new());
-        let silent = FakeWorker::start("w1", vec![act]).await;
-        let rest = Act::Send(stream_head() + &events(3, 4) + LAST_CHUNK);
+        let behaviour =
+            Behaviour::SendWaitSend(stream_head() + &events(1, 2), Rc::new(Notify::new()), String::new());
+        let silent = FakeWorker::start("w1", vec![behaviour]).await;
+        let rest = Behaviour::Send(stream_head() + &events(3, 4) + LAST_CHUNK);
         let good = FakeWorker::start("w2", vec![rest]).await;
         let answer =
             call(&request("POST", "/resume/a", "id", "", ""), &silent, &good).await.expect("an answer");
@@ -63,8 +64,9 @@
 #[test]
 fn a_stream_that_is_not_resumable_stays_with_its_worker() {
     run(async {
-        let act = Act::SendWaitSend(stream_head() + &events(1, 2), Rc::new(Notify::new()), String::new());
-        let silent = FakeWorker::start("w1", vec![act]).await;
+        let behaviour =
+            Behaviour::SendWaitSend(stream_head() + &events(1, 2), Rc::new(Notify::new()), String::new());
+        let silent = FakeWorker::start("w1", vec![behaviour]).await;
         let good = FakeWorker::start("w2", vec![answer("200 OK", "", "served")]).await;
         assert!(
             call(&request("POST", "/stream/a", "id", "", ""), &silent, &good).await.is_none(),
@@ -78,10 +80,10 @@
 fn an_answer_that_is_overdue_counts_against_its_worker_long_before_it_is_given_up() {
     run(async {
         const USUAL: usize = 16;
-        let mut acts = vec![answer("200 OK", "", "served"); USUAL];
-        acts.push(Act::Silence);
-        let hangs = FakeWorker::start("w1", acts).await;
-        let other = FakeWorker::start("w2", vec![Act::Silence]).await;
+        let mut behaviours = vec![answer("200 OK", "", "served"); USUAL];
+        behaviours.push(Behaviour::NeverAnswer);
+        let hangs = FakeWorker::start("w1", behaviours).await;
+        let other = FakeWorker::start("w2", vec![Behaviour::NeverAnswer]).await;
         let gatekeeper = Gatekeeper::with(&[&hangs]).await;
         for number in 0..USUAL {
             let text = request("POST", "/unsafe/a", &format!("usual-{number}"), "", "");
@@ -90,9 +92,9 @@
         let mut waits = gatekeeper.connect().await;
         waits.write_all(request("POST", "/unsafe/a", "waits", "", "").as_bytes()).await.expect("it reads");
         while hangs.count() <= USUAL {
-            hangs.came.notified().await;
+            hangs.request_received.notified().await;
         }
-        gatekeeper.list(&[&hangs, &other]);
+        gatekeeper.set_ready_workers(&[&hangs, &other]);
         tokio::time::pause();
         tokio::time::advance(Duration::from_secs(1)).await;
         tokio::time::resume();
@@ -104,8 +106,8 @@
             socket.write_all(text.as_bytes()).await.expect("it reads");
             sockets.push(socket);
             tokio::select! {
-                () = other.came.notified() => {}
-                () = hangs.came.notified() => {}
+                () = other.request_received.notified() => {}
+                () = hangs.request_received.notified() => {}
             }
         }
         assert_eq!((hangs.count(), other.count()), (USUAL + 1, 2));
--- a/crates/gatekeeper/tests/stores.rs
+++ b/crates/gatekeeper/tests/stores.rs
@@ -1,6 +1,6 @@
 //! Two gatekeepers' leases and turns over three stores on loopback.
 
-use opalrun_gatekeeper::lease::{LeaseError, ProgramLeases, Terms};
+use opalrun_gatekeeper::lease::{LeaseError, ProgramLeases, TurnBudget};
 use opalrun_gatekeeper::turns::{ChainError, Turns};
 use opalrun_net::Listener;
 use opalrun_storage::DataDirectory;
@@ -102,8 +102,8 @@
 
 /// Begins a turn and relays what it uses; returns the units relayed.
 async fn run_turn(leases: Rc<ProgramLeases<Rc<StoreClient>>>) -> Result<u64, LeaseError> {
-    let lease = leases.begin("p", Terms { budget: BUDGET, max_units: MAX_UNITS }).await?;
-    lease.event(USED);
+    let lease = leases.begin("p", TurnBudget { budget: BUDGET, max_units: MAX_UNITS }).await?;
+    lease.record_units(USED);
     Ok(USED)
 }
 
@@ -166,7 +166,7 @@
         let leases = tier.leases(11);
         let (started_sender, started_receiver) = tokio::sync::oneshot::channel();
         tokio::task::spawn_local(async move {
-            let _lease = leases.begin("p", Terms { budget: BUDGET, max_units: MAX_UNITS }).await;
+            let _lease = leases.begin("p", TurnBudget { budget: BUDGET, max_units: MAX_UNITS }).await;
             started_sender.send(()).expect("the test waits");
             std::future::pending::<()>().await;
         });
@@ -181,7 +181,7 @@
         let (first, second) = (tier.leases(11), tier.leases(12));
         assert_eq!(run_turn(Rc::clone(&first)).await, Ok(USED));
         assert!(first.drain(GENEROUS_TIMEOUT).await);
-        let rest = Terms { budget: BUDGET, max_units: BUDGET - USED };
+        let rest = TurnBudget { budget: BUDGET, max_units: BUDGET - USED };
         assert!(second.begin("p", rest).await.is_ok());
     });
 }
