--- a/crates/gatekeeper/src/lease/action.rs
+++ b/crates/gatekeeper/src/lease/action.rs
@@ -1,34 +1,34 @@
-//! What the state machine of the leases asks its driver to do.
+//! Actions that the lease state machine requests from its driver.
 
 use super::{LeaseError, TurnId};
 use std::rc::Rc;
 
-/// What the driver is to do for the leases.
+/// An action for the driver to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Raise this gatekeeper's entry in the program's count from `current` to `requested`, then call
     /// [`Leases::granted`](super::Leases::granted) or [`Leases::unavailable`](super::Leases::unavailable). No other
-    /// write of the program comes before that.
+    /// write for this program is requested until then.
     Acquire {
-        /// The program.
+        /// Name of the program.
         program: Rc<str>,
-        /// What the entry stands at, in units.
+        /// Present value of this gatekeeper's entry, in units.
         current: u64,
-        /// What it is to be raised to, in units.
+        /// New value of the entry, in units.
         requested: u64,
     },
-    /// Write the entry, without waiting: units are given back.
+    /// Write this gatekeeper's entry without waiting for an acknowledgement, usually to return units.
     Write {
-        /// The program.
+        /// Name of the program.
         program: Rc<str>,
-        /// What the entry is to stand at, in units.
+        /// New value of the entry, in units.
         taken: u64,
     },
-    /// The turn's maximum is reserved, or it must not be sent.
+    /// Report to the caller whether the turn may be sent to a worker.
     Decide {
-        /// The turn.
+        /// The turn that was decided.
         turn: TurnId,
-        /// Whether it is covered.
+        /// `Ok` when the turn's maximum has been reserved; otherwise why the turn must not be sent.
         decision: Result<(), LeaseError>,
     },
 }
--- a/crates/gatekeeper/src/lease/driver.rs
+++ b/crates/gatekeeper/src/lease/driver.rs
@@ -1,5 +1,5 @@
-//! The driver of the leases: does the input and output that the state machine [`Leases`] asks for, and calls it in
-//! time.
+//! Driver of the lease state machine: carries out the input and output that [`Leases`] requests, and calls
+//! [`Leases::tick`] when it is due.
 
 use super::{Action, LeaseError, Leases, TurnBudget, TurnId, metrics::AcquisitionMetrics};
 use fnv::FnvHashMap;
@@ -12,13 +12,13 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-/// How long the count may take for an acquisition before the turns that wait for it are given up.
+/// Time-out of an acquisition from the stores; the turns that it included are then refused as unavailable.
 const ACQUISITION_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The stores' count of units taken of each program, as the leases use it.
+/// Access to the counts of units taken from each program's budget, which the stores hold.
 pub trait LeaseStore: Clone + 'static {
-    /// Raises this gatekeeper's entry from `current` to `requested` and returns the units of all other
-    /// holders; `None` when no quorum has answered within the timeout.
+    /// Raises this gatekeeper's entry from `current` to `requested` and returns the units in the entries of all other
+    /// gatekeepers; `None` when no quorum has answered within the time-out.
     fn acquire(
         &self,
         program: &str,
@@ -27,10 +27,10 @@
         timeout: Duration,
     ) -> impl Future<Output = Option<u64>>;
 
-    /// Writes the entry in the background.
+    /// Writes this gatekeeper's entry in the background.
     fn write(&self, program: &str, taken: u64);
 
-    /// Waits for such writes; `false` when it took longer than the timeout.
+    /// Waits until all background writes are stored; returns `false` when the time-out passed first.
     fn flush(&self, timeout: Duration) -> impl Future<Output = bool>;
 }
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// The leases of a gatekeeper's programs. Runs on one thread, inside a `tokio::task::LocalSet`.
+/// The leases of all programs at one gatekeeper. Runs on one thread, inside a `tokio::task::LocalSet`.
 pub struct ProgramLeases<C: LeaseStore> {
     shared: Rc<Shared<C>>,
     timer_task: JoinHandle<()>,
@@ -66,20 +66,20 @@
     leases: RefCell<Leases>,
     pending_decisions: RefCell<FnvHashMap<TurnId, oneshot::Sender<Result<(), LeaseError>>>>,
     /// Notified when the time of the next tick may have changed.
-    changed: Notify,
+    next_wake_changed: Notify,
     started: Instant,
     metrics: AcquisitionMetrics,
 }
 
 impl<C: LeaseStore> ProgramLeases<C> {
-    /// No leases. The seed is that of the backoffs between acquisitions.
+    /// Starts without any leases. `seed` seeds the jitter of the retry backoff.
     #[must_use]
     pub fn new(store: C, seed: u64) -> Self {
         let shared = Rc::new(Shared {
             store,
             leases: RefCell::new(Leases::new(seed)),
             pending_decisions: RefCell::default(),
-            changed: Notify::new(),
+            next_wake_changed: Notify::new(),
             started: Instant::now(),
             metrics: AcquisitionMetrics::default(),
         });
@@ -88,11 +88,11 @@
     }
 
     /// Reserves a turn's maximum. The turn may be sent to a worker only once this has succeeded. Dropping the future
-    /// gives the turn up.
+    /// abandons the turn.
     ///
     /// # Errors
-    /// [`LeaseError::BudgetSpent`] when the budget does not hold the turn; [`LeaseError::Unavailable`] when no quorum
-    /// of the stores has answered in time, or too many programs are known.
+    /// [`LeaseError::BudgetSpent`] when the remaining budget is smaller than the turn's maximum;
+    /// [`LeaseError::Unavailable`] when no quorum of the stores has answered in time, or too many programs are known.
     pub async fn begin(&self, program: &str, turn_budget: TurnBudget) -> Result<TurnLease<C>, LeaseError> {
         let shared = &self.shared;
         let turn = shared.leases.borrow_mut().begin(program, turn_budget, shared.now());
@@ -104,14 +104,15 @@
         Ok(lease)
     }
 
-    /// What is counted for scrapers.
+    /// Returns the metrics of acquisitions.
     #[must_use]
     pub fn metrics(&self) -> &AcquisitionMetrics {
         &self.shared.metrics
     }
 
-    /// For an orderly end: gives back what no turn under way needs, now and from now on, and waits until that is
-    /// written. To be called when the process is told to end, and again when its last turn has ended.
+    /// Returns all units that no turn in flight needs, now and from now on, and waits up to `timeout` until that is
+    /// written; returns `false` when the time-out passed first. Call it when the process is asked to terminate, and
+    /// again when the last turn has ended.
     pub async fn drain(&self, timeout: Duration) -> bool {
         self.shared.leases.borrow_mut().drain();
         self.shared.run_actions();
@@ -124,7 +125,7 @@
         self.started.elapsed()
     }
 
-    /// Carries out the actions that the leases have decided.
+    /// Carries out the actions that the state machine has requested.
     fn run_actions(self: &Rc<Self>) {
         let actions = self.leases.borrow_mut().take_actions();
         for action in actions {
@@ -135,13 +136,13 @@
                 Action::Write { program, taken } => self.store.write(&program, taken),
                 Action::Decide { turn, decision } => {
                     if let Some(sender) = self.pending_decisions.borrow_mut().remove(&turn) {
-                        // Nobody receives it when the turn was given up just now: its lease has been dropped, too.
+                        // The receiver is gone when the turn was abandoned; its `TurnLease` has then been dropped, too.
                         let _ = sender.send(decision);
                     }
                 }
             }
         }
-        self.changed.notify_one();
+        self.next_wake_changed.notify_one();
     }
 
     async fn acquire(self: Rc<Self>, program: Rc<str>, current: u64, requested: u64) {
@@ -157,16 +158,16 @@
     }
 }
 
-/// Calls the leases when they want to be.
+/// Calls [`Leases::tick`] whenever it is due.
 async fn run_timer<C: LeaseStore>(shared: Rc<Shared<C>>) {
     loop {
         let wake = shared.leases.borrow().next_wake();
         let Some(wake) = wake else {
-            shared.changed.notified().await;
+            shared.next_wake_changed.notified().await;
             continue;
         };
         tokio::select! {
-            () = shared.changed.notified() => {}
+            () = shared.next_wake_changed.notified() => {}
             () = tokio::time::sleep_until(shared.started + wake) => {
                 let now = shared.now();
                 shared.leases.borrow_mut().tick(now);
@@ -176,7 +177,7 @@
     }
 }
 
-/// The units reserved for a turn. Dropping it ends the turn and gives back what it did not use.
+/// The units reserved for a turn. Dropping it ends the turn and releases the units that were not relayed.
 pub struct TurnLease<C: LeaseStore> {
     shared: Rc<Shared<C>>,
     turn: TurnId,
--- a/crates/gatekeeper/src/lease/error.rs
+++ b/crates/gatekeeper/src/lease/error.rs
@@ -3,15 +3,18 @@
 use opalrun_wire::ResultCode;
 use snafu::Snafu;
 
-/// Why a turn must not be sent to a worker.
+/// Why no units could be reserved for a turn, which therefore must not be sent to a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum LeaseError {
-    /// The budget does not hold the turn: the answer is 402.
-    #[snafu(display("{}: the budget of the program does not hold the turn", ResultCode::BUDGET_SPENT))]
+    /// The rest of the program's budget is smaller than the turn's maximum. Answered with 402.
+    #[snafu(display(
+        "{}: the remaining budget of the program is smaller than the turn's maximum",
+        ResultCode::BUDGET_SPENT
+    ))]
     BudgetSpent,
-    /// No quorum of the stores has answered in time: the answer is 503 with `Retry-After`.
+    /// No quorum of the stores answered in time, or too many programs are known. Answered with 503 and `Retry-After`.
     #[snafu(display(
-        "{}: the count of the program could not be read in time",
+        "{}: the stores did not return the program's used budget in time",
         ResultCode::STORES_UNAVAILABLE
     ))]
     Unavailable,
--- a/crates/gatekeeper/src/lease/metrics.rs
+++ b/crates/gatekeeper/src/lease/metrics.rs
@@ -1,32 +1,33 @@
-//! Metrics of the leases for scrapers.
+//! Metrics of lease acquisitions.
 
 use opalrun_metrics::{Counter, Histogram, Scrape, duration_histogram};
 use std::time::Duration;
 
-/// What is counted of acquisitions of programs' counts.
+/// Durations and failures of acquisitions from the stores.
 pub struct AcquisitionMetrics {
-    times: Histogram,
+    durations: Histogram,
+    /// Acquisitions that no quorum of the stores answered in time.
     unanswered: Counter,
 }
 
 impl Default for AcquisitionMetrics {
     fn default() -> Self {
-        Self { times: duration_histogram(), unanswered: Counter::default() }
+        Self { durations: duration_histogram(), unanswered: Counter::default() }
     }
 }
 
 impl AcquisitionMetrics {
-    /// An acquisition has ended after this long; whether a quorum answered it.
+    /// Records an acquisition that ended after `duration`; `answered` tells whether a quorum answered it.
     pub fn record(&self, duration: Duration, answered: bool) {
-        self.times.observe(duration.as_secs_f64());
+        self.durations.observe(duration.as_secs_f64());
         if !answered {
             self.unanswered.inc();
         }
     }
 
-    /// Tells a scraper the metrics.
+    /// Writes the metrics to `scrape`.
     pub fn scrape(&self, scrape: &mut Scrape) {
-        scrape.histogram("lease_raise_seconds", "Time of raises of programs' counts", &self.times);
+        scrape.histogram("lease_raise_seconds", "Time of raises of programs' counts", &self.durations);
         scrape.counter("lease_raises_unanswered", "Raises that no quorum answered in time", &self.unanswered);
     }
 }
--- a/crates/gatekeeper/src/lease/mod.rs
+++ b/crates/gatekeeper/src/lease/mod.rs
@@ -1,10 +1,11 @@
-//! Leases of units: how a gatekeeper holds programs to their budgets.
+//! Leases of budget units, with which a gatekeeper enforces the budgets of programs.
 //!
-//! For each program a gatekeeper holds a lease: the units that it has added to the program's count, less those that
-//! it has relayed. A turn's maximum is reserved from the lease before the turn is sent. What does not suffice is
-//! asked for in blocks, sized to the program's recent demand here; what does not fit the budget is given back at once.
+//! For each program a gatekeeper holds a lease: the units that it has added to the program's count in the stores, less
+//! those that it has relayed to clients. A turn's maximum is reserved from the lease before the turn is sent to a
+//! worker. When the lease is too small, further units are acquired in blocks sized to the program's recent demand at
+//! this gatekeeper. Acquired units that exceed the budget are returned at once.
 //!
-//! [`Leases`] decides, without input or output. [`ProgramLeases`] runs it against the stores.
+//! [`Leases`] makes all decisions and does no input or output. [`ProgramLeases`] runs it against the stores.
 
 mod action;
 mod demand;
--- a/crates/gatekeeper/src/lease/program.rs
+++ b/crates/gatekeeper/src/lease/program.rs
@@ -1,72 +1,74 @@
-//! The lease of one program: its arithmetic.
+//! Arithmetic of the lease of one program.
 
 use super::demand::Demand;
 use super::turn_id::TurnId;
 use std::time::Duration;
 
-/// While the budget left is below so many of the program's largest turns, nothing is held that no turn needs: a turn at
-/// another gatekeeper could miss it.
+/// Part of the budget, as a multiple of the program's largest turn, that must be left before surplus units may be held.
+/// Near the end of the budget, surplus units held here could cause a turn at another gatekeeper to be refused.
 const HEADROOM_TURNS: u64 = 4;
 
-/// A turn that is not covered yet.
+/// A turn for which no units are reserved yet.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct WaitingTurn {
     pub(super) turn: TurnId,
     pub(super) max_units: u64,
-    /// The acquisition in flight, or the last one, includes it.
+    /// Whether the acquisition in flight, or else the most recent one, includes this turn's units.
     pub(super) is_requested: bool,
-    /// Set once the count did not hold it: when it is refused, unless another holder has given enough back by then.
+    /// Time at which the turn is refused unless another gatekeeper has returned enough units by then. Set when the
+    /// remaining budget has first turned out to be too small.
     pub(super) refuse_at: Option<Duration>,
 }
 
-/// What this gatekeeper holds of one program's budget.
+/// The part of one program's budget that this gatekeeper holds.
 #[derive(Debug, Default)]
 pub(super) struct ProgramLease {
-    /// The smallest budget that a turn has named.
+    /// Smallest budget that a turn of the program has stated, in units.
     pub(super) budget: u64,
-    /// Units in this gatekeeper's entry in the count: granted, and not given back.
+    /// Value of this gatekeeper's entry in the program's count: units acquired and not returned.
     pub(super) taken: u64,
     /// Units relayed to clients.
     pub(super) spent: u64,
-    /// Units reserved for turns under way and not relayed yet.
+    /// Units reserved for turns in flight and not relayed yet.
     pub(super) reserved: u64,
-    /// What the others had taken when the count was last read.
+    /// Units in the entries of all other gatekeepers, as of the last acquisition.
     pub(super) others_taken: u64,
-    /// The others' units at which a turn has waited in vain for some to come back.
+    /// Value of `others_taken` when a turn was last refused. While it is unchanged, waiting for other gatekeepers to
+    /// return units is not expected to help.
     pub(super) others_taken_at_refusal: Option<u64>,
-    /// The largest maximum of a turn so far.
+    /// Largest `max_units` of all turns so far.
     pub(super) largest_turn: u64,
-    /// The acquisition in flight: the units that it asks for in all.
+    /// Value that the acquisition in flight raises the entry to, in units; `None` when none is in flight.
     pub(super) pending_acquisition: Option<u64>,
-    /// Turns that wait to be covered, oldest first.
+    /// Turns that wait for units, oldest first.
     pub(super) waiting: Vec<WaitingTurn>,
-    /// When the count is asked again for turns that it did not hold.
+    /// Time of the next acquisition for turns that the remaining budget could not cover.
     pub(super) retry_at: Option<Duration>,
-    /// Acquisitions in a row that did not cover all turns.
+    /// Consecutive acquisitions that did not cover all waiting turns.
     pub(super) retries: u32,
-    /// The least that was free since the last sweep.
+    /// Smallest number of free units since the last sweep.
     pub(super) min_free: u64,
     pub(super) demand: Demand,
     pub(super) last_used: Duration,
 }
 
 impl ProgramLease {
-    /// Units that have been relayed or may be.
+    /// Returns the units that were relayed or are reserved.
     pub(super) fn used(&self) -> u64 {
         self.spent + self.reserved
     }
 
-    /// Units that are neither relayed nor reserved.
+    /// Returns the acquired units that are neither relayed nor reserved.
     pub(super) fn free(&self) -> u64 {
         self.taken.saturating_sub(self.used())
     }
 
-    /// Whether the turn can never be covered beside those that this gatekeeper has sent already.
+    /// Whether the turn would exceed the budget even if no other gatekeeper had used any of it.
     pub(super) fn is_beyond_budget(&self, max_units: u64) -> bool {
         self.used() + max_units > self.budget
     }
 
-    /// Reserves a turn's maximum if the lease holds it.
+    /// Reserves a turn's maximum. Returns `false`, and reserves nothing, when the lease has too few free units.
     pub(super) fn cover(&mut self, max_units: u64) -> bool {
         if self.used() + max_units > self.taken {
             return false;
@@ -76,7 +78,7 @@
         true
     }
 
-    /// Counts units that are relayed, so many of which were reserved.
+    /// Counts `units` that are relayed, of which `from_reserved` had been reserved.
     pub(super) fn spend(&mut self, units: u64, from_reserved: u64, now: Duration) {
         self.spent += units;
         self.reserved -= from_reserved;
@@ -85,42 +87,43 @@
         self.record_min_free();
     }
 
-    /// Takes back what was reserved for a turn and not relayed.
+    /// Releases the units that were reserved for an ended turn and not relayed.
     pub(super) fn release(&mut self, reserved: u64, now: Duration) {
         self.reserved -= reserved;
         self.last_used = now;
     }
 
-    /// What to raise this gatekeeper's entry to: what the turns that wait are short of, and the recent demand.
+    /// Returns the value that the next acquisition raises this gatekeeper's entry to: the units used and needed by
+    /// waiting turns, plus the recent demand as far as surplus units are allowed.
     pub(super) fn requested(&self, now: Duration) -> u64 {
         let needed = self.used() + self.waiting.iter().map(|turn| turn.max_units).sum::<u64>();
         let ahead = self.demand.units(now).min(self.surplus_allowed(needed));
         needed.saturating_add(ahead).min(self.budget).max(self.taken)
     }
 
-    /// Takes in what an acquisition has returned. Returns whether all that was asked for fits the budget.
+    /// Applies the result of an acquisition. Returns whether everything that was requested fits the budget.
     pub(super) fn grant(&mut self, requested: u64, others_taken: u64) -> bool {
         self.others_taken = others_taken;
         let fits = self.budget.saturating_sub(others_taken);
-        // What was granted before stays granted: the others have been granted theirs on top of it.
+        // Units granted earlier stay granted: the other gatekeepers' acquisitions already accounted for them.
         self.taken = requested.min(fits).max(self.taken);
         self.record_min_free();
         self.taken >= requested
     }
 
-    /// The units that the entry should be at: less than `taken` when units are to be given back because the budget
-    /// runs low, more when a worker has sent more than the maximum of its turn.
-    pub(super) fn trimmed(&self, give_all_back: bool) -> u64 {
-        let allowed = if give_all_back { 0 } else { self.surplus_allowed(self.used()) };
+    /// Returns the value that the entry should have. It is less than `taken` when surplus units are to be returned, and
+    /// more when a worker has sent more units than its turn's maximum. `return_all_free`: no surplus is kept at all.
+    pub(super) fn target_taken(&self, return_all_free: bool) -> u64 {
+        let allowed = if return_all_free { 0 } else { self.surplus_allowed(self.used()) };
         self.used() + self.free().min(allowed)
     }
 
-    /// Forgets how little was free: begins a new span of the sweep.
+    /// Resets the minimum of free units at the start of a sweep interval.
     pub(super) fn begin_sweep_interval(&mut self) {
         self.min_free = self.free();
     }
 
-    /// Whether nothing is under way and nothing is left to give back.
+    /// Whether no turn is in flight or waiting, no acquisition is pending and no units are left to return.
     pub(super) fn is_idle(&self) -> bool {
         self.reserved == 0
             && self.waiting.is_empty()
@@ -128,7 +131,7 @@
             && self.taken == self.spent
     }
 
-    /// Units that may be held free beside `needed` ones.
+    /// Returns how many free units may be held in addition to `needed` ones.
     fn surplus_allowed(&self, needed: u64) -> u64 {
         let left = self.budget.saturating_sub(self.others_taken).saturating_sub(needed);
         left.saturating_sub(HEADROOM_TURNS * self.largest_turn)
--- a/crates/gatekeeper/src/lease/state.rs
+++ b/crates/gatekeeper/src/lease/state.rs
@@ -1,7 +1,6 @@
-//! The leases of all programs at one gatekeeper, as a state machine.
+//! State machine of the leases of all programs at one gatekeeper.
 //!
-//! Times are those of a monotonic clock, passed in by the caller. What is to be done comes out as [`Action`]s, in
-//! order.
+//! The caller passes in times of a monotonic clock and carries out the returned [`Action`]s in order.
 
 use super::program::{ProgramLease, WaitingTurn};
 use super::{Action, LeaseError, TurnBudget, TurnId};
@@ -9,34 +8,35 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Units that lie free for one to two such spans are given back.
+/// Interval between sweeps, which return units that were free during a whole interval: one to two intervals after they
+/// became free.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a turn that the count does not hold waits for units that other gatekeepers hold to come back. Theirs lie
-/// idle for two sweeps at most; after that, what they hold is spent or reserved.
+/// How long a turn that exceeds the remaining budget waits for other gatekeepers to return units. They hold idle units
+/// for two sweeps at most; what they hold after that is spent or reserved.
 const RECLAIM_TIMEOUT: Duration = Duration::from_millis(600);
-/// The backoff before the count is asked again at first. It doubles with each time, and is drawn between half of it and
-/// all of it, so that two gatekeepers don't keep seeing each other's acquisition.
+/// Backoff before the first repeated acquisition. It doubles with each repetition. The delay is drawn at random between
+/// half the backoff and the whole, so that two gatekeepers don't keep running into each other's acquisitions.
 const FIRST_RETRY_BACKOFF: Duration = Duration::from_millis(10);
 const MAX_RETRY_DOUBLINGS: u32 = 4;
-/// How long a program is remembered after its last turn: longer than the stores keep its count.
+/// How long an idle program's lease is retained after its last turn: longer than the stores retain the program's count.
 const PROGRAM_RETENTION: Duration = Duration::from_mins(15);
 const EXPIRY_INTERVAL: Duration = Duration::from_mins(1);
-/// Programs that are remembered at most; turns of further ones are refused with [`LeaseError::Unavailable`].
+/// Maximum number of programs with a lease; turns of further programs are refused with [`LeaseError::Unavailable`].
 const MAX_PROGRAMS: usize = 50_000;
 
 /// A turn that has begun and not ended.
 #[derive(Debug)]
 struct Turn {
     program: Rc<str>,
-    /// What is reserved for it and not relayed; 0 while it waits.
+    /// Units reserved for the turn and not relayed yet; 0 while the turn waits for units.
     reserved: u64,
 }
 
-/// The state machine of the leases of all programs at one gatekeeper. It does no input or output.
+/// State machine of the leases of all programs at one gatekeeper. It does no input or output.
 #[derive(Debug)]
 pub struct Leases {
     programs: FnvHashMap<Rc<str>, ProgramLease>,
-    /// Programs with something under way or something to give back.
+    /// Programs with turns in flight, a pending acquisition or units to return.
     active: FnvHashSet<Rc<str>>,
     turns: FnvHashMap<TurnId, Turn>,
     actions: Vec<Action>,
@@ -48,7 +48,7 @@
 }
 
 impl Leases {
-    /// No leases. The seed is that of the backoffs between acquisitions.
+    /// Creates the state machine without any leases. `seed` seeds the jitter of the retry backoff.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
@@ -64,13 +64,13 @@
         }
     }
 
-    /// The actions decided since the last call, in the order in which they are to be carried out.
+    /// Returns the actions requested since the last call, in the order in which they must be carried out.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// A turn of a program has arrived. An [`Action::Decide`] says, at once or later, whether it may be sent to a
-    /// worker.
+    /// Begins a turn of a program. An [`Action::Decide`] states, immediately or later, whether the turn may be sent to
+    /// a worker.
     pub fn begin(&mut self, program: &str, turn_budget: TurnBudget, now: Duration) -> TurnId {
         self.last_turn += 1;
         let turn = TurnId(self.last_turn);
@@ -99,7 +99,7 @@
         turn
     }
 
-    /// `units` of output are about to be relayed to the turn's client. An unknown turn is ignored.
+    /// Counts `units` of output that are about to be relayed to the turn's client. An unknown turn is ignored.
     pub fn record_units(&mut self, turn: TurnId, units: u64, now: Duration) {
         let Some(running) = self.turns.get_mut(&turn) else {
             return;
@@ -112,7 +112,8 @@
         }
     }
 
-    /// The turn has ended, in whatever way; a turn that still waits is abandoned. An unknown turn is ignored.
+    /// Ends a turn, whether it succeeded or failed, and releases its reserved units. A turn that still waits for units
+    /// is abandoned. An unknown turn is ignored.
     pub fn end(&mut self, turn: TurnId, now: Duration) {
         let Some(ended) = self.turns.remove(&turn) else {
             return;
@@ -126,8 +127,8 @@
         self.trim(&ended.program);
     }
 
-    /// The answer to [`Action::Acquire`]: the entry was written to a quorum, and the units in all other holders'
-    /// entries were read after that.
+    /// Applies the result of an [`Action::Acquire`] that a quorum answered: this gatekeeper's entry was written to a
+    /// quorum, and after that the units in all other gatekeepers' entries were read as `others_taken`.
     pub fn granted(&mut self, program: &str, others_taken: u64, now: Duration) {
         let Some((program, lease)) = Self::find_program(&mut self.programs, program) else {
             return;
@@ -138,7 +139,7 @@
         let is_fully_granted = lease.grant(requested, others_taken);
         self.cover_waiting(&program);
         if is_fully_granted {
-            self.request_again(&program);
+            self.mark_waiting_unrequested(&program);
         } else {
             self.defer_or_refuse(&program, now);
         }
@@ -146,8 +147,8 @@
         self.advance(&program, now);
     }
 
-    /// The answer to [`Action::Acquire`] when no quorum has answered in time. Turns that it was for are refused with
-    /// [`LeaseError::Unavailable`].
+    /// Applies the failure of an [`Action::Acquire`] that no quorum answered in time. The turns that it included are
+    /// refused with [`LeaseError::Unavailable`].
     pub fn unavailable(&mut self, program: &str, now: Duration) {
         let Some((program, lease)) = Self::find_program(&mut self.programs, program) else {
             return;
@@ -163,7 +164,8 @@
         self.trim(&program);
     }
 
-    /// When [`tick`](Self::tick) is to be called next; `None`: not before another input.
+    /// Returns the time at which [`tick`](Self::tick) must be called next; `None` when no call is needed before the
+    /// next other input.
     #[must_use]
     pub fn next_wake(&self) -> Option<Duration> {
         if self.active.is_empty() {
@@ -173,7 +175,7 @@
         retries.chain([self.next_sweep]).min()
     }
 
-    /// Time has passed: retries acquisitions that are due, gives back idle units and forgets unused programs.
+    /// Runs the work that is due at `now`: retries acquisitions, returns idle units and drops unused programs.
     pub fn tick(&mut self, now: Duration) {
         let is_due = |lease: &ProgramLease| lease.retry_at.is_some_and(|at| at <= now);
         let due = self.active.iter().filter(|program| self.programs.get(*program).is_some_and(is_due));
@@ -190,7 +192,7 @@
         }
     }
 
-    /// The process is about to end: from now on no units are retained that no turn needs.
+    /// Prepares for the end of the process: returns all units that no turn in flight needs, now and from now on.
     pub fn drain(&mut self) {
         self.is_draining = true;
         for program in self.active_programs() {
@@ -198,7 +200,7 @@
         }
     }
 
-    /// Gives back what lay free for a whole span.
+    /// Returns the units that were free during the whole sweep interval.
     fn sweep(&mut self, now: Duration) {
         for program in self.active_programs() {
             let Some(lease) = self.programs.get_mut(&program) else {
@@ -221,7 +223,7 @@
         }
     }
 
-    /// Drops programs that have been at rest for so long that the stores have dropped them, too.
+    /// Drops programs that have been idle for so long that the stores no longer retain their counts either.
     fn expire_programs(&mut self, now: Duration) {
         let active = &self.active;
         self.programs
@@ -233,18 +235,19 @@
             return;
         };
         lease.retry_at = None;
-        self.request_again(program);
+        self.mark_waiting_unrequested(program);
         self.advance(program, now);
     }
 
-    /// Has the next acquisition count in all turns that wait.
-    fn request_again(&mut self, program: &Rc<str>) {
+    /// Marks all waiting turns to be included in the next acquisition.
+    fn mark_waiting_unrequested(&mut self, program: &Rc<str>) {
         if let Some(lease) = self.programs.get_mut(program) {
             lease.waiting.iter_mut().for_each(|waiting| waiting.is_requested = false);
         }
     }
 
-    /// Covers what can be covered, and asks for what is missing.
+    /// Reserves units for the waiting turns that the lease can cover, and requests an acquisition for the others unless
+    /// one is in flight.
     fn advance(&mut self, program: &Rc<str>, now: Duration) {
         self.cover_waiting(program);
         let Some(lease) = self.programs.get_mut(program) else {
@@ -263,8 +266,8 @@
         self.actions.push(Action::Acquire { program: Rc::clone(program), current, requested });
     }
 
-    /// Reserves the maximum of each turn that waits, as far as the lease reaches. Refuses those that the
-    /// budget can't hold beside what this gatekeeper has sent already.
+    /// Reserves the maximum of each waiting turn for which the lease has enough free units. Refuses the turns that would
+    /// exceed the budget together with what this gatekeeper has used already.
     fn cover_waiting(&mut self, program: &Rc<str>) {
         let Some(lease) = self.programs.get_mut(program) else {
             return;
@@ -292,8 +295,8 @@
         }
     }
 
-    /// After an acquisition that did not fit the budget: refuses the turns that it was for, or defers them for a
-    /// while when other gatekeepers may give units back.
+    /// Handles an acquisition that exceeded the budget: refuses the turns that it included, or defers them for up to
+    /// [`RECLAIM_TIMEOUT`] when other gatekeepers may return units.
     fn defer_or_refuse(&mut self, program: &Rc<str>, now: Duration) {
         let Some(lease) = self.programs.get_mut(program) else {
             return;
@@ -334,28 +337,28 @@
         lease.retry_at = Some(now + backoff.mul_f64(0.5 + self.random.f64() / 2.0));
     }
 
-    /// After an acquisition to `written`: brings the entry to what this gatekeeper keeps of it.
+    /// Lowers the entry, which an acquisition has written as `written`, to the units that this gatekeeper keeps.
     fn reconcile_entry(&mut self, program: &Rc<str>, written: u64) {
         let Some(lease) = self.programs.get_mut(program) else {
             return;
         };
-        let retained = lease.trimmed(self.is_draining);
+        let retained = lease.target_taken(self.is_draining);
         lease.taken = written;
         self.write(program, retained);
     }
 
-    /// Gives back what may not be held for later.
+    /// Returns the surplus units that may not be held, unless an acquisition is in flight.
     fn trim(&mut self, program: &Rc<str>) {
         let Some(lease) = self.programs.get(program) else {
             return;
         };
         if lease.pending_acquisition.is_none() {
-            let retained = lease.trimmed(self.is_draining);
+            let retained = lease.target_taken(self.is_draining);
             self.write(program, retained);
         }
     }
 
-    /// Writes the entry if it stands at something else. No acquisition may be in flight.
+    /// Writes the entry if `taken` differs from its present value. No acquisition may be in flight.
     fn write(&mut self, program: &Rc<str>, taken: u64) {
         let Some(lease) = self.programs.get_mut(program) else {
             return;
@@ -375,7 +378,7 @@
         self.actions.push(Action::Decide { turn, decision });
     }
 
-    /// The one copy of a program's name; `None` when there is no room for a new program.
+    /// Returns the shared copy of a program's name; `None` for a new program when [`MAX_PROGRAMS`] are known.
     fn program_name(&self, program: &str) -> Option<Rc<str>> {
         if let Some((name, _)) = self.programs.get_key_value(program) {
             return Some(Rc::clone(name));
@@ -398,7 +401,7 @@
         self.active.insert(Rc::clone(program));
     }
 
-    /// In the order of their names, so that a run can be repeated.
+    /// Returns the active programs sorted by name, so that simulated runs are reproducible.
     fn active_programs(&self) -> Vec<Rc<str>> {
         let mut programs: Vec<_> = self.active.iter().cloned().collect();
         programs.sort_unstable();
--- a/crates/gatekeeper/src/lease/tests/decisions.rs
+++ b/crates/gatekeeper/src/lease/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! What the leases decide, event by event.
+//! Tests of the actions that the lease state machine requests for given sequences of events.
 
 use crate::lease::{Action, LeaseError, Leases, TurnBudget, TurnId};
 use std::rc::Rc;
@@ -34,7 +34,7 @@
     Action::Decide { turn, decision: Err(LeaseError::Unavailable) }
 }
 
-/// Leases with one turn of a large budget covered.
+/// Creates leases with one turn whose maximum is reserved.
 fn with_one_turn(budget: u64, max_units: u64) -> (Leases, TurnId) {
     let mut leases = Leases::new(1);
     let turn = leases.begin("p", turn_budget(budget, max_units), START);
@@ -45,13 +45,13 @@
 }
 
 #[test]
-fn a_turn_is_covered_once_its_maximum_is_granted() {
+fn a_turn_is_accepted_once_its_maximum_is_granted() {
     let (leases, _) = with_one_turn(1080, 135);
     assert!(leases.next_wake().is_some());
 }
 
 #[test]
-fn what_a_turn_did_not_use_covers_the_next_one_without_asking() {
+fn units_unused_by_a_turn_cover_the_next_turn_without_an_acquisition() {
     let (mut leases, first) = with_one_turn(10_000, 100);
     leases.record_units(first, 30, ms(10));
     leases.end(first, ms(20));
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_block_is_sized_to_recent_demand() {
+fn an_acquired_block_is_sized_to_recent_demand() {
     let (mut leases, first) = with_one_turn(10_000, 100);
     leases.record_units(first, 100, ms(10));
     leases.begin("p", turn_budget(10_000, 50), ms(10));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn turns_that_come_during_an_acquisition_wait_for_it_and_then_request_again_together() {
+fn turns_begun_during_an_acquisition_share_the_next_acquisition() {
     let mut leases = Leases::new(1);
     let first = leases.begin("p", turn_budget(10_000, 100), START);
     let second = leases.begin("p", turn_budget(10_000, 50), START);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn the_excess_is_given_back_and_the_turn_deferred_while_others_may_give_back() {
+fn excess_units_are_returned_and_the_turn_is_deferred_while_others_may_return_units() {
     let mut leases = Leases::new(1);
     let turn = leases.begin("p", turn_budget(300, 100), START);
     leases.take_actions();
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_turn_is_refused_once_nothing_came_back_and_the_next_one_at_once() {
+fn a_turn_is_refused_after_the_reclaim_timeout_and_the_next_one_at_once() {
     let mut leases = Leases::new(1);
     let turn = leases.begin("p", turn_budget(300, 100), START);
     let mut now = START;
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn an_unavailable_count_gives_neither_a_turn_nor_a_refusal() {
+fn turns_of_an_unanswered_acquisition_are_unavailable_rather_than_refused() {
     let (mut leases, first) = with_one_turn(10_000, 100);
     let second = leases.begin("p", turn_budget(10_000, 100), ms(1));
     leases.take_actions();
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn a_turn_that_waits_is_covered_by_what_another_one_leaves() {
+fn a_waiting_turn_is_covered_by_units_released_by_another_turn() {
     let (mut leases, first) = with_one_turn(10_000, 100);
     let second = leases.begin("p", turn_budget(10_000, 80), ms(1));
     leases.take_actions();
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn idle_units_are_given_back_within_half_a_second_though_another_turn_goes_on() {
+fn idle_units_are_returned_within_half_a_second_while_another_turn_runs() {
     let (mut leases, first) = with_one_turn(10_000, 100);
     leases.begin("p", turn_budget(10_000, 100), ms(1));
     leases.take_actions();
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn near_the_end_of_the_budget_nothing_lies_idle() {
+fn surplus_units_are_returned_at_once_when_little_budget_is_left() {
     let (mut leases, first) = with_one_turn(400, 100);
     leases.record_units(first, 40, ms(1));
     leases.end(first, ms(2));
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn draining_gives_back_all_that_no_turn_needs() {
+fn draining_returns_all_units_that_no_turn_needs() {
     let (mut leases, first) = with_one_turn(10_000, 100);
     let second = leases.begin("p", turn_budget(10_000, 100), ms(1));
     leases.take_actions();
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn a_worker_that_sends_more_than_the_maximum_is_counted() {
+fn units_beyond_a_turns_maximum_are_counted() {
     let (mut leases, first) = with_one_turn(10_000, 100);
     leases.record_units(first, 102, ms(1));
     leases.end(first, ms(2));
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn a_turn_given_up_while_it_waits_leaves_nothing_behind() {
+fn a_turn_abandoned_while_waiting_leaves_no_units_taken() {
     let mut leases = Leases::new(1);
     let turn = leases.begin("p", turn_budget(10_000, 100), START);
     leases.take_actions();
--- a/crates/gatekeeper/src/lease/tests/driver.rs
+++ b/crates/gatekeeper/src/lease/tests/driver.rs
@@ -1,4 +1,4 @@
-//! The leases over a fake of the count, in paused time.
+//! Tests of the lease driver against a fake lease store, in paused time.
 
 use crate::lease::{LeaseError, LeaseStore, ProgramLeases, TurnBudget};
 use std::cell::RefCell;
@@ -8,18 +8,19 @@
 
 const TURN_BUDGET: TurnBudget = TurnBudget { budget: 1_000, max_units: 100 };
 
-/// A count of which the other holders have taken a fixed number of units; `None`: it does not answer.
+/// A lease store in which the other gatekeepers have taken a fixed number of units; with `None` it never answers.
 #[derive(Clone, Default)]
 struct FakeLeaseStore {
     others_taken: Rc<RefCell<Option<u64>>>,
+    /// Values written to this gatekeeper's entry, in order.
     writes: Rc<RefCell<Vec<u64>>>,
 }
 
 impl FakeLeaseStore {
     fn with_others(others_taken: u64) -> Self {
-        let count = Self::default();
-        *count.others_taken.borrow_mut() = Some(others_taken);
-        count
+        let store = Self::default();
+        *store.others_taken.borrow_mut() = Some(others_taken);
+        store
     }
 }
 
@@ -42,12 +43,12 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_turn_is_covered_relayed_and_ended() {
-    let count = FakeLeaseStore::with_others(0);
-    let written = Rc::clone(&count.writes);
+async fn unused_units_of_an_ended_turn_are_returned_on_drain() {
+    let store = FakeLeaseStore::with_others(0);
+    let written = Rc::clone(&store.writes);
     LocalSet::new()
         .run_until(async {
-            let leases = ProgramLeases::new(count, 1);
+            let leases = ProgramLeases::new(store, 1);
             let turn = leases.begin("p", TURN_BUDGET).await.unwrap();
             turn.record_units(30);
             drop(turn);
@@ -58,12 +59,12 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn idle_units_go_back_by_themselves() {
-    let count = FakeLeaseStore::with_others(0);
-    let written = Rc::clone(&count.writes);
+async fn idle_units_are_returned_without_further_calls() {
+    let store = FakeLeaseStore::with_others(0);
+    let written = Rc::clone(&store.writes);
     LocalSet::new()
         .run_until(async {
-            let leases = ProgramLeases::new(count, 1);
+            let leases = ProgramLeases::new(store, 1);
             let turn = leases.begin("p", TURN_BUDGET).await.unwrap();
             turn.record_units(30);
             drop(turn);
@@ -75,7 +76,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_count_that_does_not_answer_is_reported_as_unavailable_in_time() {
+async fn an_unresponsive_store_is_reported_as_unavailable_within_the_timeout() {
     LocalSet::new()
         .run_until(async {
             let leases = ProgramLeases::new(FakeLeaseStore::default(), 1);
@@ -88,7 +89,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_spent_budget_is_reported_as_such() {
+async fn a_spent_budget_is_reported_as_budget_spent() {
     LocalSet::new()
         .run_until(async {
             let leases = ProgramLeases::new(FakeLeaseStore::with_others(950), 1);
@@ -101,12 +102,12 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_turn_whose_client_leaves_while_it_waits_takes_nothing() {
-    let count = FakeLeaseStore::with_others(0);
-    let written = Rc::clone(&count.writes);
+async fn a_turn_abandoned_while_waiting_returns_all_its_units() {
+    let store = FakeLeaseStore::with_others(0);
+    let written = Rc::clone(&store.writes);
     LocalSet::new()
         .run_until(async {
-            let leases = ProgramLeases::new(count, 1);
+            let leases = ProgramLeases::new(store, 1);
             let begin = leases.begin("p", TURN_BUDGET);
             assert!(tokio::time::timeout(Duration::from_millis(2), begin).await.is_err());
             tokio::time::sleep(Duration::from_secs(1)).await;
--- a/crates/gatekeeper/src/lease/tests/mod.rs
+++ b/crates/gatekeeper/src/lease/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the leases.
+//! Unit, simulation and property tests of the leases.
 
 mod budget_invariants;
 mod decisions;
--- a/crates/gatekeeper/src/lease/tests/simulation.rs
+++ b/crates/gatekeeper/src/lease/tests/simulation.rs
@@ -1,31 +1,31 @@
-//! Several gatekeepers, one program and a model of its count, in simulated time.
+//! Simulation of several gatekeepers, one program and its count in the stores, in simulated time.
 
 use crate::lease::{Action, LeaseError, Leases, TurnBudget, TurnId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// After that time an ended turn counts with what it has emitted, no longer with its maximum.
+/// Time after its end during which a turn still counts against the budget with its maximum instead of the units emitted.
 const COMMIT_DELAY: Duration = Duration::from_secs(1);
 const ACQUISITION_TIMEOUT: Duration = Duration::from_millis(400);
 const PROGRAM: &str = "p";
 
-/// How the count behaves.
+/// Latency and loss between the gatekeepers and the stores.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Network {
-    /// The longest that one way to the count takes.
+    /// Maximum one-way latency.
     pub(super) max_latency: Duration,
-    /// Acquisitions whose answer is lost, of 256.
+    /// Probability that the answer to an acquisition is lost, in 1/256.
     pub(super) lost: u8,
 }
 
-/// An entry in the count.
+/// One gatekeeper's entry in the program's count.
 #[derive(Debug, Default)]
 struct Entry {
     sequence: u64,
     taken: u64,
 }
 
-/// A gatekeeper's process: a restarted one is another holder.
+/// A gatekeeper process. A restarted process is another holder with an entry of its own.
 struct Gatekeeper {
     leases: Leases,
     holder: usize,
@@ -48,7 +48,7 @@
     }
 }
 
-/// What reaches the count, or a gatekeeper.
+/// A message in flight to the stores or to a gatekeeper.
 enum Message {
     Write { holder: usize, sequence: u64, taken: u64 },
     ReadOthers { holder: usize },
@@ -65,7 +65,7 @@
     last_message: u64,
     network: Network,
     random: fastrand::Rng,
-    /// Refusals of turns that the budget held by the rule of committed turns.
+    /// Refused turns that would have fitted the budget, with other turns counted as in `committed_use`.
     pub(super) false_refusals: usize,
 }
 
@@ -113,7 +113,7 @@
         self.turns.len() - 1
     }
 
-    /// One of the running turns.
+    /// Returns one of the running turns; `None` when no turn runs.
     pub(super) fn running(&self, choice: usize) -> Option<usize> {
         let running: Vec<usize> =
             (0..self.turns.len()).filter(|turn| self.turns[*turn].is_running()).collect();
@@ -139,7 +139,7 @@
         }
     }
 
-    /// The process is killed and started again. Its turns end broken off; what it sent may still arrive.
+    /// Kills a gatekeeper process and starts a new one. The killed process's turns end; its messages may still arrive.
     pub(super) fn kill(&mut self, gatekeeper: usize) {
         let gatekeeper = gatekeeper % self.gatekeepers.len();
         let process = self.new_process();
@@ -171,8 +171,8 @@
         self.now = until;
     }
 
-    /// Units relayed, and those that turns under way may still relay.
-    pub(super) fn relayed_or_may_be(&self) -> u64 {
+    /// Returns the units relayed by ended turns plus the maximum of the running ones.
+    pub(super) fn max_relayed(&self) -> u64 {
         let units = |turn: &Turn| if turn.is_running() { turn.max_units } else { turn.units };
         self.turns.iter().map(units).sum()
     }
@@ -181,7 +181,7 @@
         self.turns.iter().map(|turn| turn.units).sum()
     }
 
-    /// What the count says is taken.
+    /// Returns the units in all entries of the program's count.
     pub(super) fn counted(&self) -> u64 {
         self.entries.iter().map(|entry| entry.taken).sum()
     }
@@ -243,7 +243,7 @@
         if self.random.u8(..) < self.network.lost {
             self.send(self.now + ACQUISITION_TIMEOUT, Message::GiveUp { holder, current });
         } else {
-            // What is read is what was there at some time after the write.
+            // The other entries are read at some time after the write.
             let read_at = written_at + self.latency();
             self.send(read_at, Message::ReadOthers { holder });
         }
@@ -262,7 +262,7 @@
         let holder = self.gatekeepers[gatekeeper].holder;
         let turn =
             self.turns.iter().position(|turn| turn.holder == holder && turn.id == id).expect("a known turn");
-        assert_eq!(self.turns[turn].decision, None, "decided twice");
+        assert_eq!(self.turns[turn].decision, None, "a turn was decided twice");
         self.turns[turn].decision = Some(decision);
         if decision.is_err() {
             self.turns[turn].ended = Some(self.now);
@@ -274,14 +274,15 @@
         }
     }
 
-    /// What counts by the rule: turns at their maximum until some time after their end.
+    /// Returns the units that count against the budget: each turn counts with its maximum until [`COMMIT_DELAY`] after
+    /// its end, and then with the units that it emitted.
     fn committed_use(&self) -> u64 {
         let units = |turn: &Turn| match (turn.decision, turn.ended) {
             (Some(Ok(())), Some(ended)) if ended + COMMIT_DELAY <= self.now => turn.units,
             (Some(Err(_)), _) => 0,
             _ => turn.max_units,
         };
-        // The turn that is being decided does not count.
+        // The turn being decided is set to its decision before this is called; a refused turn counts as 0.
         self.turns.iter().map(units).sum::<u64>()
     }
 
--- a/crates/gatekeeper/src/lease/tests/turn_budget.rs
+++ b/crates/gatekeeper/src/lease/tests/turn_budget.rs
@@ -1,21 +1,21 @@
-//! The headers of a turn.
+//! Tests of parsing the budget headers of a turn.
 
 use crate::lease::TurnBudget;
 
 #[test]
-fn proper_headers_are_read() {
+fn valid_headers_are_parsed() {
     let turn_budget = TurnBudget::parse(Some("1080"), Some("1840,135")).unwrap();
     assert_eq!(turn_budget, TurnBudget { budget: 1080, max_units: 135 });
     assert_eq!(TurnBudget::parse(Some(" 0 "), Some("0, 7")).unwrap(), TurnBudget { budget: 0, max_units: 7 });
 }
 
 #[test]
-fn absurd_headers_are_refused() {
+fn invalid_headers_are_rejected() {
     let budgets =
         [None, Some(""), Some("-1"), Some("1.5"), Some("+5"), Some("ten"), Some("99999999999999999999999")];
     for budget in budgets {
         let error = TurnBudget::parse(budget, Some("1,1")).unwrap_err();
-        assert_eq!(error.to_string(), "E510: the header `Budget` is missing or absurd", "{budget:?}");
+        assert_eq!(error.to_string(), "E510: the header `Budget` is missing or invalid", "{budget:?}");
     }
     let usages = [
         None,
@@ -30,7 +30,7 @@
     ];
     for usage in usages {
         let error = TurnBudget::parse(Some("10"), usage).unwrap_err();
-        assert_eq!(error.to_string(), "E510: the header `Token-Usage` is missing or absurd", "{usage:?}");
+        assert_eq!(error.to_string(), "E510: the header `Token-Usage` is missing or invalid", "{usage:?}");
     }
     assert!(TurnBudget::parse(Some("18446744073709551615"), Some("1,1")).is_err());
 }
--- a/crates/gatekeeper/src/lease/turn_budget.rs
+++ b/crates/gatekeeper/src/lease/turn_budget.rs
@@ -1,35 +1,36 @@
-//! What a turn says of its budget.
+//! Parses the budget headers of a turn.
 
 use opalrun_wire::ResultCode;
 use snafu::{OptionExt, Snafu, ensure};
 
-/// The largest budget or number of units that is taken for meant.
+/// Largest accepted budget or number of units; a larger value is treated as a client error.
 const MAX_UNITS: u64 = 1_000_000_000_000_000;
-/// Digits that such a number may have.
+/// Largest accepted number of digits, leading zeros included.
 const MAX_DIGITS: usize = 20;
 
-/// A turn's budget, and the maximum that the turn itself may emit.
+/// The budget of a turn's program and the maximum of the turn itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TurnBudget {
-    /// Units that all turns of the program may emit together.
+    /// Units that all turns of the program together may emit.
     pub budget: u64,
     /// Units that this turn may emit.
     pub max_units: u64,
 }
 
-/// A header of a turn that can't be meant: the answer is 400.
+/// A budget header is missing, malformed or out of range. Answered with 400.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-#[snafu(display("{}: the header `{header}` is missing or absurd", ResultCode::TURN_TERMS_INVALID))]
+#[snafu(display("{}: the header `{header}` is missing or invalid", ResultCode::TURN_TERMS_INVALID))]
 pub struct TurnBudgetError {
-    /// The header.
+    /// Name of the header.
     header: &'static str,
 }
 
 impl TurnBudget {
-    /// Reads the values of `Budget` (`1080`) and of `Token-Usage` (`1840,135`: of the prompt, and the most out).
+    /// Parses the value of `Budget`, such as `1080`, and that of `Token-Usage`, such as `1840,135`: the prompt's tokens
+    /// and the maximum number of output tokens.
     ///
     /// # Errors
-    /// One of them is missing, not a whole number, or beyond all bounds.
+    /// A value is missing, not an integer or out of range.
     pub fn parse(budget: Option<&str>, usage: Option<&str>) -> Result<Self, TurnBudgetError> {
         let budget = budget.and_then(units).context(TurnBudgetSnafu { header: "Budget" })?;
         let (prompt, max_units) = usage
@@ -42,7 +43,7 @@
     }
 }
 
-/// A whole number in digits only.
+/// Parses an unsigned integer of at most [`MAX_DIGITS`] digits and at most [`MAX_UNITS`]; signs are not accepted.
 fn units(text: &str) -> Option<u64> {
     let text = text.trim();
     let is_digits =
--- a/crates/gatekeeper/src/lease/turn_id.rs
+++ b/crates/gatekeeper/src/lease/turn_id.rs
@@ -1,5 +1,5 @@
-//! The identity of a turn at one gatekeeper.
+//! Identifier of a turn within one gatekeeper process.
 
-/// A turn, from its begin to its end. The ids of one [`Leases`](super::Leases) are never reused.
+/// Identifies a turn from its beginning to its end. A [`Leases`](super::Leases) instance never reuses an identifier.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TurnId(pub(super) u64);
--- a/crates/gatekeeper/src/proxy/answer.rs
+++ b/crates/gatekeeper/src/proxy/answer.rs
@@ -1,17 +1,17 @@
-//! The answers that the proxy gives by itself, and the heads of those that it passes on.
+//! HTTP responses to clients: those that the proxy generates itself, and the heads of forwarded ones.
 
 use crate::proxy::headers::remove_connection_headers;
 use hyper::{Response, StatusCode, header, header::HeaderValue, http::response::Parts};
 use opalrun_transport::body::{BodyBuffer, MemoryBudget, ResponseBody};
 use std::time::Duration;
 
-/// Smallest `Retry-After`, in seconds.
+/// Minimum value of `Retry-After`, in seconds.
 const MIN_RETRY_AFTER_S: f64 = 0.02;
 
-/// An answer to a client.
+/// HTTP response to a client.
 pub type Answer = Response<ResponseBody>;
 
-/// An answer without a body.
+/// Builds an answer with this status and an empty body.
 #[must_use]
 pub fn without_body(status: StatusCode) -> Answer {
     let mut answer = Response::new(ResponseBody::empty());
@@ -19,7 +19,7 @@
     answer
 }
 
-/// An answer whose body tells what is wrong with the request.
+/// Builds an answer whose body is an error message.
 #[must_use]
 pub fn with_message(status: StatusCode, error: &str) -> Answer {
     let mut answer = with_body(error.to_owned().into());
@@ -27,15 +27,16 @@
     answer
 }
 
-/// An answer with this body.
+/// Builds an answer with status 200 and this body.
 #[must_use]
 pub fn with_body(bytes: bytes::Bytes) -> Answer {
-    let mut gathered = BodyBuffer::new(&MemoryBudget::new(0));
-    gathered.push(bytes);
-    Response::new(ResponseBody::complete(gathered))
+    let mut buffer = BodyBuffer::new(&MemoryBudget::new(0));
+    buffer.push(bytes);
+    Response::new(ResponseBody::complete(buffer))
 }
 
-/// 503: the request has not run and never will; the client may retry after about `retry_after`.
+/// Builds a 503 answer, which states that the request has not run and never will. The client may retry after
+/// `retry_after`, to which up to 25 % are randomly added or subtracted.
 #[must_use]
 pub fn reject(retry_after: Duration) -> Answer {
     let seconds = (retry_after.as_secs_f64() * (0.75 + 0.5 * fastrand::f64())).max(MIN_RETRY_AFTER_S);
@@ -46,14 +47,14 @@
     answer
 }
 
-/// The answer closes its connection.
+/// Adds `Connection: close` to an answer.
 #[must_use]
 pub fn with_close_header(mut answer: Answer) -> Answer {
     answer.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     answer
 }
 
-/// An answer with the head of a worker's answer.
+/// Replaces the head of `answer` by that of a worker's answer, without the worker's connection headers.
 #[must_use]
 pub fn forward(mut parts: Parts, answer: Answer) -> Answer {
     remove_connection_headers(&mut parts.headers);
--- a/crates/gatekeeper/src/proxy/attempt.rs
+++ b/crates/gatekeeper/src/proxy/attempt.rs
@@ -1,6 +1,6 @@
-//! Decides, after each failed attempt of a request at a worker, whether it may be attempted at another worker.
+//! Decides after each failed attempt of a request whether it may be attempted at another worker.
 //!
-//! An idempotent request is run by at most `max_attempts` workers. Any other request is attempted at another worker
+//! An idempotent request may be run by at most `max_attempts` workers. Any other request is attempted at another worker
 //! only while it is certain that it has not run and never will.
 
 use std::time::Duration;
@@ -8,21 +8,21 @@
 #[cfg(test)]
 mod tests;
 
-/// Most attempts of one request, those included that its workers rejected.
+/// Maximum number of attempts of one request, including those that workers rejected.
 pub const MAX_ATTEMPTS: u32 = 6;
-/// With less time left until the deadline than this, no further attempt is made.
+/// Minimum time until the deadline for a further attempt.
 pub const MIN_TIME_FOR_ATTEMPT: Duration = Duration::from_millis(5);
 
-/// How an attempt at a worker ended without an answer to forward.
+/// Why an attempt at a worker yielded no answer to forward.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptFailure {
     /// The worker states that it did not run the request.
     NotExecuted,
-    /// The connection did not come up, or broke before the last byte of the request was written.
+    /// The connection could not be established, or broke before the last byte of the request was written.
     NotSent,
-    /// After the request had been sent, the connection broke, timed out or carried what is no answer.
+    /// After the request had been sent, the connection broke, the answer timed out or it was invalid.
     MayHaveRun,
-    /// The worker answered with a failure of its own.
+    /// The worker answered with a server error (5xx).
     WorkerFailed,
 }
 
@@ -31,11 +31,11 @@
 pub enum NextStep {
     /// Attempt the request at another worker.
     AttemptAnother,
-    /// Forward the worker's failure unchanged.
+    /// Forward the worker's server error unchanged.
     ForwardFailure,
-    /// No worker is left to attempt, and the request has not run: 503 with `Retry-After`.
+    /// No further attempt is possible and the request has not run: answer 503 with `Retry-After`.
     Reject,
-    /// No worker is left to attempt, and the request may have run: 502, or 504 after its deadline.
+    /// No further attempt is possible and the request may have run: answer 502, or 504 after its deadline.
     Fail,
 }
 
@@ -44,18 +44,19 @@
 pub struct Attempts {
     idempotent: bool,
     max_executions: u32,
+    /// Attempts after which the request may have run.
     possible_executions: u32,
     failed: u32,
 }
 
 impl Attempts {
-    /// `idempotent`: the request may run more than once, at up to `max_attempts` workers.
+    /// Starts without attempts. An `idempotent` request may run at up to `max_attempts` workers, any other only once.
     #[must_use]
     pub fn new(idempotent: bool, max_attempts: u32) -> Self {
         Self { idempotent, max_executions: max_attempts.max(1), possible_executions: 0, failed: 0 }
     }
 
-    /// Whether some worker may have run the request, or may run it yet.
+    /// Whether some worker may have run the request, or may still run it.
     #[must_use]
     pub fn may_have_run(&self) -> bool {
         self.possible_executions > 0
@@ -67,13 +68,13 @@
         self.idempotent && self.possible_executions + 1 < self.max_executions
     }
 
-    /// Attempts that have failed.
+    /// Returns the number of failed attempts.
     #[must_use]
     pub fn count(&self) -> u32 {
         self.failed
     }
 
-    /// Records a failed attempt, with `time_left` until the request's deadline, and decides what follows.
+    /// Records a failed attempt, `time_left` before the request's deadline, and decides on the next step.
     pub fn failed(&mut self, failure: AttemptFailure, time_left: Duration) -> NextStep {
         self.failed += 1;
         if matches!(failure, AttemptFailure::MayHaveRun | AttemptFailure::WorkerFailed) {
@@ -85,7 +86,7 @@
         if failure == AttemptFailure::WorkerFailed { NextStep::ForwardFailure } else { self.when_exhausted() }
     }
 
-    /// What to answer when no worker is left to attempt.
+    /// Returns the next step when no worker is available for a further attempt.
     #[must_use]
     pub fn when_exhausted(&self) -> NextStep {
         if self.may_have_run() { NextStep::Fail } else { NextStep::Reject }
--- a/crates/gatekeeper/src/proxy/attempt/tests.rs
+++ b/crates/gatekeeper/src/proxy/attempt/tests.rs
@@ -1,28 +1,28 @@
 use super::{AttemptFailure, Attempts, MAX_ATTEMPTS, MIN_TIME_FOR_ATTEMPT, NextStep};
 use std::time::Duration;
 
-const LEFT: Duration = Duration::from_secs(1);
+const TIME_LEFT: Duration = Duration::from_secs(1);
 
 #[test]
 fn a_request_that_is_not_idempotent_fails_once_it_may_have_run() {
     let mut attempts = Attempts::new(false, 3);
-    assert_eq!(attempts.failed(AttemptFailure::NotExecuted, LEFT), NextStep::AttemptAnother);
-    assert_eq!(attempts.failed(AttemptFailure::NotSent, LEFT), NextStep::AttemptAnother);
-    assert_eq!(attempts.failed(AttemptFailure::MayHaveRun, LEFT), NextStep::Fail);
+    assert_eq!(attempts.failed(AttemptFailure::NotExecuted, TIME_LEFT), NextStep::AttemptAnother);
+    assert_eq!(attempts.failed(AttemptFailure::NotSent, TIME_LEFT), NextStep::AttemptAnother);
+    assert_eq!(attempts.failed(AttemptFailure::MayHaveRun, TIME_LEFT), NextStep::Fail);
 }
 
 #[test]
-fn a_failure_of_the_worker_is_forwarded_for_a_request_that_is_not_idempotent() {
+fn a_server_error_is_forwarded_for_a_request_that_is_not_idempotent() {
     let mut attempts = Attempts::new(false, 3);
-    assert_eq!(attempts.failed(AttemptFailure::WorkerFailed, LEFT), NextStep::ForwardFailure);
+    assert_eq!(attempts.failed(AttemptFailure::WorkerFailed, TIME_LEFT), NextStep::ForwardFailure);
 }
 
 #[test]
 fn an_idempotent_request_is_run_by_at_most_max_attempts_workers() {
     let mut attempts = Attempts::new(true, 2);
-    assert_eq!(attempts.failed(AttemptFailure::MayHaveRun, LEFT), NextStep::AttemptAnother);
-    assert_eq!(attempts.failed(AttemptFailure::NotExecuted, LEFT), NextStep::AttemptAnother);
-    assert_eq!(attempts.failed(AttemptFailure::WorkerFailed, LEFT), NextStep::ForwardFailure);
+    assert_eq!(attempts.failed(AttemptFailure::MayHaveRun, TIME_LEFT), NextStep::AttemptAnother);
+    assert_eq!(attempts.failed(AttemptFailure::NotExecuted, TIME_LEFT), NextStep::AttemptAnother);
+    assert_eq!(attempts.failed(AttemptFailure::WorkerFailed, TIME_LEFT), NextStep::ForwardFailure);
 }
 
 #[test]
@@ -35,10 +35,11 @@
 }
 
 #[test]
-fn attempts_are_bounded_although_every_worker_rejects_the_request() {
+fn attempts_are_bounded_when_every_worker_rejects_the_request() {
     let mut attempts = Attempts::new(true, 2);
-    let ends =
-        (0..MAX_ATTEMPTS).map(|_| attempts.failed(AttemptFailure::NotExecuted, LEFT)).collect::<Vec<_>>();
+    let ends = (0..MAX_ATTEMPTS)
+        .map(|_| attempts.failed(AttemptFailure::NotExecuted, TIME_LEFT))
+        .collect::<Vec<_>>();
     assert_eq!(
         ends.iter().filter(|next| **next == NextStep::AttemptAnother).count() as u32,
         MAX_ATTEMPTS - 1
@@ -47,7 +48,7 @@
 }
 
 #[test]
-fn no_order_of_failures_lets_a_request_run_more_often_than_allowed() {
+fn no_sequence_of_failures_lets_a_request_run_more_often_than_allowed() {
     bolero::check!().with_type::<(bool, u8, Vec<u8>)>().for_each(|(idempotent, max_attempts, ends)| {
         let max_attempts = u32::from(*max_attempts % 4);
         let mut attempts = Attempts::new(*idempotent, max_attempts);
@@ -60,13 +61,13 @@
                 _ => AttemptFailure::WorkerFailed,
             };
             ran += u32::from(end % 4 >= 2);
-            let next = attempts.failed(outcome, LEFT);
-            assert!(next != NextStep::Reject || ran == 0, "what may have run is never refused");
+            let next = attempts.failed(outcome, TIME_LEFT);
+            assert!(next != NextStep::Reject || ran == 0, "a request that may have run is never rejected");
             if next != NextStep::AttemptAnother {
                 break;
             }
         }
-        let most = if *idempotent { max_attempts.max(1) } else { 1 };
-        assert!(ran <= most);
+        let max_executions = if *idempotent { max_attempts.max(1) } else { 1 };
+        assert!(ran <= max_executions);
     });
 }
--- a/crates/gatekeeper/src/proxy/body.rs
+++ b/crates/gatekeeper/src/proxy/body.rs
@@ -1,4 +1,4 @@
-//! The bodies of requests, which are read completely before they are forwarded.
+//! Reads the bodies of requests, which are buffered completely before they are forwarded.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -7,35 +7,35 @@
 use std::{cell::Cell, rc::Rc};
 use tokio::time::{Instant, timeout_at};
 
-/// Why a body could not be read.
+/// Why a request body could not be read.
 #[derive(Debug, Snafu, Clone, Copy, PartialEq, Eq)]
 pub enum BodyError {
-    /// It is longer than the configuration allows.
-    #[snafu(display("the body is too long"))]
+    /// The body is longer than the configuration allows.
+    #[snafu(display("the request body is longer than allowed"))]
     TooLong,
-    /// It did not come in time.
-    #[snafu(display("the body did not come in time"))]
+    /// The body was not complete by the deadline.
+    #[snafu(display("the request body was not received in time"))]
     TooSlow,
-    /// Its framing is wrong, or the connection broke.
-    #[snafu(display("the body can't be read"))]
+    /// The framing of the body is invalid, or the connection broke.
+    #[snafu(display("the request body could not be read: invalid framing or broken connection"))]
     Broken,
-    /// The memory budget for bodies is spent.
-    #[snafu(display("no memory is left for bodies"))]
+    /// The memory budget for request bodies is used up.
+    #[snafu(display("the memory for request bodies is used up"))]
     NoMemory,
 }
 
-/// Memory budget for the bodies of all requests together, in bytes.
+/// Remaining memory for the bodies of all requests together, in bytes.
 #[derive(Debug, Clone)]
 pub struct BodyMemory(Rc<Cell<usize>>);
 
 impl BodyMemory {
-    /// A budget of so many bytes.
+    /// Creates a budget of `bytes`.
     #[must_use]
     pub fn new(bytes: usize) -> Self {
         Self(Rc::new(Cell::new(bytes)))
     }
 
-    /// Reserves so many bytes; `None`: fewer are left.
+    /// Reserves `bytes`; returns `None` when fewer are left.
     #[must_use]
     pub fn reserve(&self, bytes: usize) -> Option<MemoryReservation> {
         let left = self.0.get().checked_sub(bytes)?;
@@ -44,7 +44,7 @@
     }
 }
 
-/// Bytes of the budget that are reserved until this is dropped.
+/// Bytes reserved from a [`BodyMemory`] until this is dropped.
 #[derive(Debug)]
 pub struct MemoryReservation {
     memory: BodyMemory,
@@ -52,7 +52,7 @@
 }
 
 impl MemoryReservation {
-    /// Reserves more.
+    /// Reserves `bytes` more.
     fn grow(&mut self, bytes: usize) -> Result<(), BodyError> {
         let left = self.memory.0.get().checked_sub(bytes).ok_or(BodyError::NoMemory)?;
         self.memory.0.set(left);
@@ -67,27 +67,27 @@
     }
 }
 
-/// A body that was read completely.
+/// A request body that was read completely.
 #[derive(Debug)]
 pub struct CompleteBody {
-    /// Its bytes.
+    /// Content of the body.
     pub bytes: Bytes,
-    /// Its share of the memory budget.
+    /// Memory reserved for `bytes`.
     pub reservation: MemoryReservation,
 }
 
-/// Reads a body of at most `longest` bytes until `deadline`.
+/// Reads a body of at most `max_bytes` until `deadline`.
 ///
 /// # Errors
-/// Where it can't be read completely.
+/// The body is too long, is not complete by the deadline, is invalid, or exceeds the memory left for bodies.
 pub async fn read_complete(
     mut body: Incoming,
     memory: &BodyMemory,
-    longest: usize,
+    max_bytes: usize,
     deadline: Instant,
 ) -> Result<CompleteBody, BodyError> {
     let declared = body.size_hint().lower();
-    if declared > longest as u64 {
+    if declared > max_bytes as u64 {
         return Err(BodyError::TooLong);
     }
     let mut reservation = memory.reserve(0).ok_or(BodyError::NoMemory)?;
@@ -99,7 +99,7 @@
         let Some(frame) = frame else { break };
         let Ok(data) = frame.map_err(|_| BodyError::Broken)?.into_data() else { continue };
         length += data.len();
-        if length > longest {
+        if length > max_bytes {
             return Err(BodyError::TooLong);
         }
         reservation.grow(data.len())?;
--- a/crates/gatekeeper/src/proxy/headers.rs
+++ b/crates/gatekeeper/src/proxy/headers.rs
@@ -1,11 +1,11 @@
-//! Which headers go along: all but those that concern only one connection.
+//! Hop-by-hop headers, which apply to one connection and are not forwarded.
 
 use hyper::{HeaderMap, header, header::HeaderName};
 
 #[cfg(test)]
 mod tests;
 
-/// Headers that concern one connection.
+/// Headers that apply to one connection only.
 const CONNECTION_HEADERS: [HeaderName; 10] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -19,8 +19,8 @@
     header::EXPECT,
 ];
 
-/// Removes the headers that concern only the connection on which they came, and the length of the body, which is
-/// written anew.
+/// Removes the headers that apply only to the connection on which they were received, including those listed in
+/// `Connection`, and `Content-Length`, which is generated when the message is sent on.
 pub fn remove_connection_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -35,7 +35,7 @@
     headers.remove(header::CONTENT_LENGTH);
 }
 
-/// The seconds for which the other end keeps an idle connection, where it says so.
+/// Returns the `timeout` of the `Keep-Alive` header: the seconds for which the peer keeps an idle connection open.
 #[must_use]
 pub fn keep_alive_seconds(headers: &HeaderMap) -> Option<u32> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
--- a/crates/gatekeeper/src/proxy/headers/tests.rs
+++ b/crates/gatekeeper/src/proxy/headers/tests.rs
@@ -2,7 +2,7 @@
 use hyper::{HeaderMap, header::HeaderValue};
 
 #[test]
-fn headers_of_one_connection_stay_behind_and_all_others_go_along() {
+fn only_connection_headers_and_content_length_are_removed() {
     let mut headers = HeaderMap::new();
     for (name, value) in [
         ("connection", "keep-alive, x-mine"),
--- a/crates/gatekeeper/src/proxy/metrics/tests.rs
+++ b/crates/gatekeeper/src/proxy/metrics/tests.rs
@@ -1,10 +1,10 @@
-//! Requests are counted by outcome.
+//! Tests of counting answered requests by outcome.
 
 use super::{OUTCOMES, ProxyMetrics};
 use hyper::StatusCode;
 
 #[test]
-fn each_status_counts_as_its_outcome() {
+fn each_status_is_counted_under_its_outcome() {
     let metrics = ProxyMetrics::default();
     for status in [200, 206, 404, 400, 402, 503, 502, 504] {
         metrics.answered(StatusCode::from_u16(status).unwrap());
--- a/crates/gatekeeper/src/proxy/mod.rs
+++ b/crates/gatekeeper/src/proxy/mod.rs
@@ -1,4 +1,4 @@
-//! The proxy: takes the requests of clients, has workers answer them, and passes the answers on.
+//! The proxy: accepts requests of clients, forwards them to workers, and relays the answers.
 
 pub mod answer;
 pub mod attempt;
--- a/crates/gatekeeper/src/proxy/run.rs
+++ b/crates/gatekeeper/src/proxy/run.rs
@@ -84,7 +84,7 @@
     let readiness = ReadinessHandler(proxy.clone());
     let readiness = Server::new(readiness, server_settings(), READINESS_CONNECTIONS);
     let readiness_task = spawn_local(async move { readiness.accept(&platform).await });
-    let max_connections = state::connections_of_clients(settings);
+    let max_connections = state::max_client_connections(settings);
     let server = Server::new(ClientHandler(proxy.clone()), server_settings(), max_connections);
     let time_limit_task = spawn_local(apply_time_limits(proxy.clone(), server.clone()));
     let acceptor = server.clone();
--- a/crates/gatekeeper/src/proxy/services.rs
+++ b/crates/gatekeeper/src/proxy/services.rs
@@ -1,4 +1,4 @@
-//! The workers of all services, with one balancer for each service.
+//! One balancer for each service, with the service's workers.
 
 use crate::{
     feed::Workers,
@@ -12,23 +12,25 @@
     time::Duration,
 };
 
-/// The balancers, shared by all requests: each borrows them for one call that does not wait.
+/// The balancers of all services, shared by all requests. Each use borrows them for one call that does not wait.
 pub struct Services {
     zone: String,
-    /// Tells this gatekeeper from others.
+    /// Identifier of this gatekeeper among all gatekeepers.
     gatekeeper: u64,
+    /// Number of gatekeepers that share the services.
     gatekeepers: Cell<u32>,
     balancers: RefCell<FnvHashMap<String, Balancer>>,
 }
 
 impl Services {
-    /// Without services, for a gatekeeper in `zone` that is the only one as far as is known.
+    /// Starts without services, for a gatekeeper in `zone`. One gatekeeper is assumed until
+    /// [`set_gatekeepers`](Self::set_gatekeepers) is called.
     #[must_use]
     pub fn new(zone: &str, gatekeeper: u64) -> Self {
         Self { zone: zone.to_owned(), gatekeeper, gatekeepers: Cell::new(1), balancers: RefCell::default() }
     }
 
-    /// Works with the balancer of a service, which is made where there is none.
+    /// Calls `work` with the balancer of a service, which is created if it does not exist.
     pub fn with_balancer<T>(&self, service: &str, work: impl FnOnce(&mut Balancer) -> T) -> T {
         let mut balancers = self.balancers.borrow_mut();
         if !balancers.contains_key(service) {
@@ -40,13 +42,13 @@
         work(balancers.entry(service.to_owned()).or_insert_with(new))
     }
 
-    /// How many gatekeepers share the services.
+    /// Returns the number of gatekeepers that share the services.
     #[must_use]
     pub fn gatekeepers(&self) -> u32 {
         self.gatekeepers.get()
     }
 
-    /// So many gatekeepers share the services; `false`: nothing has changed.
+    /// Sets the number of gatekeepers that share the services. Returns whether it has changed.
     pub fn set_gatekeepers(&self, gatekeepers: u32) -> bool {
         let gatekeepers = gatekeepers.max(1);
         let changed = self.gatekeepers.replace(gatekeepers) != gatekeepers;
@@ -56,7 +58,7 @@
         changed
     }
 
-    /// All workers that are known, by service; those that are not among them are gone.
+    /// Replaces the known workers, by service. Workers missing from `workers` are removed.
     pub fn set_workers(&self, now: Duration, workers: &HashMap<String, Workers>) {
         for (service, listed) in workers {
             self.with_balancer(service, |balancer| {
@@ -68,17 +70,17 @@
         absent.for_each(|(_, balancer)| balancer.set_workers(now, [].iter()));
     }
 
-    /// Other gatekeepers report failures of these workers.
+    /// Sets the workers for which other gatekeepers have reported failures.
     pub fn set_suspects(&self, now: Duration, suspects: &[String]) {
         self.balancers.borrow_mut().values_mut().for_each(|balancer| balancer.set_suspects(now, suspects));
     }
 
-    /// Takes the failures at workers that have not been reported to control.
+    /// Returns the failures at workers that have not been reported to control yet, and marks them as reported.
     pub fn take_failures(&self) -> Vec<WorkerFailures> {
         self.balancers.borrow_mut().values_mut().flat_map(Balancer::take_failures).collect()
     }
 
-    /// Calls `visit` for each worker with its service.
+    /// Calls `visit` with the service and the id of each worker.
     pub fn for_each_worker(&self, mut visit: impl FnMut(&str, &WorkerId)) {
         for (service, balancer) in &*self.balancers.borrow() {
             balancer.worker_ids().for_each(|worker| visit(service, worker));
--- a/crates/gatekeeper/src/proxy/state.rs
+++ b/crates/gatekeeper/src/proxy/state.rs
@@ -1,5 +1,5 @@
-//! What the proxy's requests share: the configuration, the workers and the connections to them. Each part owns its state;
-//! this wires them up with what control sends.
+//! State shared by all requests of the proxy: the configuration, the workers and the connections to them. Each component
+//! owns its state; this module applies the updates from control to them.
 
 use crate::{
     feed::{ControlView, Workers},
@@ -31,40 +31,40 @@
 };
 use tokio::sync::watch;
 
-/// Descriptors that are kept for other things than connections.
+/// File descriptors reserved for purposes other than connections.
 const RESERVED_DESCRIPTORS: u64 = 260;
-/// Share of the memory limit that all bodies together may take.
+/// Share of the memory limit that all request bodies together may take.
 const BODY_MEMORY_SHARE: f64 = 0.15;
-/// Memory for what was said in recent turns.
+/// Capacity of the cache of recent turns.
 const TURN_CACHE_BYTES: usize = 8 << 20;
 const BYTES_PER_MB: f64 = 1e6;
 
-/// The state of the proxy, shared by all its requests.
+/// State of the proxy, shared by all its requests.
 pub struct Proxy {
     started: Instant,
     configuration: RefCell<Option<Rc<Configuration>>>,
     services: Services,
     connections: WorkerConnections,
-    /// What the configuration in force allows clients.
+    /// Limits for clients from the current configuration.
     limits: watch::Sender<Limits>,
     freshness: Freshness,
     is_shutting_down: Cell<bool>,
-    /// Memory for the bodies of requests.
+    /// Memory budget for request bodies.
     pub(super) memory: BodyMemory,
-    /// What programs may still spend here.
+    /// Leases of the programs' budget units.
     pub(super) leases: ProgramLeases<Rc<StoreClient>>,
-    /// What was said in earlier turns.
+    /// Reads and stores retained turns.
     pub(super) turns: Turns<Rc<StoreClient>>,
-    /// What is counted for scrapers.
+    /// Metrics of requests and turns.
     pub(super) metrics: ProxyMetrics,
-    /// Counts and logs requests that got no complete answer.
+    /// Counts and logs requests that received no complete answer.
     pub(super) failed_requests: Rc<FailedRequests>,
     pub(super) store_client: Rc<StoreClient>,
     store_epoch: Cell<Epoch>,
 }
 
 impl Proxy {
-    /// With nothing known yet.
+    /// Creates the proxy without a configuration, workers or stores.
     #[must_use]
     pub fn new(settings: &Settings) -> Rc<Self> {
         let started = Instant::now();
@@ -74,7 +74,7 @@
             started,
             configuration: RefCell::default(),
             services: Services::new(&settings.zone, stable_hash(settings.node_name.as_bytes())),
-            connections: WorkerConnections::new(connections_to_workers(settings)),
+            connections: WorkerConnections::new(max_worker_connections(settings)),
             limits: watch::Sender::default(),
             freshness: Freshness::new(started),
             is_shutting_down: Cell::new(false),
@@ -88,25 +88,26 @@
         })
     }
 
-    /// Time since the start.
+    /// Returns the time since the proxy was created.
     #[must_use]
     pub fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// The newest configuration.
+    /// Returns the newest configuration; `None` before the first one was received.
     #[must_use]
     pub fn configuration(&self) -> Option<Rc<Configuration>> {
         self.configuration.borrow().clone()
     }
 
-    /// What the configuration in force allows clients, and a notification of its changes.
+    /// Returns a receiver of the limits for clients, which is notified of their changes.
     #[must_use]
     pub fn limits(&self) -> watch::Receiver<Limits> {
         self.limits.subscribe()
     }
 
-    /// Whether new clients are welcome: the proxy knows what holds, and is not stopping.
+    /// Whether the proxy accepts new clients: it has a configuration that control has confirmed, and is not shutting
+    /// down.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.configuration.borrow().is_some()
@@ -114,46 +115,47 @@
             && !self.is_shutting_down.get()
     }
 
-    /// Requests of this gatekeeper that are at a worker.
+    /// Returns the number of this gatekeeper's requests in flight at a worker.
     #[must_use]
     pub fn in_flight(&self, service: &str, worker: &str) -> u32 {
         self.with_balancer(service, |balancer| balancer.in_flight(worker))
     }
 
-    /// Whether what is known was fresh a short while ago, so that a route that is not known does not exist.
+    /// Whether control has confirmed this gatekeeper's state recently enough that a route missing from the configuration
+    /// certainly does not exist.
     #[must_use]
     pub fn is_fresh(&self) -> bool {
         self.freshness.is_fresh()
     }
 
-    /// For how long what is known has not been fresh; `None` where it never was.
+    /// Returns the time since control last confirmed this gatekeeper's state; `None` when it never did.
     #[must_use]
     pub fn feed_age(&self) -> Option<Duration> {
         self.freshness.age()
     }
 
-    /// A graceful shutdown has begun: the proxy is no longer ready.
+    /// Marks the proxy as shutting down, so that it is no longer ready.
     pub fn stop(&self) {
         self.is_shutting_down.set(true);
     }
 
-    /// Works with the balancer of a service.
+    /// Calls `work` with the balancer of a service.
     pub(super) fn with_balancer<T>(&self, service: &str, work: impl FnOnce(&mut Balancer) -> T) -> T {
         self.services.with_balancer(service, work)
     }
 
-    /// The connections to workers.
+    /// Returns the connection pools of all workers.
     pub(super) fn pools(&self) -> &Rc<Pools> {
         &self.connections.pools
     }
 
-    // ---- What control sends ----
+    // ---- Updates from control ----
 
-    /// Applies what control has sent.
+    /// Applies the state that control has sent.
     pub fn apply(&self, view: &ControlView) {
         self.set_gatekeepers(view.gatekeepers);
         self.set_store_map(&view.store_map);
-        // Workers first: a configuration that is in force should find those of its services.
+        // The workers are set first, so that a new configuration finds the workers of its services.
         self.set_workers(&view.workers);
         self.services.set_suspects(self.now(), &view.suspects);
         if let Some(newest) = &view.configuration {
@@ -162,19 +164,19 @@
         self.apply_freshness(view);
     }
 
-    /// Requests that failed at workers since this was last asked.
+    /// Returns the request failures at workers since the last call.
     pub(super) fn take_failures(&self) -> Vec<WorkerFailures> {
         self.services.take_failures()
     }
 
-    /// Applies only when control last confirmed what is known.
+    /// Applies only the time at which control last confirmed this gatekeeper's state.
     pub fn apply_freshness(&self, view: &ControlView) {
         if let Some(at) = view.fresh_at {
             self.confirm_freshness(at.into_std());
         }
     }
 
-    /// A newer configuration is in force; an older one is ignored.
+    /// Applies a configuration; one that is not newer than the current one is ignored.
     pub fn set_configuration(&self, configuration: Rc<Configuration>) {
         let known = self.configuration.borrow().as_ref().map(|known| known.generation);
         if known.is_some_and(|known| known >= configuration.generation) {
@@ -190,45 +192,46 @@
         self.set_connection_limits();
     }
 
-    /// So many gatekeepers share the connections that workers take.
+    /// Sets the number of gatekeepers that share each worker's connections.
     pub fn set_gatekeepers(&self, gatekeepers: u32) {
         if self.services.set_gatekeepers(gatekeepers) {
             self.set_connection_limits();
         }
     }
 
-    /// Which store holds what.
+    /// Sets the map of partitions to stores; a map with an unchanged epoch is ignored.
     pub fn set_store_map(&self, map: &StoreMap) {
         if self.store_epoch.replace(map.epoch) != map.epoch {
             self.store_client.set_map(map.clone());
         }
     }
 
-    /// Returns what turns in flight do not need of their programs' budgets; `false`: not all in time.
-    pub(super) async fn return_unused_units(&self, limit: Duration) -> bool {
-        self.leases.drain(limit).await
+    /// Returns the leased units that turns in flight do not need to their programs' budgets. The result is `false` when
+    /// the stores did not acknowledge all writes before the time-out.
+    pub(super) async fn return_unused_units(&self, timeout: Duration) -> bool {
+        self.leases.drain(timeout).await
     }
 
-    /// What is known was confirmed at `at`.
+    /// Records that control confirmed this gatekeeper's state at `at`.
     pub fn confirm_freshness(&self, at: Instant) {
         self.freshness.confirm(at);
     }
 
-    /// All workers that are known; those that are not among them are gone.
+    /// Replaces the known workers, by service. Workers missing from `workers` are removed.
     pub fn set_workers(&self, workers: &HashMap<String, Workers>) {
         self.services.set_workers(self.now(), workers);
         self.connections.set_workers(workers);
         self.set_connection_limits();
     }
 
-    /// Each worker's connections are shared evenly by the gatekeepers.
+    /// Sets the limit of connections to each worker: an even share for each gatekeeper.
     fn set_connection_limits(&self) {
         if let Some(configuration) = &*self.configuration.borrow() {
             self.connections.set_limits(configuration, &self.services);
         }
     }
 
-    /// A worker keeps idle connections for so many seconds.
+    /// Records for how many seconds a worker keeps idle connections open.
     pub(super) fn record_keep_alive(&self, worker: &WorkerId, seconds: u32) {
         if self.connections.record_keep_alive(worker, seconds) {
             self.set_connection_limits();
@@ -236,14 +239,14 @@
     }
 }
 
-/// Connections to all workers together.
-fn connections_to_workers(settings: &Settings) -> usize {
+/// Returns the maximum number of connections to all workers together.
+fn max_worker_connections(settings: &Settings) -> usize {
     let free = settings.limits.max_fds.saturating_sub(RESERVED_DESCRIPTORS);
     usize::try_from(free / 3).unwrap_or(usize::MAX).max(1)
 }
 
-/// Connections of clients.
-pub(super) fn connections_of_clients(settings: &Settings) -> usize {
+/// Returns the maximum number of connections of clients.
+pub(super) fn max_client_connections(settings: &Settings) -> usize {
     let free = settings.limits.max_fds.saturating_sub(RESERVED_DESCRIPTORS);
     usize::try_from(free / 2).unwrap_or(usize::MAX).max(1)
 }
--- a/crates/gatekeeper/src/proxy/turn.rs
+++ b/crates/gatekeeper/src/proxy/turn.rs
@@ -1,37 +1,37 @@
-//! What a request is as a turn of a program: its share of the budget, and what is retained of it.
+//! State of a request that is a turn of a program: its reserved budget units, and the data to be stored.
 
 use crate::{lease::TurnLease, proxy::event_stream::Event};
 use bytes::Bytes;
 use opalrun_store_client::StoreClient;
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
-/// What a request is as a turn of a program. A request that is none has neither.
+/// State of a request as a turn of a program. A request that is not a turn has neither a lease nor retained data.
 #[derive(Default)]
 pub struct Turn {
-    /// Its share of the budget.
+    /// Budget units reserved for the turn; `None` when the request draws on no budget.
     pub(super) lease: Option<TurnLease<Rc<StoreClient>>>,
-    /// Tokens in each event.
+    /// Tokens in each event of the answer.
     pub(super) event_units: u64,
-    /// What is to be stored of it; `None` where its route does not retain turns.
+    /// Data to be stored when the answer is complete; `None` when the route does not retain turns.
     pub(super) retained: Option<Retained>,
 }
 
-/// What is stored of a turn.
+/// Data to be stored of a turn.
 pub(super) struct Retained {
-    /// Ids of the turns before it.
+    /// Ids of the earlier turns of the conversation, oldest first.
     pub(super) ancestors: Vec<String>,
-    /// The body of its request, without the turns before it.
+    /// Body of the client's request, without the earlier turns.
     pub(super) input: Bytes,
-    /// The data of its events so far.
+    /// Data of the events relayed so far.
     pub(super) output: RefCell<Vec<u8>>,
-    /// How long it is to be stored.
+    /// How long the stores are to retain the turn.
     pub(super) retention: Duration,
-    /// The worker that answered the turn before.
+    /// Id of the worker that answered the previous turn; empty when there is none.
     pub(super) previous_worker: String,
 }
 
 impl Turn {
-    /// An event is about to go to the client.
+    /// Counts and retains an event that is about to be sent to the client. Events without data are ignored.
     pub fn record_event(&self, event: &Event) {
         if !event.has_data() {
             return;
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The worker that answered the turn before this one.
+    /// Returns the id of the worker that answered the previous turn.
     #[must_use]
     pub fn previous_worker(&self) -> Option<&str> {
         let worker = self.retained.as_ref()?.previous_worker.as_str();
--- a/crates/gatekeeper/src/proxy/turn_lifecycle.rs
+++ b/crates/gatekeeper/src/proxy/turn_lifecycle.rs
@@ -1,5 +1,5 @@
-//! Begins a turn of a program and stores it: reserves its share of the budget, puts what was said before it in front
-//! of its body, and has the stores keep it before the answer ends.
+//! Begins and stores turns of programs: reserves budget units for a turn, prepends the earlier turns of its
+//! conversation to its body, and stores the turn before the end of its answer is sent to the client.
 
 use crate::{
     lease::{LeaseError, TurnLease},
@@ -21,15 +21,16 @@
 /// `Retry-After` when the stores did not answer in time.
 const STORES_RETRY_AFTER: Duration = Duration::from_millis(150);
 
-/// The turn could not be stored, or it is not certain that it was.
+/// The turn was not stored, or it is unknown whether it was.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TurnNotStored;
 
 impl Proxy {
-    /// Has a turn's share set aside and puts what was said before it in front of its body.
+    /// Reserves budget units for a turn and prepends the earlier turns of its conversation to its body. Does nothing
+    /// for a request that is not on a streaming route.
     ///
     /// # Errors
-    /// The answer to a turn that can't be run.
+    /// The answer for the client when the turn must not run.
     pub(super) async fn begin_turn(&self, request: &mut ForwardedRequest) -> Result<(), Answer> {
         let route = &request.route;
         if route.route_type != RouteType::Streaming {
@@ -88,10 +89,11 @@
         service.map_or(1, |service| service.chunk_tokens())
     }
 
-    /// Stores a turn whose answer is complete, before the answer's end goes to the client.
+    /// Stores a turn whose answer is complete, before the end of the answer is sent to the client. Does nothing for a
+    /// turn that is not retained.
     ///
     /// # Errors
-    /// It is not certain that the turn is stored: the answer must not look complete.
+    /// The turn may not be stored, so the answer must not appear complete to the client.
     pub(super) async fn store_turn(&self, turn: &Turn, id: &str, worker: &str) -> Result<(), TurnNotStored> {
         let Some(retained) = &turn.retained else { return Ok(()) };
         let record = store::Turn {
--- a/crates/gatekeeper/src/turns/cache.rs
+++ b/crates/gatekeeper/src/turns/cache.rs
@@ -1,21 +1,22 @@
-//! A bounded cache of turns. Turns never change once they are stored, so none can be out of date.
+//! Size-bounded LRU cache of turns. Stored turns are immutable, so cached ones need no invalidation.
 
 use fnv::FnvHashMap;
 use opalrun_wire::store::Turn;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// What an entry takes beside the turn's own bytes, about.
+/// Approximate memory of a cache entry in addition to the turn's own bytes.
 const ENTRY_OVERHEAD_BYTES: usize = 320;
 
-/// Turns by their id; the least recently used are evicted.
+/// Caches turns by id and evicts the least recently used ones.
 #[derive(Debug)]
 pub struct TurnCache {
     capacity_bytes: usize,
     used_bytes: usize,
     entries: FnvHashMap<Rc<str>, Entry>,
-    /// Ids by their last use, the oldest first.
+    /// Ids by the `use_counter` value of their last use, least recently used first.
     ids_by_last_use: BTreeMap<u64, Rc<str>>,
+    /// Incremented with each use of an entry.
     use_counter: u64,
 }
 
@@ -27,7 +28,7 @@
 }
 
 impl TurnCache {
-    /// An empty cache of that size in bytes.
+    /// Creates an empty cache of at most `capacity_bytes`.
     #[must_use]
     pub fn new(capacity_bytes: usize) -> Self {
         Self {
@@ -39,7 +40,7 @@
         }
     }
 
-    /// A cached turn; counts as a use of it.
+    /// Returns a cached turn and marks it as used.
     pub fn get(&mut self, id: &str) -> Option<Rc<Turn>> {
         let entry = self.entries.get_mut(id)?;
         let id_key = self.ids_by_last_use.remove(&entry.last_use)?;
@@ -49,7 +50,7 @@
         Some(Rc::clone(&entry.turn))
     }
 
-    /// Adds a turn and evicts the least recently used ones. A turn larger than the cache is not added.
+    /// Adds a turn and evicts least recently used turns as needed. A turn larger than the capacity is not added.
     pub fn insert(&mut self, turn: Rc<Turn>) {
         self.remove(&turn.id);
         let bytes = size_in_bytes(&turn);
@@ -66,7 +67,7 @@
         self.used_bytes += bytes;
     }
 
-    /// Approximate size of all entries, in bytes.
+    /// Returns the approximate size of all entries, in bytes.
     #[must_use]
     pub fn used_bytes(&self) -> usize {
         self.used_bytes
--- a/crates/gatekeeper/src/turns/chain.rs
+++ b/crates/gatekeeper/src/turns/chain.rs
@@ -1,4 +1,4 @@
-//! The chain of a turn.
+//! The chain of the turns that precede a turn.
 
 use opalrun_wire::store::Turn;
 use std::rc::Rc;
@@ -6,17 +6,17 @@
 /// The inputs and outputs of all turns before a turn.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Chain {
-    /// For each earlier turn its input, then the data of its events: what the worker receives before the new input.
+    /// Input and event data of each earlier turn, oldest first. The worker receives them before the new input.
     pub bytes: Vec<u8>,
-    /// The earlier turns, oldest first: the `ancestors` of the turn that follows.
+    /// Ids of the earlier turns, oldest first. They are the `ancestors` of the new turn.
     pub ancestors: Vec<String>,
-    /// The worker that answered the last of them.
+    /// Id of the worker that answered the newest of the earlier turns; empty without earlier turns.
     pub worker: String,
 }
 
 impl Chain {
-    /// Joins turns, oldest first.
-    pub(super) fn of(turns: &[Rc<Turn>]) -> Self {
+    /// Concatenates turns, which must be ordered oldest first.
+    pub(super) fn from_turns(turns: &[Rc<Turn>]) -> Self {
         let length = turns.iter().map(|turn| turn.input.len() + turn.output.len()).sum();
         let mut bytes = Vec::with_capacity(length);
         for turn in turns {
@@ -28,7 +28,7 @@
         Self { bytes, ancestors, worker }
     }
 
-    /// The body for the worker: the chain and then the new input.
+    /// Returns the request body for the worker: the chain followed by the new input.
     #[must_use]
     pub fn body(&self, input: &[u8]) -> Vec<u8> {
         [self.bytes.as_slice(), input].concat()
--- a/crates/gatekeeper/src/turns/error.rs
+++ b/crates/gatekeeper/src/turns/error.rs
@@ -1,15 +1,18 @@
-//! Errors of reading a chain.
+//! Errors of reading the chain of a turn.
 
 use opalrun_wire::ResultCode;
 use snafu::Snafu;
 
-/// Why a turn that continues another one can't be sent.
+/// Why the chain of a turn that continues an earlier one could not be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum ChainError {
-    /// There is no such turn, for sure: the answer is 404.
-    #[snafu(display("{}: there is no such turn", ResultCode::UNKNOWN_TURN))]
+    /// The earlier turn certainly does not exist. Answered with 404.
+    #[snafu(display("{}: the turn named by `Previous` does not exist", ResultCode::UNKNOWN_TURN))]
     Unknown,
-    /// It is not known whether there is, or a turn of the chain is unavailable now: the answer is 503.
-    #[snafu(display("{}: the chain of the turn could not be read in time", ResultCode::CHAIN_UNAVAILABLE))]
+    /// The stores did not answer in time, or a turn of the chain is missing from them. Answered with 503.
+    #[snafu(display(
+        "{}: the earlier turns could not be read from the stores",
+        ResultCode::CHAIN_UNAVAILABLE
+    ))]
     Unavailable,
 }
--- a/crates/gatekeeper/src/turns/mod.rs
+++ b/crates/gatekeeper/src/turns/mod.rs
@@ -1,7 +1,7 @@
-//! Retained turns: the inputs and outputs of a conversation, in the stores and, for a while, in memory.
+//! Retained turns: the inputs and outputs of a conversation, held in the stores and in a memory cache.
 //!
-//! [`Turns::chain`] gives what a worker must receive before the new input of a turn; [`Turns::store`] stores a turn
-//! that was answered completely.
+//! [`Turns::chain`] returns the earlier turns that a worker must receive before the new input of a turn;
+//! [`Turns::store`] stores a turn that was answered completely.
 
 mod cache;
 mod chain;
--- a/crates/gatekeeper/src/turns/store.rs
+++ b/crates/gatekeeper/src/turns/store.rs
@@ -1,4 +1,4 @@
-//! Reads chains from the cache, or from the stores what the cache lacks, and stores turns.
+//! Reads the chains of turns from the cache and the stores, and writes turns to the stores.
 
 use super::{Chain, ChainError, TurnCache};
 use opalrun_store_client::{StoreClient, TurnError};
@@ -9,19 +9,20 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 
-/// How long the stores may take for a complete chain.
+/// Time-out for reading a complete chain.
 const CHAIN_READ_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long the stores may take to store a turn. Its client has all its events by then and waits for the end only.
+/// Time-out for storing a turn. The client has received all events by then and waits only for the end of the answer.
 const TURN_WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The longest id that a turn can have: no stored turn has a longer one.
+/// Maximum length of a turn's id; no stored turn has a longer one.
 const MAX_ID_BYTES: usize = 256;
 
-/// The stores of turns, as this module uses them.
+/// Access to the turns in the stores.
 pub trait TurnStore: Clone + 'static {
-    /// Stores a turn, and retains its ancestors for as long; done when it is durable. Idempotent.
+    /// Stores a turn and extends the retention of its ancestors to the turn's own. Returns once the turn is durable.
+    /// Idempotent.
     fn put(&self, turn: &Turn, timeout: Duration) -> impl Future<Output = Result<(), TurnError>>;
 
-    /// Reads a turn. `None`: there is certainly no such turn.
+    /// Reads a turn; returns `None` when the turn certainly does not exist.
     fn get(&self, id: &str, timeout: Duration) -> impl Future<Output = Result<Option<Turn>, TurnError>>;
 }
 
@@ -35,23 +36,23 @@
     }
 }
 
-/// The retained turns, as a gatekeeper sees them. Runs on one thread, inside a `tokio::task::LocalSet`.
+/// Reads and writes retained turns through a cache. Runs on one thread, inside a `tokio::task::LocalSet`.
 pub struct Turns<S: TurnStore> {
     store: S,
     cache: Rc<RefCell<TurnCache>>,
 }
 
 impl<S: TurnStore> Turns<S> {
-    /// With a cache of that size.
+    /// Creates the reader and writer with a cache of at most `cache_bytes`.
     #[must_use]
     pub fn new(store: S, cache_bytes: usize) -> Self {
         Self { store, cache: Rc::new(RefCell::new(TurnCache::new(cache_bytes))) }
     }
 
-    /// What the worker of a turn must receive before its new input, for a turn that names `previous`.
+    /// Reads the chain that ends with the turn `previous`, for a turn that continues it.
     ///
     /// # Errors
-    /// There is no such turn, or its chain is unavailable now.
+    /// The turn does not exist, or its chain is unavailable at present.
     pub async fn chain(&self, previous: &str) -> Result<Chain, ChainError> {
         if previous.is_empty() || previous.len() > MAX_ID_BYTES {
             return Err(ChainError::Unknown);
@@ -59,21 +60,21 @@
         let read = self.read_chain(previous);
         let turns =
             tokio::time::timeout(CHAIN_READ_TIMEOUT, read).await.unwrap_or(Err(ChainError::Unavailable))?;
-        Ok(Chain::of(&turns))
+        Ok(Chain::from_turns(&turns))
     }
 
-    /// Stores a turn that was answered completely. The end of the answer may go to the client only once this has
+    /// Stores a turn that was answered completely. The end of the answer may be sent to the client only once this has
     /// succeeded.
     ///
     /// # Errors
-    /// It is not sure that the turn is stored: the answer must not look complete.
+    /// The turn may not be stored, so the answer must not appear complete to the client.
     pub async fn store(&self, turn: Turn) -> Result<(), TurnError> {
         self.store.put(&turn, TURN_WRITE_TIMEOUT).await?;
         self.cache.borrow_mut().insert(Rc::new(turn));
         Ok(())
     }
 
-    /// The turns up to and including `last`, oldest first.
+    /// Returns the turns up to and including `last`, oldest first.
     async fn read_chain(&self, last: &str) -> Result<Vec<Rc<Turn>>, ChainError> {
         let last = match self.cached(last) {
             Some(turn) => turn,
@@ -84,7 +85,7 @@
         Ok(turns)
     }
 
-    /// Reads what is not in memory in parallel.
+    /// Returns the turns with these ids; those that are not cached are read from the stores in parallel.
     async fn read_ancestors(&self, ids: &[String]) -> Result<Vec<Rc<Turn>>, ChainError> {
         let mut turns: Vec<Option<Rc<Turn>>> = ids.iter().map(|id| self.cached(id)).collect();
         let mut reads = JoinSet::new();
@@ -98,9 +99,9 @@
         }
         let complete: Option<Vec<_>> = turns.into_iter().collect();
         if complete.is_none() {
-            tracing::warn!("a turn is stored, but one before it is missing");
+            tracing::warn!("a stored turn lacks one of its ancestors in the stores");
         }
-        // The turn itself exists, so its client must not get "no such turn".
+        // The turn itself exists, so its client must not receive 404.
         complete.ok_or(ChainError::Unavailable)
     }
 
--- a/crates/gatekeeper/src/turns/tests.rs
+++ b/crates/gatekeeper/src/turns/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the cache, of chains and of keeping turns, over a fake of the stores in paused time.
+//! Tests of the turn cache, of reading chains and of storing turns, against fake stores in paused time.
 
 use super::{Chain, ChainError, TurnCache, TurnStore, Turns};
 use opalrun_store_client::TurnError;
@@ -10,9 +10,9 @@
 use tokio::task::LocalSet;
 
 const CACHE_BYTES: usize = 1_000_000;
-const READ_TIME: Duration = Duration::from_millis(3);
+const READ_LATENCY: Duration = Duration::from_millis(3);
 
-/// The stores: turns by id, with the number of reads.
+/// Fake stores that hold turns by id and count reads.
 #[derive(Clone, Default)]
 struct FakeTurnStore {
     turns: Rc<RefCell<BTreeMap<String, Turn>>>,
@@ -36,7 +36,7 @@
             tokio::time::sleep(timeout).await;
             return Err(TurnError::Unavailable);
         }
-        tokio::time::sleep(READ_TIME).await;
+        tokio::time::sleep(READ_LATENCY).await;
         Ok(self.turns.borrow().get(id).cloned())
     }
 }
@@ -52,17 +52,17 @@
     }
 }
 
-/// Stores with a chain of three turns, and a branch from the first.
+/// Creates stores with a chain of three turns, and a fourth turn that branches off the first.
 async fn store_with_branch() -> FakeTurnStore {
     let store = FakeTurnStore::default();
     for turn in [turn("a", &[]), turn("b", &["a"]), turn("c", &["a", "b"]), turn("d", &["a"])] {
-        store.put(&turn, READ_TIME).await.unwrap();
+        store.put(&turn, READ_LATENCY).await.unwrap();
     }
     store
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_chain_is_all_inputs_and_outputs_oldest_first() {
+async fn a_chain_joins_all_inputs_and_outputs_oldest_first() {
     let turns = Turns::new(store_with_branch().await, CACHE_BYTES);
     LocalSet::new()
         .run_until(async {
@@ -78,14 +78,14 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_chain_takes_two_reads_one_after_the_other_and_none_from_memory() {
+async fn reading_a_chain_takes_two_sequential_reads_and_none_when_cached() {
     let store = store_with_branch().await;
     let turns = Turns::new(store.clone(), CACHE_BYTES);
     LocalSet::new()
         .run_until(async {
             let started = tokio::time::Instant::now();
             turns.chain("c").await.unwrap();
-            assert_eq!(started.elapsed(), READ_TIME * 2);
+            assert_eq!(started.elapsed(), READ_LATENCY * 2);
             assert_eq!(store.reads.get(), 3);
             store.is_unavailable.set(true);
             turns.chain("c").await.unwrap();
@@ -112,7 +112,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_missing_ancestor_of_a_turn_that_exists_is_no_404() {
+async fn a_missing_ancestor_of_an_existing_turn_is_unavailable_rather_than_unknown() {
     let store = store_with_branch().await;
     store.turns.borrow_mut().remove("a");
     let turns = Turns::new(store, CACHE_BYTES);
@@ -124,7 +124,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_turn_that_could_not_be_stored_is_not_remembered() {
+async fn a_turn_that_could_not_be_stored_is_not_cached() {
     let store = store_with_branch().await;
     let turns = Turns::new(store.clone(), CACHE_BYTES);
     LocalSet::new()
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn the_cache_keeps_what_was_used_last_within_its_bytes() {
+fn the_cache_evicts_the_least_recently_used_turn_beyond_its_capacity() {
     let size_of_one = {
         let mut cache = TurnCache::new(CACHE_BYTES);
         cache.insert(Rc::new(turn("a", &[])));
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn the_cache_stays_within_its_bytes_in_any_order() {
+fn the_cache_never_exceeds_its_capacity_for_random_insertions() {
     bolero::check!().with_type::<Vec<(u8, u16)>>().for_each(|steps| {
         let mut cache = TurnCache::new(10_000);
         for (id, length) in steps {
