--- a/crates/gatekeeper/src/lease/driver.rs
+++ b/crates/gatekeeper/src/lease/driver.rs
@@ -146,10 +146,10 @@
     }
 
     async fn acquire(self: Rc<Self>, program: Rc<str>, current: u64, requested: u64) {
-        let began = self.now();
+        let started_at = self.now();
         let answer = self.store.acquire(&program, current, requested, ACQUISITION_TIMEOUT).await;
         let now = self.now();
-        self.metrics.record(now.saturating_sub(began), answer.is_some());
+        self.metrics.record(now.saturating_sub(started_at), answer.is_some());
         match answer {
             Some(others_taken) => self.leases.borrow_mut().granted(&program, others_taken, now),
             None => self.leases.borrow_mut().unavailable(&program, now),
--- a/crates/gatekeeper/src/lease/tests/budget_invariants.rs
+++ b/crates/gatekeeper/src/lease/tests/budget_invariants.rs
@@ -4,8 +4,8 @@
 use super::simulation::{Network, Simulation};
 use std::time::Duration;
 
-const RELIABLE_NETWORK: Network = Network { max_latency: Duration::from_millis(8), lost: 0 };
-const SLOW_LOSSY_NETWORK: Network = Network { max_latency: Duration::from_millis(300), lost: 60 };
+const RELIABLE_NETWORK: Network = Network { max_latency: Duration::from_millis(8), lost_per_256: 0 };
+const SLOW_LOSSY_NETWORK: Network = Network { max_latency: Duration::from_millis(300), lost_per_256: 60 };
 /// Long enough for every pending turn to be decided and all idle units to be returned.
 const SETTLE_TIME: Duration = Duration::from_secs(5);
 const UNITS_PER_EVENT: u64 = 3;
--- a/crates/gatekeeper/src/lease/tests/simulation.rs
+++ b/crates/gatekeeper/src/lease/tests/simulation.rs
@@ -14,8 +14,8 @@
 pub(super) struct Network {
     /// Maximum one-way latency.
     pub(super) max_latency: Duration,
-    /// Probability that the answer to an acquisition is lost, in 1/256.
-    pub(super) lost: u8,
+    /// Probability that the answer to an acquisition is lost, in units of 1/256.
+    pub(super) lost_per_256: u8,
 }
 
 /// One gatekeeper's entry in the program's count.
@@ -240,7 +240,7 @@
     fn acquire(&mut self, gatekeeper: usize, current: u64, requested: u64) {
         let holder = self.gatekeepers[gatekeeper].holder;
         let written_at = self.write(gatekeeper, requested);
-        if self.random.u8(..) < self.network.lost {
+        if self.random.u8(..) < self.network.lost_per_256 {
             self.send(self.now + ACQUISITION_TIMEOUT, Message::GiveUp { holder, current });
         } else {
             // The other entries are read at some time after the write.
--- a/crates/gatekeeper/src/proxy/attempt.rs
+++ b/crates/gatekeeper/src/proxy/attempt.rs
@@ -70,12 +70,12 @@
 
     /// Returns the number of failed attempts.
     #[must_use]
-    pub fn count(&self) -> u32 {
+    pub fn failed_count(&self) -> u32 {
         self.failed
     }
 
     /// Records a failed attempt, `time_left` before the request's deadline, and decides on the next step.
-    pub fn failed(&mut self, failure: AttemptFailure, time_left: Duration) -> NextStep {
+    pub fn record_failure(&mut self, failure: AttemptFailure, time_left: Duration) -> NextStep {
         self.failed += 1;
         if matches!(failure, AttemptFailure::MayHaveRun | AttemptFailure::WorkerFailed) {
             self.possible_executions += 1;
--- a/crates/gatekeeper/src/proxy/event_stream.rs
+++ b/crates/gatekeeper/src/proxy/event_stream.rs
@@ -1,4 +1,4 @@
-//! Splits a `text/event-stream` into complete events as its bytes come.
+//! Incremental parser that splits a `text/event-stream` body into complete events.
 
 use bytes::{Bytes, BytesMut};
 use hyper::{StatusCode, header, http::response::Parts};
@@ -7,10 +7,10 @@
 #[cfg(test)]
 mod tests;
 
-/// Longest event, in bytes.
+/// Maximum length of an event, in bytes.
 pub const MAX_EVENT_BYTES: usize = 256 * 1024;
 
-/// Why a stream can't be read on.
+/// Why a stream can't be read any further.
 #[derive(Debug, Snafu, Clone, Copy, PartialEq, Eq)]
 pub enum EventError {
     /// An event is longer than [`MAX_EVENT_BYTES`].
@@ -18,19 +18,20 @@
     TooLong,
 }
 
-/// Whether an answer is a stream of events.
+/// Whether an answer is an event stream with status 200.
 #[must_use]
 pub fn is_event_stream(parts: &Parts) -> bool {
-    let kind = parts.headers.get(header::CONTENT_TYPE).and_then(|value| value.to_str().ok());
-    parts.status == StatusCode::OK && kind.is_some_and(|kind| kind.starts_with("text/event-stream"))
+    let content_type = parts.headers.get(header::CONTENT_TYPE).and_then(|value| value.to_str().ok());
+    parts.status == StatusCode::OK
+        && content_type.is_some_and(|content_type| content_type.starts_with("text/event-stream"))
 }
 
-/// One event, as its worker sent it.
+/// One event of a worker's stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// Its bytes, the blank line after it included.
+    /// Bytes of the event as received, including the blank line that ends it.
     pub raw: Bytes,
-    /// Its id, where it has a whole number as id.
+    /// Value of the event's last `id` field when that is an unsigned integer.
     pub id: Option<u64>,
 }
 
@@ -43,7 +44,8 @@
         Self { raw, id }
     }
 
-    /// Appends the event's data and a line feed; an event without data adds nothing.
+    /// Appends the event's data lines, joined by line feeds, and a final line feed. Appends nothing for an event without
+    /// data.
     pub fn append_data(&self, to: &mut Vec<u8>) {
         let mut lines = fields(&self.raw).filter(|(name, _)| *name == b"data");
         let Some((_, first)) = lines.next() else { return };
@@ -55,14 +57,14 @@
         to.push(b'\n');
     }
 
-    /// Whether the event carries data.
+    /// Whether the event has a `data` field.
     #[must_use]
     pub fn has_data(&self) -> bool {
         fields(&self.raw).any(|(name, _)| name == b"data")
     }
 }
 
-/// The fields of an event, by name and value.
+/// Iterates over the names and values of an event's fields.
 fn fields(raw: &[u8]) -> impl Iterator<Item = (&[u8], &[u8])> {
     raw.split(|byte| *byte == b'\n').filter_map(|line| {
         let line = line.strip_suffix(b"\r").unwrap_or(line);
@@ -73,19 +75,19 @@
     })
 }
 
-/// Collects bytes until they make whole events.
+/// Buffers received bytes until they form complete events.
 #[derive(Debug, Default)]
 pub struct EventReader {
     bytes: BytesMut,
-    /// Bytes that were searched already without an end of an event being found.
+    /// Number of leading bytes that are known not to contain the end of an event.
     searched: usize,
 }
 
 impl EventReader {
-    /// Takes in what has come.
+    /// Adds received bytes to the buffer.
     ///
     /// # Errors
-    /// Where an event that has not ended is too long already.
+    /// The incomplete event in the buffer would exceed [`MAX_EVENT_BYTES`].
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), EventError> {
         if self.bytes.len() + bytes.len() > MAX_EVENT_BYTES && self.end_of_event().is_none() {
             return TooLongSnafu.fail();
@@ -94,11 +96,11 @@
         Ok(())
     }
 
-    /// The next whole event, if it is there.
+    /// Removes and returns the next complete event; `None` when the buffer contains none.
     pub fn next_event(&mut self) -> Option<Event> {
         let end = self.end_of_event();
         let Some(end) = end else {
-            // The end may begin with the last two bytes.
+            // The last two bytes may be the beginning of the blank line that ends the event.
             self.searched = self.bytes.len().saturating_sub(2);
             return None;
         };
@@ -106,25 +108,25 @@
         Some(Event::new(self.bytes.split_to(end).freeze()))
     }
 
-    /// Whether a whole event is there.
+    /// Whether the buffer contains a complete event.
     #[must_use]
     pub fn has_event(&self) -> bool {
         self.end_of_event().is_some()
     }
 
-    /// Whether bytes of an event that has not ended are held.
+    /// Whether the buffer contains bytes; once all complete events are taken, these belong to an incomplete event.
     #[must_use]
     pub fn has_incomplete_event(&self) -> bool {
         !self.bytes.is_empty()
     }
 
-    /// What is held of an event that has not ended.
+    /// Removes and returns all buffered bytes, which are those of an incomplete event once all complete ones are taken.
     pub fn take_incomplete_event(&mut self) -> Bytes {
         self.searched = 0;
         self.bytes.split().freeze()
     }
 
-    /// Where the first event ends: after a blank line.
+    /// Returns the length of the first event, including the blank line that ends it.
     fn end_of_event(&self) -> Option<usize> {
         let bytes = &self.bytes[..];
         let mut at = self.searched;
--- a/crates/gatekeeper/src/proxy/event_stream/tests.rs
+++ b/crates/gatekeeper/src/proxy/event_stream/tests.rs
@@ -5,25 +5,25 @@
 }
 
 #[test]
-fn events_come_out_complete_however_their_bytes_are_cut() {
+fn events_are_complete_for_every_chunk_size() {
     let text = b"id: 1\ndata: a\n\nversions: 3\r\nid: 2\r\ndata: b\r\ndata: c\r\n\r\nid: 3\ndata:d\n\n";
     for size in 1..text.len() {
         let mut reader = EventReader::default();
         let mut events = Vec::new();
-        for part in text.chunks(size) {
-            reader.push(part).expect("short events");
+        for chunk in text.chunks(size) {
+            reader.push(chunk).expect("short events");
             events.extend(read_all(&mut reader));
         }
         let ids: Vec<_> = events.iter().map(|event| event.id).collect();
-        assert_eq!(ids, [Some(1), Some(2), Some(3)], "in pieces of {size}");
+        assert_eq!(ids, [Some(1), Some(2), Some(3)], "chunks of {size} bytes");
         let joined: Vec<u8> = events.iter().flat_map(|event| event.raw.to_vec()).collect();
-        assert_eq!(joined, text, "nothing is changed");
+        assert_eq!(joined, text, "the bytes of the events are unchanged");
         assert!(!reader.has_incomplete_event());
     }
 }
 
 #[test]
-fn the_data_of_an_event_is_joined_by_line_feeds() {
+fn data_fields_of_an_event_are_joined_by_line_feeds() {
     let mut reader = EventReader::default();
     reader.push(b"id: 7\ndata: one\ndata:  two\n\n: a comment\n\n").expect("short events");
     let events = read_all(&mut reader);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_part_of_an_event_is_held_back() {
+fn an_incomplete_event_stays_buffered() {
     let mut reader = EventReader::default();
     reader.push(b"id: 1\ndata: a\n\nid: 2\nda").expect("short events");
     assert_eq!(read_all(&mut reader).len(), 1);
@@ -46,23 +46,23 @@
 }
 
 #[test]
-fn an_event_without_end_is_refused() {
+fn an_event_longer_than_the_limit_is_rejected() {
     let mut reader = EventReader::default();
-    let piece = vec![b'x'; MAX_EVENT_BYTES / 4];
+    let chunk = vec![b'x'; MAX_EVENT_BYTES / 4];
     for _ in 0..4 {
-        reader.push(&piece).expect("within the bound");
+        reader.push(&chunk).expect("within the limit");
         assert_eq!(reader.next_event(), None);
     }
-    assert_eq!(reader.push(&piece), Err(EventError::TooLong));
+    assert_eq!(reader.push(&chunk), Err(EventError::TooLong));
 }
 
 #[test]
-fn no_bytes_make_it_fail_or_change_them() {
-    bolero::check!().with_type::<Vec<Vec<u8>>>().for_each(|pieces| {
+fn arbitrary_bytes_pass_through_unchanged() {
+    bolero::check!().with_type::<Vec<Vec<u8>>>().for_each(|chunks| {
         let mut reader = EventReader::default();
         let mut out = Vec::new();
-        for piece in pieces {
-            if reader.push(piece).is_err() {
+        for chunk in chunks {
+            if reader.push(chunk).is_err() {
                 return;
             }
             for event in read_all(&mut reader) {
@@ -72,6 +72,6 @@
             }
         }
         out.extend_from_slice(&reader.take_incomplete_event());
-        assert_eq!(out, pieces.concat());
+        assert_eq!(out, chunks.concat());
     });
 }
--- a/crates/gatekeeper/src/proxy/failed_requests.rs
+++ b/crates/gatekeeper/src/proxy/failed_requests.rs
@@ -1,6 +1,6 @@
-//! Counts and logs requests that ended without a complete answer: each is counted by the type of its route and the
-//! reason, and logged with the time that its client had left. The log is rate limited; the counters are not.
-//! `docs/operations.md` lists the metric `unserved_requests_total`, the log's fields and the reasons.
+//! Counts and logs requests that ended without a complete answer. Each is counted by route type and reason, and logged
+//! with the time left until its deadline. The log is rate limited; the counters are not. `docs/operations.md` lists the
+//! metric `unserved_requests_total`, the fields of the log line and the reasons.
 
 use crate::proxy::{
     answer::Answer,
@@ -21,38 +21,39 @@
 #[cfg(test)]
 mod tests;
 
-/// Most lines that are logged in a [`LOG_INTERVAL`]; requests beyond them are only counted.
+/// Maximum number of lines logged per [`LOG_INTERVAL`]; further requests are only counted.
 const MAX_LINES_PER_INTERVAL: u32 = 40;
 /// Interval of the log's rate limit.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Why a request got no complete answer.
+/// Why a request received no complete answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FailureReason {
-    /// No worker of the service is known that the request was not sent to before.
+    /// The service has no worker at which the request was not attempted before.
     NoWorker,
-    /// The queues of all workers that might serve are full.
+    /// The queues of all candidate workers are full.
     WorkersFull,
-    /// Workers rejected it, or no connection to one came up (`not_taken`).
+    /// Workers rejected the request, or no connection to a worker could be established (`not_taken`).
     Rejected,
-    /// The stores did not tell its program's budget in time (`count_unavailable`).
+    /// The stores did not return the program's used budget in time (`count_unavailable`).
     BudgetUnavailable,
-    /// The stores did not send the turns before it in time.
+    /// The stores did not return the earlier turns in time.
     TurnsUnavailable,
-    /// A worker answered with a failure of its own.
+    /// A worker answered with a server error.
     WorkerFailed,
-    /// A worker's connection broke, or what came was no answer (`worker_broke`).
+    /// The connection to a worker broke, or its answer was invalid (`worker_broke`).
     ConnectionBroken,
-    /// Its deadline passed before its answer was complete (`time_over`).
+    /// The deadline passed before the answer was complete (`time_over`).
     DeadlineExceeded,
-    /// Its answer was complete, but the stores did not store its turn in time (`not_kept`).
+    /// The answer was complete, but the stores did not store the turn in time (`not_kept`).
     TurnNotStored,
-    /// Its client closed the connection (`client_left`).
+    /// The client closed the connection (`client_left`).
     ClientDisconnected,
 }
 
 impl FailureReason {
-    /// Its label in metrics and its value in logs, as operators' queries name it.
+    /// Returns the reason's label value in metrics, which is also its value in the log. Operators' queries use these
+    /// names.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -69,7 +70,7 @@
         }
     }
 
-    /// The reason for a request whose last attempt ended with `failure` while `time_left` remained until its deadline.
+    /// Returns the reason for a request whose last attempt ended with `failure`, `time_left` before its deadline.
     #[must_use]
     pub fn after_attempt(failure: AttemptFailure, time_left: Duration) -> Self {
         match failure {
@@ -90,11 +91,12 @@
     }
 }
 
-/// Bounds how many lines are logged in an interval.
+/// Limits how many lines are logged per interval.
 #[derive(Debug)]
 struct LogRateLimit {
     interval_start: Cell<Instant>,
     lines: Cell<u32>,
+    /// Lines suppressed since the last admitted one.
     suppressed: Cell<u64>,
 }
 
@@ -103,7 +105,7 @@
         Self { interval_start: Cell::new(now), lines: Cell::new(0), suppressed: Cell::new(0) }
     }
 
-    /// Whether a line may be logged: then how many were suppressed since the last one.
+    /// Returns `None` when a line must not be logged; otherwise the number of lines suppressed since the last one.
     fn admit(&self, now: Instant) -> Option<u64> {
         if now.saturating_duration_since(self.interval_start.get()) >= LOG_INTERVAL {
             self.interval_start.set(now);
@@ -118,32 +120,34 @@
     }
 }
 
-/// Counts and logs requests that got no complete answer.
+/// Counts and logs requests that received no complete answer.
 #[derive(Debug)]
 pub struct FailedRequests {
-    /// Their number, by type of route and reason.
+    /// Number of failed requests by route type and reason.
     pub counters: LabelledCounter,
-    limit: LogRateLimit,
+    log_rate_limit: LogRateLimit,
 }
 
 impl Default for FailedRequests {
     fn default() -> Self {
-        Self { counters: LabelledCounter::default(), limit: LogRateLimit::new(Instant::now()) }
+        Self { counters: LabelledCounter::default(), log_rate_limit: LogRateLimit::new(Instant::now()) }
     }
 }
 
 impl FailedRequests {
-    /// Counts one more.
-    fn count(&self, kind: RouteType, reason: FailureReason) {
-        let labels =
-            vec![("route_type", route_type_name(kind).to_owned()), ("reason", reason.name().to_owned())];
+    /// Increments the counter of a route type and reason.
+    fn count(&self, route_type: RouteType, reason: FailureReason) {
+        let labels = vec![
+            ("route_type", route_type_name(route_type).to_owned()),
+            ("reason", reason.name().to_owned()),
+        ];
         self.counters.get_or_create(&labels).inc();
     }
 
-    /// Counts and logs a request that ended without a complete answer after `attempts` ended attempts.
+    /// Counts and logs a request that ended without a complete answer after `attempts` failed attempts.
     pub fn record(&self, request: &ForwardedRequest, reason: FailureReason, attempts: u32) {
         self.count(request.route.route_type, reason);
-        let Some(suppressed) = self.limit.admit(Instant::now()) else { return };
+        let Some(suppressed) = self.log_rate_limit.admit(Instant::now()) else { return };
         let header = |name| request_parameters::header_text(&request.headers, name).unwrap_or("-");
         info!(
             reason = reason.name(),
@@ -152,26 +156,26 @@
             program = header(&request_parameters::PROGRAM),
             session = header(&request_parameters::SESSION),
             id = %request.parameters.request_id,
-            held_ms = request.arrived.elapsed().as_millis() as u64,
+            held_ms = request.received_at.elapsed().as_millis() as u64,
             left_ms = request.time_left().as_millis() as u64,
             program_left_ms = header(&request_parameters::FINISH_MS),
             tries = attempts,
             left_out = suppressed,
-            "a request got no whole answer"
+            "request ended without a complete answer"
         );
     }
 }
 
-fn route_type_name(kind: RouteType) -> &'static str {
-    match kind {
+fn route_type_name(route_type: RouteType) -> &'static str {
+    match route_type {
         RouteType::Safe => "safe",
         RouteType::Unsafe => "unsafe",
         RouteType::Streaming => "streaming",
     }
 }
 
-/// Records a request whose client disconnects before there is an answer: dropped before it was finished, the watch
-/// records [`FailureReason::ClientDisconnected`].
+/// Detects that a client disconnects before its request is answered: when the watch is dropped without
+/// [`answered`](Self::answered) or [`failed`](Self::failed), it records [`FailureReason::ClientDisconnected`].
 pub struct DisconnectWatch {
     failed_requests: Rc<FailedRequests>,
     request: Rc<ForwardedRequest>,
@@ -179,7 +183,7 @@
 }
 
 impl DisconnectWatch {
-    /// Watches the request from now on.
+    /// Starts to watch the request.
     pub fn new(failed_requests: &Rc<FailedRequests>, request: &Rc<ForwardedRequest>) -> Self {
         Self {
             failed_requests: failed_requests.clone(),
@@ -188,16 +192,16 @@
         }
     }
 
-    /// Finishes with an answer that serves the request, or with the beginning of a stream.
+    /// Ends the watch and returns `answer`, which is successful or the beginning of a stream.
     pub fn answered(self, answer: Answer) -> Answer {
         self.finished.set(true);
         answer
     }
 
-    /// Finishes with an answer that does not serve the request, and records why.
+    /// Ends the watch, records the failure and its reason, and returns `answer`, which reports the failure.
     pub fn failed(self, attempts: &Attempts, reason: FailureReason, answer: Answer) -> Answer {
         self.finished.set(true);
-        self.failed_requests.record(&self.request, reason, attempts.count());
+        self.failed_requests.record(&self.request, reason, attempts.failed_count());
         answer
     }
 }
--- a/crates/gatekeeper/src/proxy/failed_requests/tests.rs
+++ b/crates/gatekeeper/src/proxy/failed_requests/tests.rs
@@ -1,4 +1,4 @@
-//! Reasons, and how many lines are logged.
+//! Tests of the reasons of failed requests, their counters and the log's rate limit.
 
 use super::{FailedRequests, FailureReason, LOG_INTERVAL, LogRateLimit, MAX_LINES_PER_INTERVAL};
 use crate::proxy::attempt::AttemptFailure;
@@ -7,30 +7,30 @@
 
 #[test]
 fn lines_beyond_the_limit_are_suppressed_and_counted() {
-    let began = Instant::now();
-    let limit = LogRateLimit::new(began);
+    let start = Instant::now();
+    let limit = LogRateLimit::new(start);
     for _ in 0..MAX_LINES_PER_INTERVAL {
-        assert_eq!(limit.admit(began), Some(0));
+        assert_eq!(limit.admit(start), Some(0));
     }
-    assert_eq!(limit.admit(began), None);
-    assert_eq!(limit.admit(began), None);
-    assert_eq!(limit.admit(began + LOG_INTERVAL), Some(2));
-    assert_eq!(limit.admit(began + LOG_INTERVAL), Some(0));
+    assert_eq!(limit.admit(start), None);
+    assert_eq!(limit.admit(start), None);
+    assert_eq!(limit.admit(start + LOG_INTERVAL), Some(2));
+    assert_eq!(limit.admit(start + LOG_INTERVAL), Some(0));
 }
 
 #[test]
-fn a_passed_deadline_is_the_reason_whatever_the_worker_did() {
-    let left = Duration::from_millis(20);
+fn a_passed_deadline_takes_precedence_over_a_broken_connection() {
+    let time_left = Duration::from_millis(20);
     assert_eq!(
         FailureReason::after_attempt(AttemptFailure::MayHaveRun, Duration::ZERO),
         FailureReason::DeadlineExceeded
     );
     assert_eq!(
-        FailureReason::after_attempt(AttemptFailure::MayHaveRun, left),
+        FailureReason::after_attempt(AttemptFailure::MayHaveRun, time_left),
         FailureReason::ConnectionBroken
     );
-    assert_eq!(FailureReason::after_attempt(AttemptFailure::NotSent, left), FailureReason::Rejected);
-    assert_eq!(FailureReason::after_attempt(AttemptFailure::NotExecuted, left), FailureReason::Rejected);
+    assert_eq!(FailureReason::after_attempt(AttemptFailure::NotSent, time_left), FailureReason::Rejected);
+    assert_eq!(FailureReason::after_attempt(AttemptFailure::NotExecuted, time_left), FailureReason::Rejected);
     assert_eq!(
         FailureReason::after_attempt(AttemptFailure::WorkerFailed, Duration::ZERO),
         FailureReason::WorkerFailed
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn each_route_type_and_reason_is_counted_by_itself() {
+fn each_route_type_and_reason_is_counted_separately() {
     let failed_requests = FailedRequests::default();
     failed_requests.count(RouteType::Streaming, FailureReason::DeadlineExceeded);
     failed_requests.count(RouteType::Streaming, FailureReason::DeadlineExceeded);
--- a/crates/gatekeeper/src/proxy/freshness.rs
+++ b/crates/gatekeeper/src/proxy/freshness.rs
@@ -1,4 +1,4 @@
-//! Since when what is known of workers and configuration may be out of date.
+//! Tracks when control last confirmed that the workers and the configuration known here are up to date.
 
 use std::{
     cell::Cell,
@@ -6,46 +6,46 @@
 };
 use tracing::info;
 
-/// Age up to which what is known counts as fresh.
+/// Maximum age of the last confirmation for the state to count as fresh.
 const MAX_FRESH_AGE: Duration = Duration::from_secs(2);
 
-/// When control last confirmed what this gatekeeper knows.
+/// Time of control's last confirmation of this gatekeeper's state.
 pub struct Freshness {
     started: Instant,
-    /// Time from the start to the last confirmation.
-    fresh_at: Cell<Option<Duration>>,
+    /// Time from `started` to the last confirmation.
+    confirmed_at: Cell<Option<Duration>>,
 }
 
 impl Freshness {
-    /// Nothing was confirmed yet; time counts from `started`.
+    /// Starts without a confirmation. Times are counted from `started`.
     #[must_use]
     pub fn new(started: Instant) -> Self {
-        Self { started, fresh_at: Cell::new(None) }
+        Self { started, confirmed_at: Cell::new(None) }
     }
 
-    /// What is known was confirmed at `at`.
+    /// Records a confirmation at `at`.
     pub fn confirm(&self, at: Instant) {
-        let before = self.fresh_at.replace(Some(at.saturating_duration_since(self.started)));
+        let before = self.confirmed_at.replace(Some(at.saturating_duration_since(self.started)));
         if before.is_none() {
-            info!("knows what holds as of now");
+            info!("control has confirmed the state of workers and configuration for the first time");
         }
     }
 
-    /// Whether anything was ever confirmed.
+    /// Whether there was a confirmation since the start.
     #[must_use]
     pub fn was_confirmed(&self) -> bool {
-        self.fresh_at.get().is_some()
+        self.confirmed_at.get().is_some()
     }
 
     /// Whether the last confirmation is at most [`MAX_FRESH_AGE`] old.
     #[must_use]
     pub fn is_fresh(&self) -> bool {
-        self.fresh_at.get().is_some_and(|at| self.started.elapsed() <= at + MAX_FRESH_AGE)
+        self.confirmed_at.get().is_some_and(|at| self.started.elapsed() <= at + MAX_FRESH_AGE)
     }
 
-    /// Time since the last confirmation; `None` where there was none.
+    /// Returns the time since the last confirmation; `None` when there was none.
     #[must_use]
     pub fn age(&self) -> Option<Duration> {
-        self.fresh_at.get().map(|at| self.started.elapsed().saturating_sub(at))
+        self.confirmed_at.get().map(|at| self.started.elapsed().saturating_sub(at))
     }
 }
--- a/crates/gatekeeper/src/proxy/handler.rs
+++ b/crates/gatekeeper/src/proxy/handler.rs
@@ -1,4 +1,4 @@
-//! Serves one request of a client: finds its route, attempts it at workers, and answers.
+//! Serves one request of a client: finds its route, attempts it at workers, and answers the client.
 
 use crate::proxy::{
     Proxy,
@@ -24,19 +24,19 @@
 use std::{pin::pin, rc::Rc, sync::Arc, time::Duration};
 use tokio::time::{Instant, timeout_at};
 
-/// `Retry-After` while no configuration is known.
+/// `Retry-After` while no current configuration is known, or no memory is left for the request body.
 const UNCONFIGURED_RETRY_AFTER: Duration = Duration::from_millis(300);
-/// `Retry-After` of a rejected request, as a share of its target latency.
+/// `Retry-After` of a rejected request, as a fraction of its route's target latency.
 const REJECTION_RETRY_AFTER_SHARE: f64 = 0.3;
-/// The longest that an idempotent request waits for an answer to begin while another worker could be attempted, as a
-/// multiple of its target latency.
+/// Maximum wait of an idempotent request for the beginning of its answer while a further attempt is allowed, as a
+/// multiple of the route's target latency.
 const MAX_ANSWER_WAIT_IN_TARGETS: u32 = 3;
-/// The same for a stream, whose prompt would have to be read anew.
+/// The same limit for a stream. It is higher because another worker would have to process the prompt again.
 const MAX_STREAM_WAIT_IN_TARGETS: u32 = 6;
-/// The lower bound of these limits.
+/// Lower bound of both limits.
 const MIN_ANSWER_WAIT_LIMIT: Duration = Duration::from_millis(400);
 
-/// Hands requests of clients to the proxy.
+/// Passes requests of clients to the proxy.
 pub struct ClientHandler(pub Rc<Proxy>);
 
 impl Handler for ClientHandler {
@@ -48,15 +48,15 @@
     }
 }
 
-/// How an attempt at a worker ended.
+/// Outcome of an attempt at a worker.
 pub enum AttemptOutcome {
-    /// An answer to forward.
+    /// The worker's complete answer, to be forwarded.
     Answer(Answer),
-    /// The worker's own failure.
+    /// The worker's complete answer, which is a server error (5xx).
     WorkerFailed(Answer),
-    /// A stream that has begun.
+    /// The worker has begun an event stream.
     Stream(Box<Stream>),
-    /// There is no answer to forward.
+    /// The attempt yielded no answer to forward.
     Failed(AttemptFailure),
 }
 
@@ -80,7 +80,7 @@
         answer
     }
 
-    /// Makes a request ready that is a turn of a program, and has a worker answer it.
+    /// Begins the request's turn if it is one, and then attempts the request at workers.
     async fn run_request(self: &Rc<Self>, mut request: ForwardedRequest) -> Answer {
         match self.begin_turn(&mut request).await {
             Ok(()) => self.attempt_workers(request).await,
@@ -88,9 +88,9 @@
         }
     }
 
-    /// Finds the route, and reads the complete request.
+    /// Finds the route of a request, validates its headers and reads its body.
     async fn admit(&self, request: Request<Incoming>) -> Result<ForwardedRequest, Answer> {
-        let arrived = Instant::now();
+        let received_at = Instant::now();
         let configuration = self.configuration().ok_or_else(|| answer::reject(UNCONFIGURED_RETRY_AFTER))?;
         let (mut head, incoming) = request.into_parts();
         let route = route_of(&configuration, &head).ok_or_else(|| self.unknown_route_answer())?;
@@ -101,9 +101,9 @@
         }
         let parameters = RequestParameters::read(&head.headers)
             .map_err(|error| answer::with_message(StatusCode::BAD_REQUEST, &error.to_string()))?;
-        let deadline = request::request_deadline(arrived, &parameters, &route);
-        let longest = configuration.limits.max_body_bytes;
-        let body = body::read_complete(incoming, &self.memory, longest, deadline)
+        let deadline = request::request_deadline(received_at, &parameters, &route);
+        let max_bytes = configuration.limits.max_body_bytes;
+        let body = body::read_complete(incoming, &self.body_memory, max_bytes, deadline)
             .await
             .map_err(body_error_answer)?;
         remove_connection_headers(&mut head.headers);
@@ -117,14 +117,15 @@
             parameters,
             service,
             route,
-            arrived,
+            received_at,
             deadline,
             turn: Turn::default(),
             reservation: body.reservation,
         })
     }
 
-    /// The answer to a request without a route, which a newer configuration may have.
+    /// Returns the answer to a request that matches no route: 404, or 503 while a newer configuration that has the route
+    /// may exist.
     fn unknown_route_answer(&self) -> Answer {
         if self.is_fresh() {
             answer::without_body(StatusCode::NOT_FOUND)
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Attempts the request at workers until one answers, or none may be attempted any more.
+    /// Attempts the request at workers until one answers or no further attempt is possible.
     async fn attempt_workers(self: &Rc<Self>, request: ForwardedRequest) -> Answer {
         let request = Rc::new(request);
         let mut attempts = Attempts::new(request.route.is_idempotent(), request.route.max_attempts);
@@ -155,7 +156,7 @@
                 AttemptOutcome::Answer(answer) => return watch.answered(answer),
                 AttemptOutcome::Stream(stream) => return watch.answered(stream.relay(attempts, attempted)),
                 AttemptOutcome::WorkerFailed(answer) => {
-                    if attempts.failed(AttemptFailure::WorkerFailed, request.time_left())
+                    if attempts.record_failure(AttemptFailure::WorkerFailed, request.time_left())
                         != NextStep::AttemptAnother
                     {
                         return watch.failed(&attempts, FailureReason::WorkerFailed, answer);
@@ -163,7 +164,7 @@
                 }
                 AttemptOutcome::Failed(failure) => {
                     let time_left = request.time_left();
-                    if attempts.failed(failure, time_left) != NextStep::AttemptAnother {
+                    if attempts.record_failure(failure, time_left) != NextStep::AttemptAnother {
                         let reason = FailureReason::after_attempt(failure, time_left);
                         return watch.failed(&attempts, reason, final_answer(&request, &attempts));
                     }
@@ -172,10 +173,10 @@
         }
     }
 
-    /// Chooses a worker for a request at which it was not attempted yet.
+    /// Selects a worker at which the request was not attempted before.
     ///
     /// # Errors
-    /// Where none can serve it.
+    /// No worker can serve the request at present.
     pub fn select_worker(
         &self,
         request: &ForwardedRequest,
@@ -195,7 +196,7 @@
         self.with_balancer(&request.service, |balancer| balancer.select_worker(now, &criteria))
     }
 
-    /// Sends the request to one worker. `may_attempt_more`: another one could be attempted after it.
+    /// Attempts the request at one worker. `may_attempt_more`: a further attempt is allowed if this one fails.
     async fn attempt_at(
         self: &Rc<Self>,
         request: &Rc<ForwardedRequest>,
@@ -219,8 +220,8 @@
         self.plain_answer(request, exchange).await
     }
 
-    /// When an answer of this worker to the request is later than is start_limit and than the operator wants; `None`: what is
-    /// start_limit is not known.
+    /// Returns the time from which the beginning of this worker's answer counts as overdue: it then exceeds both the
+    /// balancer's limit for the start of an answer and the route's target latency. `None` when there is no such limit.
     fn overdue_at(&self, request: &ForwardedRequest, selected: &SelectedWorker) -> Option<Instant> {
         let now = self.now();
         let start_limit =
@@ -228,8 +229,9 @@
         Some(Instant::now() + start_limit.max(request.route.target_latency))
     }
 
-    /// Waits for the beginning of an answer. When it is overdue, that counts against the worker at once, long before the
-    /// request is given up: whoever chooses a worker meanwhile, here and at other gatekeepers, should know of it.
+    /// Waits for the beginning of an answer. An overdue answer is recorded against the worker at once, long before the
+    /// attempt times out, so that requests that select a worker in the meantime, here and at other gatekeepers, take it
+    /// into account.
     async fn record_if_overdue<T>(
         &self,
         request: &ForwardedRequest,
@@ -239,15 +241,15 @@
     ) -> T {
         let Some(overdue_at) = overdue_at else { return beginning.await };
         let mut beginning = pin!(beginning);
-        if let Ok(begun) = timeout_at(overdue_at, beginning.as_mut()).await {
-            return begun;
+        if let Ok(result) = timeout_at(overdue_at, beginning.as_mut()).await {
+            return result;
         }
         let now = self.now();
         self.with_balancer(&request.service, |b| b.answer_overdue(now, &selected.id));
         beginning.await
     }
 
-    /// When this worker's answer times out that has not begun.
+    /// Returns the time at which the wait for the beginning of this worker's answer times out.
     fn answer_deadline(
         &self,
         request: &ForwardedRequest,
@@ -269,14 +271,14 @@
         request.deadline.min(Instant::now() + wait)
     }
 
-    /// Reads an answer that is no stream.
+    /// Reads a complete answer that is not an event stream.
     async fn plain_answer(&self, request: &ForwardedRequest, exchange: Exchange) -> AttemptOutcome {
         let Ok((parts, bytes)) = exchange.read_complete(request.deadline).await else {
             return AttemptOutcome::Failed(AttemptFailure::MayHaveRun);
         };
         let status = parts.status;
         if is_unfounded_not_executed(&parts) && !request.route.is_idempotent() {
-            // The status would promise that the request has not run, which the worker did not state.
+            // Forwarded, the status would state that the request has not run, which the worker did not state.
             return AttemptOutcome::Failed(AttemptFailure::MayHaveRun);
         }
         let answer = forward(parts, answer::with_body(bytes));
@@ -288,7 +290,7 @@
     }
 }
 
-/// Whether a failure's status states that the request has not run, and its worker does not say so.
+/// Whether the status implies to clients that the request has not run although the worker sent no `Not-Executed` header.
 fn is_unfounded_not_executed(parts: &Parts) -> bool {
     let not_executed_statuses = [
         StatusCode::SERVICE_UNAVAILABLE,
@@ -299,7 +301,7 @@
     not_executed_statuses.contains(&parts.status) && !parts.headers.contains_key(&NOT_EXECUTED)
 }
 
-/// The answer when no worker can be attempted any more.
+/// Returns the answer when no further attempt is possible.
 fn final_answer(request: &ForwardedRequest, attempts: &Attempts) -> Answer {
     match attempts.when_exhausted() {
         NextStep::Reject => answer::reject(request.route.target_latency.mul_f64(REJECTION_RETRY_AFTER_SHARE)),
@@ -326,7 +328,7 @@
     configuration.route(host, head.uri.path()).cloned()
 }
 
-/// About the length of a head.
+/// Returns the approximate length of a request's path, query and headers, in bytes.
 fn header_bytes(head: &hyper::http::request::Parts) -> usize {
     const SEPARATORS: usize = ": \r\n".len();
     let headers: usize =
--- a/crates/gatekeeper/src/proxy/metrics.rs
+++ b/crates/gatekeeper/src/proxy/metrics.rs
@@ -1,20 +1,20 @@
-//! What the proxy counts; `scrape.rs` names the metrics.
+//! Counters of the proxy; `scrape.rs` exports them as metrics.
 
 use hyper::StatusCode;
 use opalrun_metrics::{Counter, LabelledCounter};
 
-/// How requests are counted, by the status of their answer.
+/// Values of the metric label `outcome`, which depends on the status of the answer.
 const OUTCOMES: [&str; 5] = ["served", "rejected", "budget_spent", "refused", "failed"];
 
-/// What the proxy counts.
+/// Counters of the proxy.
 pub struct ProxyMetrics {
     /// Requests answered, by outcome.
     pub(super) requests: LabelledCounter,
-    /// The counters of [`OUTCOMES`], at hand without a look-up.
+    /// Counters of [`OUTCOMES`] in the same order, which saves the label look-up for each request.
     by_outcome: [Counter; OUTCOMES.len()],
-    /// Attempts at another worker than a request's first.
+    /// Attempts of requests after their first attempt.
     pub(super) retries: Counter,
-    /// Turns that the stores have stored; the metric is called `turns_kept`.
+    /// Turns that the stores have stored; the metric is named `turns_kept`.
     pub(super) turns_stored: Counter,
 }
 
@@ -28,7 +28,7 @@
 }
 
 impl ProxyMetrics {
-    /// A request was answered. A stream counts at its head.
+    /// Counts an answered request by the status of its answer. A stream is counted when its head is sent.
     pub fn answered(&self, status: StatusCode) {
         let outcome = match status {
             StatusCode::PAYMENT_REQUIRED => 2,
@@ -40,12 +40,12 @@
         self.by_outcome[outcome].inc();
     }
 
-    /// A request is attempted at another worker than its first.
+    /// Counts an attempt of a request at a further worker.
     pub fn retried(&self) {
         self.retries.inc();
     }
 
-    /// The stores have stored a turn.
+    /// Counts a turn that the stores have stored.
     pub fn turn_stored(&self) {
         self.turns_stored.inc();
     }
--- a/crates/gatekeeper/src/proxy/readiness.rs
+++ b/crates/gatekeeper/src/proxy/readiness.rs
@@ -1,4 +1,4 @@
-//! Answers the platform's question whether this gatekeeper takes new connections.
+//! Readiness endpoint, which tells the platform whether this gatekeeper accepts new connections.
 
 use crate::proxy::{
     Proxy,
@@ -11,10 +11,10 @@
 };
 use std::rc::Rc;
 
-/// The path of the question.
+/// Path of the readiness endpoint.
 const READINESS_PATH: &str = "/opalrun/readyz";
 
-/// Answers the platform.
+/// Answers the platform's readiness checks: 200 when the proxy is ready, otherwise 503.
 pub struct ReadinessHandler(pub Rc<Proxy>);
 
 impl Handler for ReadinessHandler {
--- a/crates/gatekeeper/src/proxy/request.rs
+++ b/crates/gatekeeper/src/proxy/request.rs
@@ -1,4 +1,4 @@
-//! A client's request, read completely and checked.
+//! A client's request after it was read completely and validated.
 
 use crate::proxy::{body::MemoryReservation, request_parameters::RequestParameters, turn::Turn};
 use bytes::Bytes;
@@ -7,49 +7,49 @@
 use std::{sync::Arc, time::Duration};
 use tokio::time::Instant;
 
-/// Subtracted from the client's time for the answer's way back.
+/// Subtracted from the client's time-out to allow for the transmission of the answer to the client.
 const ANSWER_MARGIN: Duration = Duration::from_millis(15);
-/// The longest that a request may take, whatever the client and the operator say.
+/// Maximum duration of a request, whatever the client and the configuration allow.
 const MAX_REQUEST_TIME: Duration = Duration::from_mins(10);
 
-/// A request on its way to a worker.
+/// A request that is forwarded to workers.
 pub struct ForwardedRequest {
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Its path and query.
+    /// Path and query.
     pub uri: Uri,
-    /// Its headers, without those of the client's connection.
+    /// Headers without the connection headers of the client.
     pub headers: HeaderMap,
-    /// Its body, with the turns before it where these are retained.
+    /// Body, preceded by the earlier turns of the conversation when the route retains turns.
     pub body: Bytes,
-    /// What the headers say.
+    /// Parameters parsed from the headers.
     pub parameters: RequestParameters,
-    /// Its route.
+    /// Route that matches the request.
     pub route: Arc<Route>,
-    /// The service that is to answer it.
+    /// Service whose workers answer the request.
     pub service: String,
-    /// When it came.
-    pub arrived: Instant,
-    /// When it is to have been answered, by the client's `Deadline-Ms` and the route's time limit.
+    /// When the head of the request was received.
+    pub received_at: Instant,
+    /// When the answer must be complete, according to the client's `Deadline-Ms` and the route's time-out.
     pub deadline: Instant,
-    /// What it is as a turn of a program.
+    /// State of the request as a turn of a program.
     pub turn: Turn,
-    /// The body's share of the memory budget.
+    /// Memory reserved for the body as the client sent it.
     pub reservation: MemoryReservation,
 }
 
 impl ForwardedRequest {
-    /// Time left until the deadline; zero after it.
+    /// Returns the time left until the deadline; zero after it.
     #[must_use]
     pub fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 }
 
-/// When a request that came at `arrived` is to have been answered.
+/// Returns the deadline of a request that was received at `received_at`.
 #[must_use]
-pub fn request_deadline(arrived: Instant, parameters: &RequestParameters, route: &Route) -> Instant {
+pub fn request_deadline(received_at: Instant, parameters: &RequestParameters, route: &Route) -> Instant {
     let client = parameters.client_timeout.unwrap_or(MAX_REQUEST_TIME);
     let client = client.saturating_sub(ANSWER_MARGIN.min(client / 10));
-    arrived + client.min(route.timeout).min(MAX_REQUEST_TIME)
+    received_at + client.min(route.timeout).min(MAX_REQUEST_TIME)
 }
--- a/crates/gatekeeper/src/proxy/request_parameters.rs
+++ b/crates/gatekeeper/src/proxy/request_parameters.rs
@@ -1,4 +1,4 @@
-//! What a request's headers say about how it is to be served.
+//! Names of the HTTP headers that clients and workers use, and the parameters that a request's headers carry.
 
 use crate::{lease, proxy::balance::PromptSegment};
 use hyper::{HeaderMap, header::HeaderName};
@@ -8,91 +8,92 @@
 #[cfg(test)]
 mod tests;
 
-/// Names the try of a client.
+/// Identifier of one attempt of a client; a worker's answer repeats it.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("request-id");
-/// Milliseconds that the client will wait.
+/// Milliseconds that the sender will wait for the answer.
 pub const DEADLINE_MS: HeaderName = HeaderName::from_static("deadline-ms");
-/// The worker that is to serve the request.
+/// Id of the worker that is to serve the request; any other worker answers 421.
 pub const EXPECT_INSTANCE: HeaderName = HeaderName::from_static("expect-instance");
-/// The rank of a request at its worker.
+/// Priority of the request at the worker; 0 is the highest.
 pub const PRIORITY: HeaderName = HeaderName::from_static("priority");
-/// The last event that a client has of a stream.
+/// Id of the last event of a stream that the receiver has.
 pub const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
-/// A worker's statement that it did not run the request.
+/// A worker's statement that it has not run the request and will not run it.
 pub const NOT_EXECUTED: HeaderName = HeaderName::from_static("not-executed");
-/// A worker's report of how full it is.
+/// A worker's report of its load.
 pub const SERVER_LOAD: HeaderName = HeaderName::from_static("server-load");
-/// A worker's stamp on its answer.
+/// A worker's signature of its answer.
 pub const SERVER_SIGNATURE: HeaderName = HeaderName::from_static("server-signature");
-/// The program that a request belongs to.
+/// Id of the program that the request belongs to.
 pub const PROGRAM: HeaderName = HeaderName::from_static("program");
-/// The line of turns that a request belongs to.
+/// Id of the session, a sequence of turns, that the request belongs to.
 pub const SESSION: HeaderName = HeaderName::from_static("session");
-/// Milliseconds until the request's program should have ended.
+/// Milliseconds within which the request's program is to finish.
 pub const FINISH_MS: HeaderName = HeaderName::from_static("finish-ms");
-/// Tokens that the turns of a program may emit together.
+/// Tokens that all turns of a program together may emit.
 pub const BUDGET: HeaderName = HeaderName::from_static("budget");
-/// Tokens of the prompt, and the most that may come out.
+/// Tokens of the prompt, and the maximum number of output tokens.
 pub const TOKEN_USAGE: HeaderName = HeaderName::from_static("token-usage");
-/// The parts of the prompt.
+/// Segments of the prompt, for matching against the workers' prefix caches.
 pub const PROMPT_PREFIX: HeaderName = HeaderName::from_static("prompt-prefix");
-/// The turn that this one continues from.
+/// Id of the turn that this one continues.
 pub const PREVIOUS: HeaderName = HeaderName::from_static("previous");
 
-/// Longest `Request-Id`, `Program` or `Previous`, in bytes.
+/// Maximum length of `Request-Id`, `Program` and `Previous`, in bytes.
 const MAX_NAME_BYTES: usize = 256;
 
-/// Why a request can't be served at all.
+/// Why a request is answered with 400.
 #[derive(Debug, Snafu, Clone, PartialEq, Eq)]
 pub enum BadRequest {
-    /// `Request-Id` is missing, doubled, empty or too long.
-    #[snafu(display("a request needs one Request-Id of 1 to {MAX_NAME_BYTES} characters"))]
+    /// `Request-Id` is missing, repeated, empty, too long or not text.
+    #[snafu(display("the header Request-Id must occur once with 1 to {MAX_NAME_BYTES} characters"))]
     RequestId,
-    /// `Budget` or `Token-Usage` can't be meant.
+    /// `Budget` or `Token-Usage` is missing or invalid.
     #[snafu(display("{source}"))]
     Budget {
-        /// Which one.
+        /// Error that names the header.
         source: lease::TurnBudgetError,
     },
-    /// `Program` is doubled, empty or too long.
-    #[snafu(display("Program is to be one text of 1 to {MAX_NAME_BYTES} characters"))]
+    /// `Program` is repeated, empty, too long or not text.
+    #[snafu(display("the header Program must occur at most once, with 1 to {MAX_NAME_BYTES} characters"))]
     Program,
-    /// `Previous` is doubled, empty or too long.
-    #[snafu(display("Previous is to be one text of 1 to {MAX_NAME_BYTES} characters"))]
+    /// `Previous` is repeated, empty, too long or not text.
+    #[snafu(display("the header Previous must occur at most once, with 1 to {MAX_NAME_BYTES} characters"))]
     Previous,
 }
 
-/// A program's budget as one of its turns names it.
+/// The budget of a program as stated by one of its turns.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProgramBudget {
-    /// The program.
+    /// Id of the program.
     pub program: String,
-    /// What its turns may emit together, and this one.
+    /// Budget of the whole program, and maximum of this turn.
     pub turn_budget: lease::TurnBudget,
 }
 
-/// What a request's headers say.
+/// Parameters of a request that its headers carry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestParameters {
-    /// Its `Request-Id`.
+    /// Value of `Request-Id`.
     pub request_id: String,
-    /// How long the client will wait, from `Deadline-Ms`.
+    /// How long the client will wait for the answer, from `Deadline-Ms`.
     pub client_timeout: Option<Duration>,
-    /// The parts of its prompt.
+    /// Segments of the prompt in order, from `Prompt-Prefix`.
     pub prompt_segments: Vec<PromptSegment>,
-    /// The program whose budget it draws on.
+    /// Program whose budget the request draws on; `None` when it draws on no budget.
     pub program: Option<ProgramBudget>,
-    /// The turn that it continues from.
+    /// Id of the turn that this request continues.
     pub previous: Option<String>,
-    /// The last event that the client has.
+    /// Id of the last event that the client has received.
     pub last_event_id: Option<u64>,
 }
 
 impl RequestParameters {
-    /// Reads the headers.
+    /// Parses the headers of a request.
     ///
     /// # Errors
-    /// Where one that decides what may be done can't be read.
+    /// `Request-Id` is missing, or one of `Request-Id`, `Program`, `Previous` and the budget headers is invalid. Other
+    /// invalid headers are ignored.
     pub fn read(headers: &HeaderMap) -> Result<Self, BadRequest> {
         let request_id = name_header(headers, &REQUEST_ID).ok().flatten().ok_or(BadRequest::RequestId)?;
         Ok(Self {
@@ -101,15 +102,15 @@
             prompt_segments: header_text(headers, &PROMPT_PREFIX)
                 .map(PromptSegment::parse_all)
                 .unwrap_or_default(),
-            program: program(headers)?,
+            program: program_budget(headers)?,
             previous: name_header(headers, &PREVIOUS).map_err(|InvalidHeader| BadRequest::Previous)?,
             last_event_id: number_header(headers, &LAST_EVENT_ID),
         })
     }
 }
 
-/// The terms of a turn that draws on a budget; other requests of programs name none.
-fn program(headers: &HeaderMap) -> Result<Option<ProgramBudget>, BadRequest> {
+/// Returns the program and budget of a turn; `None` for requests without `Program` or `Budget`, such as tool calls.
+fn program_budget(headers: &HeaderMap) -> Result<Option<ProgramBudget>, BadRequest> {
     let program = name_header(headers, &PROGRAM).map_err(|InvalidHeader| BadRequest::Program)?;
     let (Some(program), true) = (program, headers.contains_key(BUDGET)) else { return Ok(None) };
     let turn_budget =
@@ -118,10 +119,10 @@
     Ok(Some(ProgramBudget { program, turn_budget }))
 }
 
-/// A header that is doubled, empty, too long or no text.
+/// A header that is repeated, empty, too long or not text.
 struct InvalidHeader;
 
-/// The text of a header that names something.
+/// Returns the value of a header that holds a name of 1 to [`MAX_NAME_BYTES`] bytes; `None` when it is missing.
 fn name_header(headers: &HeaderMap, header: &HeaderName) -> Result<Option<String>, InvalidHeader> {
     if !headers.contains_key(header) {
         return Ok(None);
@@ -134,7 +135,7 @@
     header_text(headers, header)?.parse().ok()
 }
 
-/// The one value of a header; `None` where it is missing, doubled or no text.
+/// Returns the trimmed value of a header; `None` when it is missing, repeated or not text.
 pub fn header_text<'a>(headers: &'a HeaderMap, header: &HeaderName) -> Option<&'a str> {
     let mut values = headers.get_all(header).iter();
     let value = values.next().filter(|_| values.next().is_none())?;
--- a/crates/gatekeeper/src/proxy/request_parameters/tests.rs
+++ b/crates/gatekeeper/src/proxy/request_parameters/tests.rs
@@ -6,14 +6,14 @@
 fn headers(list: &[(&'static str, &str)]) -> HeaderMap {
     let mut headers = HeaderMap::new();
     for (name, value) in list {
-        let value = HeaderValue::from_str(value).expect("a proper value");
+        let value = HeaderValue::from_str(value).expect("a valid header value");
         headers.append(HeaderName::from_static(name), value);
     }
     headers
 }
 
 #[test]
-fn a_turn_of_a_program_is_read() {
+fn headers_of_a_turn_are_parsed() {
     let parameters = RequestParameters::read(&headers(&[
         ("request-id", "e5b2907c14da6f38"),
         ("program", "3fa81c"),
@@ -24,7 +24,7 @@
         ("previous", "9c41"),
         ("last-event-id", "12"),
     ]));
-    let parameters = parameters.expect("a proper turn");
+    let parameters = parameters.expect("a valid turn");
     let expected = ProgramBudget {
         program: "3fa81c".to_owned(),
         turn_budget: lease::TurnBudget { budget: 1080, max_units: 135 },
@@ -38,11 +38,11 @@
 #[test]
 fn a_tool_call_of_a_program_draws_on_no_budget() {
     let parameters = RequestParameters::read(&headers(&[("request-id", "1"), ("program", "3fa81c")]));
-    assert_eq!(parameters.expect("a proper call").program, None);
+    assert_eq!(parameters.expect("a valid request").program, None);
 }
 
 #[test]
-fn what_decides_about_a_request_must_be_readable() {
+fn invalid_identifying_and_budget_headers_are_rejected() {
     let id = ("request-id", "1");
     let program = ("program", "p");
     let cases: [(&[(&'static str, &str)], BadRequest); 5] = [
--- a/crates/gatekeeper/src/proxy/run.rs
+++ b/crates/gatekeeper/src/proxy/run.rs
@@ -1,4 +1,4 @@
-//! Starts the proxy, feeds it, and ends it without losing a request.
+//! Starts the proxy, applies updates from control to it, and shuts it down gracefully.
 
 use crate::{
     feed::ControlFeed,
@@ -11,84 +11,85 @@
 use tokio::{net::TcpListener, task::spawn_local};
 use tracing::{info, warn};
 
-/// Longest head of a request, in bytes, before the configuration's limit is applied.
+/// Maximum length of a request's head that the server reads, in bytes. The configuration may set a lower limit.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
-/// Connections of the platform's readiness checks.
+/// Maximum number of connections for readiness checks.
 const READINESS_CONNECTIONS: usize = 32;
-/// Between looks whether what is known is fresh.
+/// Interval at which the time of control's last confirmation is applied when no update arrives.
 const FRESHNESS_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Between reports of requests that failed.
+/// Interval between reports of failed requests to control.
 const FAILURE_REPORT_INTERVAL: Duration = Duration::from_millis(300);
-/// Between looks for idle connections to workers.
+/// Interval between sweeps of idle connections to workers.
 const IDLE_CONNECTION_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// After SIGTERM the platform still sends new connections until it has seen that the process is not ready.
+/// How long new connections are accepted after SIGTERM: the platform sends them until a readiness check has failed.
 const NEW_CONNECTIONS_LINGER: Duration = Duration::from_millis(2500);
-/// How long the stores may take to record what is returned of programs' budgets.
+/// Time-out for returning unused budget units to the stores.
 const LEASE_RETURN_TIMEOUT: Duration = Duration::from_millis(500);
-/// Beyond the configuration's time limits, for what is delayed on its way.
+/// Added to the configured time limits of clients to allow for network delays.
 const TIME_LIMIT_TOLERANCE: Duration = Duration::from_millis(500);
-/// Kept of the time until SIGKILL.
+/// Part of the grace period that is left unused before SIGKILL.
 const SIGKILL_MARGIN: Duration = Duration::from_secs(1);
 
 /// Why the proxy could not run.
 #[derive(Debug, Snafu)]
 pub enum ProxyError {
-    /// The settings lack something.
+    /// A required setting is missing.
     #[snafu(display("{source}"))]
     Incomplete {
-        /// What is missing.
+        /// The missing setting.
         source: SettingsError,
     },
-    /// An address can't be listened on.
+    /// The proxy can't listen on an address.
     #[snafu(display("can't listen on {address}: {source}"))]
     Listen {
-        /// The address.
+        /// Address that was to be bound.
         address: SocketAddr,
-        /// Why.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
 
-/// Runs the role until SIGTERM.
+/// Runs the proxy role until SIGTERM and the following graceful shutdown.
 ///
 /// # Errors
-/// Where an address is missing or can't be listened on.
+/// An address is missing from the settings, or the proxy can't listen on it.
 pub async fn run(settings: Settings) -> Result<(), ProxyError> {
     let frontend = settings.required_frontend().context(IncompleteSnafu)?;
     let readiness = settings.required_readiness().context(IncompleteSnafu)?;
-    let clients = listen(frontend).await?;
-    let platform = listen(readiness).await?;
+    let client_listener = listen(frontend).await?;
+    let readiness_listener = listen(readiness).await?;
     let proxy = Proxy::new(&settings);
     spawn_local(close_idle_connections(proxy.clone()));
     let feed = ControlFeed::start_at(settings.agent_address());
-    let (scraped, scraped_feed) = (proxy.clone(), feed.clone());
+    let (metrics_proxy, metrics_feed) = (proxy.clone(), feed.clone());
     opalrun_metrics::start(settings.metrics, move |scrape| {
-        scraped.scrape(scrape);
-        scraped_feed.scrape(scrape);
+        metrics_proxy.scrape(scrape);
+        metrics_feed.scrape(scrape);
     });
     spawn_local(apply_feed_updates(proxy.clone(), feed.clone()));
     spawn_local(report_failures(proxy.clone(), feed));
     spawn_local(watch_settings(settings.clone()));
-    serve(proxy, &settings, clients, platform, opalrun_net::signals::terminated()).await;
+    serve(proxy, &settings, client_listener, readiness_listener, opalrun_net::signals::terminated()).await;
     Ok(())
 }
 
-/// Serves clients and the platform until `stop`, and then until no request is in hand.
+/// Serves clients and readiness checks until `stop` completes, and then shuts down gracefully: accepts connections for
+/// [`NEW_CONNECTIONS_LINGER`], and waits until all connections have closed or the grace period ends.
 pub async fn serve(
     proxy: Rc<Proxy>,
     settings: &Settings,
-    clients: TcpListener,
-    platform: TcpListener,
+    client_listener: TcpListener,
+    readiness_listener: TcpListener,
     stop: impl Future<Output = ()>,
 ) {
     let readiness = ReadinessHandler(proxy.clone());
     let readiness = Server::new(readiness, server_settings(), READINESS_CONNECTIONS);
-    let readiness_task = spawn_local(async move { readiness.accept(&platform).await });
+    let readiness_task = spawn_local(async move { readiness.accept(&readiness_listener).await });
     let max_connections = state::max_client_connections(settings);
     let server = Server::new(ClientHandler(proxy.clone()), server_settings(), max_connections);
     let time_limit_task = spawn_local(apply_time_limits(proxy.clone(), server.clone()));
     let acceptor = server.clone();
-    let accept_task = spawn_local(async move { acceptor.accept(&clients).await });
+    let accept_task = spawn_local(async move { acceptor.accept(&client_listener).await });
     stop.await;
     info!("stopping");
     proxy.stop();
@@ -98,14 +99,14 @@
     tokio::join!(lingering, proxy.return_unused_units(LEASE_RETURN_TIMEOUT));
     accept_task.abort();
     server.close();
-    let until = settings.bounds.grace.saturating_sub(NEW_CONNECTIONS_LINGER + SIGKILL_MARGIN);
-    let _ = tokio::time::timeout(until, all_connections_closed(&server)).await;
+    let remaining_grace = settings.bounds.grace.saturating_sub(NEW_CONNECTIONS_LINGER + SIGKILL_MARGIN);
+    let _ = tokio::time::timeout(remaining_grace, all_connections_closed(&server)).await;
     proxy.return_unused_units(LEASE_RETURN_TIMEOUT).await;
     readiness_task.abort();
     time_limit_task.abort();
 }
 
-/// Has the server keep to the times that the configuration in force gives clients.
+/// Applies the time limits of the current configuration to the server, and again whenever they change.
 async fn apply_time_limits(proxy: Rc<Proxy>, server: Rc<Server<ClientHandler>>) {
     let mut changes = proxy.limits();
     loop {
@@ -139,12 +140,12 @@
     }
 }
 
-/// Hands what control says to the proxy.
+/// Applies the updates of the feed from control to the proxy.
 async fn apply_feed_updates(proxy: Rc<Proxy>, feed: Rc<ControlFeed>) {
     let mut changes = feed.changes();
     proxy.apply(&feed.view());
     loop {
-        // Freshness alone is no change.
+        // A confirmation without new content is not notified as a change, so it is applied at intervals.
         match tokio::time::timeout(FRESHNESS_CHECK_INTERVAL, changes.changed()).await {
             Ok(_) => proxy.apply(&feed.view()),
             Err(_elapsed) => proxy.apply_freshness(&feed.view()),
@@ -152,7 +153,7 @@
     }
 }
 
-/// Tells control of requests that failed at workers, so that other gatekeepers need not find out for themselves.
+/// Reports request failures at workers to control, which notifies the other gatekeepers.
 async fn report_failures(proxy: Rc<Proxy>, feed: Rc<ControlFeed>) {
     loop {
         tokio::time::sleep(FAILURE_REPORT_INTERVAL).await;
@@ -163,18 +164,18 @@
     }
 }
 
-/// Reads the settings again whenever they have changed. Nothing that the proxy goes by changes while it runs.
+/// Reloads the settings whenever they change, only to validate them: the proxy uses none of them after its start.
 async fn watch_settings(settings: Settings) {
     loop {
         opalrun_net::signals::settings_changed().await;
         match settings.reload() {
-            Ok(_) => info!("the settings file was read again"),
-            Err(error) => warn!(%error, "the changed settings file is wrong"),
+            Ok(_) => info!("settings file reloaded"),
+            Err(error) => warn!(%error, "the changed settings file is invalid"),
         }
     }
 }
 
-/// Closes connections to workers that have been idle for long.
+/// Closes connections to workers that have been idle for too long.
 async fn close_idle_connections(proxy: Rc<Proxy>) {
     loop {
         tokio::time::sleep(IDLE_CONNECTION_SWEEP_INTERVAL).await;
--- a/crates/gatekeeper/src/proxy/scrape.rs
+++ b/crates/gatekeeper/src/proxy/scrape.rs
@@ -1,10 +1,10 @@
-//! The proxy's metrics as scrapers see them; `docs/operations.md` lists them.
+//! Exports the proxy's metrics; `docs/operations.md` lists them.
 
 use crate::proxy::Proxy;
 use opalrun_metrics::Scrape;
 
 impl Proxy {
-    /// Passes the metrics to a scraper.
+    /// Writes the metrics to `scrape`.
     pub fn scrape(&self, scrape: &mut Scrape) {
         let metrics = &self.metrics;
         scrape.counters("requests", "Requests answered, by outcome", &metrics.requests);
--- a/crates/gatekeeper/src/proxy/state.rs
+++ b/crates/gatekeeper/src/proxy/state.rs
@@ -50,7 +50,7 @@
     freshness: Freshness,
     is_shutting_down: Cell<bool>,
     /// Memory budget for request bodies.
-    pub(super) memory: BodyMemory,
+    pub(super) body_memory: BodyMemory,
     /// Leases of the programs' budget units.
     pub(super) leases: ProgramLeases<Rc<StoreClient>>,
     /// Reads and stores retained turns.
@@ -78,7 +78,7 @@
             limits: watch::Sender::default(),
             freshness: Freshness::new(started),
             is_shutting_down: Cell::new(false),
-            memory: BodyMemory::new(body_bytes),
+            body_memory: BodyMemory::new(body_bytes),
             leases: ProgramLeases::new(store_client.clone(), fastrand::u64(..)),
             turns: Turns::new(store_client.clone(), TURN_CACHE_BYTES),
             metrics: ProxyMetrics::default(),
--- a/crates/gatekeeper/src/proxy/stream.rs
+++ b/crates/gatekeeper/src/proxy/stream.rs
@@ -1,4 +1,4 @@
-//! Forwards a stream of events as it comes, and resumes it at another worker where its route allows that.
+//! Relays a worker's event stream to the client, and resumes it at another worker if the route allows that.
 
 use crate::proxy::{
     Proxy,
@@ -21,58 +21,62 @@
 };
 use tracing::info;
 
-/// Events on their way to a client that does not read them yet.
-const EVENTS_AHEAD: usize = 16;
-/// Time-out for the next event of a stream that may be resumed elsewhere, as a multiple of the route's target.
+/// Capacity of the queue of events that the client has not read yet.
+const EVENT_QUEUE_CAPACITY: usize = 16;
+/// Time-out for the next event of a stream that can be resumed, as a multiple of the route's event gap target.
 const EVENT_TIMEOUT_IN_GAPS: f64 = 3.0;
-/// The target for the time between two events where the route names none.
+/// Target for the time between two events when the route sets none.
 const DEFAULT_EVENT_GAP_TARGET: Duration = Duration::from_millis(500);
 
-/// A stream that has begun.
+/// A worker's event stream that is relayed to a client.
 pub struct Stream {
     proxy: Rc<Proxy>,
     request: Rc<ForwardedRequest>,
-    /// The worker that sends the events.
+    /// Worker that sends the events.
     worker: WorkerId,
-    /// `None` while the stream is being resumed elsewhere.
+    /// Exchange with the worker; `None` while the stream is being resumed at another worker.
     exchange: Option<Exchange>,
     reader: EventReader,
-    /// The last event that the client has.
-    last_id: Option<u64>,
+    /// Id of the last event that was relayed to the client, or that the client stated in its request.
+    last_event_id: Option<u64>,
 }
 
-/// How a worker's stream began.
+/// Result of waiting for the beginning of a stream.
 pub enum StreamStart {
-    /// Its first event is there.
+    /// The first event was received.
     Begun(Box<Stream>),
-    /// It ended properly without an event: the complete answer.
+    /// The stream ended without an event; holds the complete answer.
     Empty(Answer),
 }
 
-/// What came of reading on in a stream.
+/// Result of waiting for the next bytes of a stream.
 enum StreamRead {
+    /// Bytes were received and buffered.
     Bytes,
+    /// The worker's answer is complete.
     End,
-    Broken(Cause),
+    /// The stream can't be read any further.
+    Broken(BreakCause),
+    /// The client has closed its connection.
     ClientGone,
 }
 
-/// Why a worker's stream can't be read on.
+/// Why a worker's stream can't be read any further. The log prints the names of the variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Cause {
-    /// The connection broke, or ended before the stream did.
+enum BreakCause {
+    /// The connection broke, or ended before the end of the stream.
     Closed,
-    /// Nothing came for too long.
+    /// No bytes were received before the time-out.
     Silent,
-    /// What came is no event.
+    /// The received bytes exceed the maximum length of an event.
     Garbled,
 }
 
 impl Stream {
-    /// Waits for the first event until `deadline`.
+    /// Waits until `deadline` for the first event of the answer in `exchange`.
     ///
     /// # Errors
-    /// How the attempt ended where neither an event nor a proper end came.
+    /// The stream broke or timed out before its first event and before its end.
     pub async fn begin(
         proxy: &Rc<Proxy>,
         request: &Rc<ForwardedRequest>,
@@ -86,7 +90,7 @@
             worker: worker.clone(),
             exchange: Some(exchange),
             reader: EventReader::default(),
-            last_id: request.parameters.last_event_id,
+            last_event_id: request.parameters.last_event_id,
         };
         while !stream.reader.has_event() {
             match stream.read_chunk(deadline).await {
@@ -106,7 +110,7 @@
         Ok(StreamStart::Begun(Box::new(stream)))
     }
 
-    /// The worker's answer is complete and holds no event.
+    /// Finishes an answer that is complete and contains no event.
     async fn finish_without_events(mut self) -> Result<StreamStart, AttemptFailure> {
         let rest = self.reader.take_incomplete_event();
         let Some(exchange) = self.exchange.take() else { return Err(AttemptFailure::MayHaveRun) };
@@ -118,22 +122,23 @@
         Ok(StreamStart::Empty(forward(parts, answer::with_body(rest))))
     }
 
-    /// Closes the connection to a worker that broke off or timed out, and records its failure.
+    /// Closes the connection to a worker whose stream broke or timed out, and records the worker's failure.
     fn fail_exchange(&mut self) {
         if let Some(exchange) = self.exchange.take() {
             exchange.fail();
         }
     }
 
-    /// The same for a worker that has sent no event.
-    fn fail_before_first_event(&mut self, cause: Cause) {
-        if let (Cause::Silent, Some(exchange)) = (cause, &self.exchange) {
+    /// Closes the connection to a worker whose stream broke before its first event, and records the worker's failure. For
+    /// one that timed out, the time waited is recorded as well.
+    fn fail_before_first_event(&mut self, cause: BreakCause) {
+        if let (BreakCause::Silent, Some(exchange)) = (cause, &self.exchange) {
             exchange.worker_request.timed_out();
         }
         self.fail_exchange();
     }
 
-    /// Stores the turn, where its route is for turns that are retained.
+    /// Stores the turn if its route retains turns.
     async fn store_turn(&self) -> Result<(), TurnNotStored> {
         let (request, worker) = (&self.request, &self.worker);
         self.proxy.store_turn(&request.turn, &request.parameters.request_id, worker).await
@@ -146,9 +151,9 @@
         }
     }
 
-    /// The answer to the client, to which the events go from now on.
+    /// Returns the answer for the client, and starts a task that relays the events to it.
     pub fn relay(self: Box<Self>, attempts: Attempts, attempted: Vec<WorkerId>) -> Answer {
-        let (events, receiver) = mpsc::channel(EVENTS_AHEAD);
+        let (events, receiver) = mpsc::channel(EVENT_QUEUE_CAPACITY);
         let body = ResponseBody::streaming(BodyBuffer::new(&MemoryBudget::new(0)), receiver, None);
         let head = self.exchange.as_ref().map(|exchange| exchange.parts.clone());
         let Some(head) = head else { return answer::without_body(hyper::StatusCode::BAD_GATEWAY) };
@@ -156,7 +161,8 @@
         forward(head, Response::new(body))
     }
 
-    /// Passes events on until the stream's end. Ending without [`Chunk::End`] cuts the client's connection.
+    /// Relays events until the end of the stream. Returning without sending [`Chunk::End`] closes the client's
+    /// connection, so that the answer does not appear complete.
     async fn run(
         mut self: Box<Self>,
         events: mpsc::Sender<Chunk>,
@@ -170,12 +176,12 @@
                 }
             }
             let deadline = self.event_deadline(&attempts);
-            let came = tokio::select! {
+            let read = tokio::select! {
                 biased;
-                came = self.read_chunk(deadline) => came,
+                read = self.read_chunk(deadline) => read,
                 () = events.closed() => StreamRead::ClientGone,
             };
-            match came {
+            match read {
                 StreamRead::Bytes => {}
                 StreamRead::End => return self.end(&events, &attempts).await,
                 StreamRead::ClientGone => {
@@ -191,19 +197,20 @@
         }
     }
 
-    /// Passes an event on, unless the client has it. `false`: the client has gone.
+    /// Forwards an event to the client unless the client has it already. Returns `false` when the client has closed its
+    /// connection.
     async fn forward_event(&mut self, event: Event, events: &mpsc::Sender<Chunk>) -> bool {
-        if let (Some(id), Some(last)) = (event.id, self.last_id)
+        if let (Some(id), Some(last)) = (event.id, self.last_event_id)
             && id <= last
         {
             return true;
         }
-        self.last_id = event.id.or(self.last_id);
+        self.last_event_id = event.id.or(self.last_event_id);
         self.request.turn.record_event(&event);
         events.send(Chunk::Data(event.raw)).await.is_ok()
     }
 
-    /// The worker's answer is complete.
+    /// Finishes a complete answer: stores the turn, then sends the client the remaining bytes and the end of the answer.
     async fn end(mut self: Box<Self>, events: &mpsc::Sender<Chunk>, attempts: &Attempts) {
         let rest: Bytes = self.reader.take_incomplete_event();
         if let Some(exchange) = self.exchange.take() {
@@ -219,27 +226,27 @@
     }
 
     fn record_failure(&self, reason: FailureReason, attempts: &Attempts) {
-        self.proxy.failed_requests.record(&self.request, reason, attempts.count());
+        self.proxy.failed_requests.record(&self.request, reason, attempts.failed_count());
     }
 
-    /// Why a stream that can't be resumed elsewhere is cut.
+    /// Returns the failure reason of a broken stream that can't be resumed.
     fn break_reason(&self) -> FailureReason {
         FailureReason::after_attempt(AttemptFailure::MayHaveRun, self.request.time_left())
     }
 
-    /// Reads what comes next, until `deadline`.
+    /// Waits until `deadline` for the next bytes of the stream and adds them to the reader.
     async fn read_chunk(&mut self, deadline: Instant) -> StreamRead {
-        let Some(exchange) = &mut self.exchange else { return StreamRead::Broken(Cause::Closed) };
+        let Some(exchange) = &mut self.exchange else { return StreamRead::Broken(BreakCause::Closed) };
         match timeout_at(deadline, exchange.chunk()).await {
             Ok(Ok(Some(bytes))) if self.reader.push(&bytes).is_ok() => StreamRead::Bytes,
             Ok(Ok(None)) => StreamRead::End,
-            Ok(Ok(Some(_))) => StreamRead::Broken(Cause::Garbled),
-            Ok(Err(BodyBroken)) => StreamRead::Broken(Cause::Closed),
-            Err(_elapsed) => StreamRead::Broken(Cause::Silent),
+            Ok(Ok(Some(_))) => StreamRead::Broken(BreakCause::Garbled),
+            Ok(Err(BodyBroken)) => StreamRead::Broken(BreakCause::Closed),
+            Err(_elapsed) => StreamRead::Broken(BreakCause::Silent),
         }
     }
 
-    /// When the next event times out.
+    /// Returns the time at which the wait for the next event times out.
     fn event_deadline(&self, attempts: &Attempts) -> Instant {
         if !attempts.may_attempt_more() {
             return self.request.deadline;
@@ -248,22 +255,28 @@
         self.request.deadline.min(Instant::now() + gap.mul_f64(EVENT_TIMEOUT_IN_GAPS))
     }
 
-    /// Resumes the stream at another worker after the last event that the client has; `false`: no worker is left to attempt.
+    /// Resumes the stream at another worker, after the last event that the client has. Returns `false` when no further
+    /// attempt is possible.
     async fn resume_elsewhere(
         &mut self,
-        cause: Cause,
+        cause: BreakCause,
         attempts: &mut Attempts,
         attempted: &mut Vec<WorkerId>,
     ) -> bool {
-        // What came of an event that has not ended is no use: the next worker sends it whole.
+        // The bytes of an incomplete event are discarded: the next worker sends the event again in full.
         self.reader = EventReader::default();
-        info!(worker = &*self.worker, last_event = self.last_id, ?cause, "a stream broke off at its worker");
+        info!(
+            worker = &*self.worker,
+            last_event = self.last_event_id,
+            ?cause,
+            "event stream from worker broke off"
+        );
         let mut failure = AttemptFailure::MayHaveRun;
-        while attempts.failed(failure, self.request.time_left()) == NextStep::AttemptAnother {
+        while attempts.record_failure(failure, self.request.time_left()) == NextStep::AttemptAnother {
             let Ok(selected) = self.proxy.select_worker(&self.request, attempted) else { return false };
             attempted.push(selected.id.clone());
             let deadline = self.event_deadline(attempts);
-            let exchange = self.proxy.exchange(&self.request, &selected, deadline, self.last_id).await;
+            let exchange = self.proxy.exchange(&self.request, &selected, deadline, self.last_event_id).await;
             failure = match exchange {
                 Ok(exchange) if is_event_stream(&exchange.parts) => {
                     exchange.worker_request.answer_started(exchange.load_report());
--- a/crates/gatekeeper/src/proxy/upstream.rs
+++ b/crates/gatekeeper/src/proxy/upstream.rs
@@ -1,4 +1,4 @@
-//! One exchange with one worker: a connection, the request, and the head of the answer.
+//! One exchange with one worker: takes a connection, sends the request, and reads the head of the answer.
 
 use crate::proxy::{
     Proxy,
@@ -19,14 +19,14 @@
 use tokio::time::{Instant, timeout_at};
 use tracing::info;
 
-/// Connections tried in a row that turn out to be dead before a byte is written.
+/// Maximum number of reused connections that may prove closed, before a byte is written, within one attempt.
 const MAX_DEAD_CONNECTIONS: u32 = 4;
-/// The lowest priority that workers know.
+/// Lowest priority that workers accept; it is the largest number.
 const LOWEST_WORKER_PRIORITY: u8 = 9;
-/// Longest answer that is read completely, in bytes.
+/// Maximum length of an answer that is read completely, in bytes.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// A request in flight at a worker; its slot is released when this is dropped.
+/// A request in flight at a worker. Dropping it releases the slot that the request occupies there.
 pub struct WorkerRequest {
     proxy: Rc<Proxy>,
     service: String,
@@ -42,33 +42,33 @@
         Self { proxy: proxy.clone(), service: request.service.clone(), slot: RefCell::new(slot) }
     }
 
-    /// The worker has begun to answer.
+    /// Records that the worker has begun to answer, and the load that it reported.
     pub fn answer_started(&self, report: Option<LoadReport>) {
         let now = self.proxy.now();
         let slot = &mut *self.slot.borrow_mut();
         self.proxy.with_balancer(&self.service, |b| b.answer_started(now, slot, report));
     }
 
-    /// The worker has done what it was asked to, so far.
+    /// Records that the worker has answered successfully or has sent the first event of a stream.
     pub fn succeeded(&self) {
         let now = self.proxy.now();
         self.proxy.with_balancer(&self.service, |b| b.attempt_succeeded(now, self.slot.borrow().worker()));
     }
 
-    /// No answer has begun before the time-out.
+    /// Records that the answer had not begun when the attempt timed out.
     pub fn timed_out(&self) {
         let now = self.proxy.now();
         let slot = &mut *self.slot.borrow_mut();
         self.proxy.with_balancer(&self.service, |b| b.record_answer_time(now, slot));
     }
 
-    /// What came was no complete answer, or the worker's own failure.
+    /// Records that the worker's answer was incomplete, invalid or a server error.
     pub fn failed(&self) {
         let now = self.proxy.now();
         self.proxy.with_balancer(&self.service, |b| b.attempt_failed(now, self.slot.borrow().worker()));
     }
 
-    /// The worker rejected the request.
+    /// Records that the worker rejected the request without running it.
     fn rejected(&self, report: Option<LoadReport>) {
         let now = self.proxy.now();
         self.proxy.with_balancer(&self.service, |b| b.attempt_rejected(now, &self.slot.borrow(), report));
@@ -81,32 +81,33 @@
     }
 }
 
-/// An answer whose head has come.
+/// An exchange whose answer's head has been received.
 pub struct Exchange {
     lease: Lease,
     body: Incoming,
-    /// The head.
+    /// Head of the answer.
     pub parts: Parts,
-    /// The request at its worker.
+    /// The request in flight at the worker.
     pub worker_request: WorkerRequest,
 }
 
-/// An answer's body can't be read on.
+/// The body of an answer can't be read any further.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BodyBroken;
 
 impl Exchange {
-    /// How full the worker said it is.
+    /// Returns the load that the worker reported in the head of its answer.
     pub fn load_report(&self) -> Option<LoadReport> {
         request_parameters::header_text(&self.parts.headers, &SERVER_LOAD).and_then(LoadReport::parse)
     }
 
-    /// The next chunk of the body; `None` at its end.
+    /// Returns the next chunk of the body; `None` at its end.
     pub async fn chunk(&mut self) -> Result<Option<Bytes>, BodyBroken> {
         self.lease.connection().piece(&mut self.body).await.map_err(|_| BodyBroken)
     }
 
-    /// Reads the complete body until `deadline` and returns the connection to its pool.
+    /// Reads the complete body until `deadline`, returns the connection to its pool, and records success or failure of
+    /// the worker.
     pub async fn read_complete(mut self, deadline: Instant) -> Result<(Parts, Bytes), BodyBroken> {
         if let Ok(bytes) = self.collect(deadline).await {
             let failed = self.parts.status.is_server_error();
@@ -141,22 +142,22 @@
         Ok(first.unwrap_or_else(|| joined.freeze()))
     }
 
-    /// The answer broke off, or nothing more came of it.
+    /// Closes the connection of an answer that broke off or timed out, and records the worker's failure.
     pub fn fail(self) {
         self.worker_request.failed();
     }
 
-    /// The body has been read to its end: another request may have the connection.
+    /// Returns the connection to its pool after the body was read completely.
     pub fn finish(self) {
         self.lease.give_back(false);
     }
 }
 
 impl Proxy {
-    /// Sends the request to a worker and reads the head of its answer, until `deadline`.
+    /// Sends the request to a worker and reads the head of the answer until `deadline`.
     ///
     /// # Errors
-    /// How it ended without an answer to this request.
+    /// Why there is no valid answer to this request.
     pub async fn exchange(
         self: &Rc<Self>,
         request: &ForwardedRequest,
@@ -183,7 +184,7 @@
                     dead_connections += 1;
                 }
                 Ok(Err(failure)) => {
-                    info!(worker = &*selected.id, ?failure, "a worker broke off before its answer");
+                    info!(worker = &*selected.id, ?failure, "connection to worker broke before its answer");
                     lease.cut_off();
                     self.failed(request, selected);
                     return Err(failure_of(&progress));
@@ -191,7 +192,10 @@
                 Err(_elapsed) => {
                     worker_request.timed_out();
                     if deadline < request.deadline {
-                        info!(worker = &*selected.id, "a worker was silent for too long");
+                        info!(
+                            worker = &*selected.id,
+                            "worker did not begin its answer before the attempt timed out"
+                        );
                         self.failed(request, selected);
                     } else {
                         let now = self.now();
@@ -225,7 +229,7 @@
         self.with_balancer(&request.service, |b| b.attempt_failed(now, &selected.id));
     }
 
-    /// Whether the answer is one to this request, and not a statement that it was not run.
+    /// Checks that the answer belongs to this request and does not state that the request was not run.
     async fn check_head(
         &self,
         request: &ForwardedRequest,
@@ -256,7 +260,8 @@
 }
 
 impl Exchange {
-    /// Reads the short body of an answer that says enough by its head, so that the connection can be kept.
+    /// Reads and discards the short body of an answer of which only the head matters, so that the connection can be
+    /// reused.
     async fn discard(mut self) {
         const MAX_CHUNKS: u32 = 4;
         for _ in 0..MAX_CHUNKS {
@@ -269,12 +274,12 @@
     }
 }
 
-/// What is known of a request that got no answer.
+/// Returns the failure of an attempt without an answer, depending on whether the request was sent completely.
 fn failure_of(progress: &Progress) -> AttemptFailure {
     if progress.sent_whole() { AttemptFailure::MayHaveRun } else { AttemptFailure::NotSent }
 }
 
-/// The request as this worker gets it.
+/// Builds the request to be sent to this worker.
 fn request_for(
     request: &ForwardedRequest,
     selected: &SelectedWorker,
@@ -285,7 +290,8 @@
     *message.uri_mut() = request.uri.clone();
     let headers = message.headers_mut();
     headers.clone_from(&request.headers);
-    // The whole time that is left: a worker that is waited for less may still answer in it once it has begun.
+    // The whole time until the request's deadline, even when the attempt's time-out for the beginning of the answer is
+    // shorter: once the answer has begun, it may take until the deadline.
     let left_ms = request.time_left().as_millis().max(1);
     headers.insert(request_parameters::DEADLINE_MS, HeaderValue::from(left_ms as u64));
     headers.insert(
@@ -302,7 +308,7 @@
 }
 
 impl Proxy {
-    /// Keeps idle connections to this worker for less time than it does.
+    /// Records the worker's `Keep-Alive` time, so that idle connections are closed here before the worker closes them.
     fn update_keep_alive(&self, selected: &SelectedWorker, parts: &Parts) {
         if let Some(seconds) = headers::keep_alive_seconds(&parts.headers) {
             self.record_keep_alive(&selected.id, seconds);
--- a/crates/gatekeeper/src/proxy/worker_connections.rs
+++ b/crates/gatekeeper/src/proxy/worker_connections.rs
@@ -1,4 +1,4 @@
-//! The connections to workers: which workers they may go to, and how many to each.
+//! Connection pools of the workers, and the connection limits of each worker.
 
 use crate::{
     feed::Workers,
@@ -13,34 +13,34 @@
 use opalrun_wire::feed::WorkerState;
 use std::{cell::RefCell, collections::HashMap, rc::Rc, time::Duration};
 
-/// Seconds after which a worker is assumed to close an idle connection when it has not said.
+/// Seconds after which a worker that sends no `Keep-Alive` header is assumed to close an idle connection.
 const DEFAULT_IDLE_LIMIT_S: f64 = 5.0;
-/// How long a connection to a worker may take to come up.
+/// Time-out for establishing a connection to a worker.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
-/// Connections that one worker takes where its service does not say.
+/// Maximum number of connections to a worker whose service is not in the configuration.
 const DEFAULT_WORKER_CONNECTIONS: u32 = 64;
 
-/// The pools of connections, and what workers said of them.
+/// The connection pools, and the keep-alive times that workers have announced.
 pub struct WorkerConnections {
-    /// The connections.
+    /// The connection pools of all workers.
     pub pools: Rc<Pools>,
-    /// Seconds for which workers keep idle connections, where they say so.
+    /// Seconds for which a worker keeps idle connections open, for workers that announce it.
     keep_alive_s: RefCell<FnvHashMap<WorkerId, u32>>,
 }
 
 impl WorkerConnections {
-    /// At most `budget` connections to all workers together.
+    /// Creates pools of at most `max_connections` connections to all workers together.
     #[must_use]
-    pub fn new(budget: usize) -> Self {
+    pub fn new(max_connections: usize) -> Self {
         let settings =
             pool::Settings { idle_limit: DEFAULT_IDLE_LIMIT_S, sharers: 1, connect_timeout: CONNECT_TIMEOUT };
         Self {
-            pools: Pools::new(budget, settings, Clock::steady(), fastrand::u64(..)),
+            pools: Pools::new(max_connections, settings, Clock::steady(), fastrand::u64(..)),
             keep_alive_s: RefCell::default(),
         }
     }
 
-    /// All workers that are known, by service; connections to others are closed.
+    /// Replaces the known workers, by service, and closes the connections to all others.
     pub fn set_workers(&self, workers: &HashMap<String, Workers>) {
         let all = || workers.values().flat_map(Workers::values);
         let ids: FnvHashSet<&str> = all().map(|worker| worker.id.as_str()).collect();
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Has all gatekeepers share each worker's connections evenly.
+    /// Sets the limit of connections to each worker: an even share for each gatekeeper, and at least one.
     pub fn set_limits(&self, configuration: &Configuration, services: &Services) {
         let keep_alive_s = self.keep_alive_s.borrow();
         services.for_each_worker(|service, id| {
@@ -64,7 +64,7 @@
         });
     }
 
-    /// A worker keeps idle connections for so many seconds; `false`: that was known.
+    /// Records for how many seconds a worker keeps idle connections open. Returns whether that has changed.
     pub fn record_keep_alive(&self, worker: &WorkerId, seconds: u32) -> bool {
         let before = self.keep_alive_s.borrow_mut().insert(worker.clone(), seconds);
         before != Some(seconds)
--- a/crates/gatekeeper/src/turns/chain.rs
+++ b/crates/gatekeeper/src/turns/chain.rs
@@ -3,7 +3,7 @@
 use opalrun_wire::store::Turn;
 use std::rc::Rc;
 
-/// The inputs and outputs of all turns before a turn.
+/// The inputs and outputs of all turns that precede a turn.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Chain {
     /// Input and event data of each earlier turn, oldest first. The worker receives them before the new input.
--- a/crates/gatekeeper/tests/proxy/fakes.rs
+++ b/crates/gatekeeper/tests/proxy/fakes.rs
@@ -1,4 +1,4 @@
-//! A fake worker, a client, and a proxy between them, all over loopback.
+//! Test fixtures: a fake worker, a client, and a proxy between them, all over loopback.
 
 use opalrun_configuration::Configuration;
 use opalrun_gatekeeper::proxy::{Proxy, serve};
@@ -20,13 +20,13 @@
     task::{LocalSet, spawn_local},
 };
 
-/// Runs a test on one thread, as the proxy runs.
+/// Runs a test on a single-threaded runtime, as the proxy does.
 pub fn run<F: Future<Output = ()>>(test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, test);
 }
 
-/// A message's head, by lines, and its body.
+/// An HTTP request or response: first line, headers with names in lower case, and body.
 #[derive(Debug, Clone)]
 pub struct Message {
     pub first_line: String,
@@ -44,7 +44,7 @@
     }
 }
 
-/// Reads messages from a socket.
+/// Reads HTTP messages from a socket.
 pub struct Reader<'a> {
     socket: &'a mut TcpStream,
     bytes: Vec<u8>,
@@ -90,7 +90,7 @@
         Some(self.bytes.drain(..count).collect())
     }
 
-    /// A message without its body.
+    /// Reads the head of a message; the returned body is empty.
     pub async fn head(&mut self) -> Option<Message> {
         let head = String::from_utf8(self.read_until(b"\r\n\r\n").await?).expect("a head in ASCII");
         let mut lines = head.lines();
@@ -102,7 +102,7 @@
         Some(Message { first_line, headers, body: Vec::new() })
     }
 
-    /// The next chunk; empty: the last one.
+    /// Reads the next chunk of a chunked body. The last chunk is empty. Returns `None` when the connection closes.
     pub async fn chunk(&mut self) -> Option<Vec<u8>> {
         let length = String::from_utf8(self.read_until(b"\r\n").await?).expect("a length");
         let length = usize::from_str_radix(length.trim(), 16).expect("a length in hex");
@@ -111,7 +111,7 @@
         Some(data)
     }
 
-    /// A whole message; `None`: it broke off.
+    /// Reads a complete message; returns `None` when the connection closes before its end.
     pub async fn message(&mut self) -> Option<Message> {
         let mut message = self.head().await?;
         if message.header("transfer-encoding") == Some("chunked") {
@@ -128,25 +128,25 @@
         Some(message)
     }
 
-    /// All that comes until the end.
+    /// Reads until the connection closes and returns all bytes.
     pub async fn rest(&mut self) -> Vec<u8> {
         while self.read_more().await {}
         std::mem::take(&mut self.bytes)
     }
 }
 
-/// What a fake worker does with one request.
+/// How a fake worker handles one request.
 #[derive(Clone)]
 pub enum Behaviour {
-    /// Sends these bytes, in which `{id}` stands for the request's id, and keeps the connection.
+    /// Sends this text, with `{id}` replaced by the request's id, and keeps the connection open.
     Send(String),
-    /// The same, and then closes the connection.
+    /// Sends this text in the same way, and then closes the connection.
     SendAndClose(String),
-    /// Closes without a word.
+    /// Closes the connection without an answer.
     Close,
-    /// Sends the bytes, waits until it is told to go on, then sends the others.
+    /// Sends the first text, waits for the notification, then sends the second text.
     SendWaitSend(String, Rc<Notify>, String),
-    /// Never answers.
+    /// Never answers and keeps the connection open.
     NeverAnswer,
 }
 
@@ -155,12 +155,14 @@
     pub address: SocketAddr,
     /// Requests received, in order of arrival.
     pub requests: Rc<RefCell<Vec<Message>>>,
+    /// Notified when a request is received.
     pub request_received: Rc<Notify>,
+    /// Number of accepted connections.
     pub connections: Rc<Cell<usize>>,
 }
 
 impl FakeWorker {
-    /// Acts so on its first requests, and as on the last one of these on all others.
+    /// Starts a worker that handles its requests with `behaviours` in order, and all further ones with the last of them.
     pub async fn start(id: &str, behaviours: Vec<Behaviour>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("an address");
@@ -195,6 +197,7 @@
         self.requests.borrow()[number].clone()
     }
 
+    /// Returns the worker as the feed lists it, ready to take requests.
     pub fn feed_entry(&self, service: &str) -> Worker {
         Worker {
             id: self.id.clone(),
@@ -242,7 +245,7 @@
     }
 }
 
-/// A whole answer with this body.
+/// Sends a complete answer with this status, these header lines and this body.
 pub fn answer(status: &str, headers: &str, body: &str) -> Behaviour {
     Behaviour::Send(format!(
         "HTTP/1.1 {status}\r\nRequest-Id: {{id}}\r\nServer-Signature: sig\r\n{headers}Content-Length: {}\r\n\r\n{body}",
@@ -250,14 +253,14 @@
     ))
 }
 
-/// The head of a stream in chunks.
+/// Returns the head of an event stream with chunked transfer encoding.
 pub fn stream_head() -> String {
     "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nServer-Signature: sig\r\nContent-Type: text/event-stream\r\n\
      Transfer-Encoding: chunked\r\n\r\n"
         .to_owned()
 }
 
-/// Events `from` to `to`, each in a chunk.
+/// Returns the events with the ids `from` to `to`, each in a chunk of its own.
 pub fn events(from: u64, to: u64) -> String {
     let chunks: Vec<String> =
         (from..=to).map(event).map(|text| format!("{:x}\r\n{text}\r\n", text.len())).collect();
@@ -270,12 +273,12 @@
 
 pub const LAST_CHUNK: &str = "0\r\n\r\n";
 
-/// A rejected request.
+/// Rejects the request with a statement that it was not run.
 pub fn not_executed() -> Behaviour {
     answer("503 Service Unavailable", "Not-Executed: 1\r\n", "")
 }
 
-/// A running proxy.
+/// A running proxy. Notifying `stop` begins its graceful shutdown.
 pub struct Gatekeeper {
     pub proxy: Rc<Proxy>,
     pub clients: SocketAddr,
@@ -300,8 +303,8 @@
         Self { proxy, clients: address, readiness, stop, ended }
     }
 
-    /// With one service, its workers, and a route of each kind to it.
-    pub async fn with(workers: &[&FakeWorker]) -> Self {
+    /// Starts a proxy with one service, its workers, and one route of each type to the service.
+    pub async fn with_workers(workers: &[&FakeWorker]) -> Self {
         let gatekeeper = Self::start().await;
         gatekeeper.configure(1, CONFIGURATION);
         gatekeeper.set_ready_workers(workers);
@@ -319,7 +322,7 @@
         self.set_workers(workers.iter().map(|worker| worker.feed_entry("s")).collect());
     }
 
-    /// These are the workers of the service.
+    /// Replaces the workers of the service.
     pub fn set_workers(&self, workers: Vec<Worker>) {
         let workers = workers.into_iter().map(|worker| (worker.id.clone(), Rc::new(worker))).collect();
         self.proxy.set_workers(&[("s".to_owned(), workers)].into_iter().collect());
@@ -329,7 +332,7 @@
         TcpStream::connect(self.clients).await.expect("the proxy listens")
     }
 
-    /// Sends a request on a connection of its own and reads the whole answer; `None`: it broke off.
+    /// Sends a request on a new connection and reads the complete answer; returns `None` when the answer broke off.
     pub async fn call(&self, request: &str) -> Option<Message> {
         let mut socket = self.connect().await;
         socket.write_all(request.as_bytes()).await.expect("the proxy reads");
@@ -337,7 +340,7 @@
     }
 }
 
-/// A request with an id to a path.
+/// Returns the text of a request with this id, these header lines and this body.
 pub fn request(method: &str, path: &str, id: &str, headers: &str, body: &str) -> String {
     format!(
         "{method} {path} HTTP/1.1\r\nHost: h.example\r\nRequest-Id: {id}\r\nDeadline-Ms: 5000\r\n\
@@ -394,5 +397,5 @@
 [bounds]
 grace_s = 8
 "#;
-    Settings::parse(text, Path::new("")).expect("proper settings")
+    Settings::parse(text, Path::new("")).expect("valid settings")
 }
--- a/crates/gatekeeper/tests/proxy/forwarding.rs
+++ b/crates/gatekeeper/tests/proxy/forwarding.rs
@@ -1,17 +1,17 @@
-//! Requests whose answers are no streams.
+//! Tests of requests whose answers are not event streams.
 
 use crate::fakes::{Behaviour, CONFIGURATION, FakeWorker, Gatekeeper, answer, not_executed, request, run};
 use opalrun_wire::feed::WorkerState;
 use std::time::Instant;
 
 #[test]
-fn a_request_goes_through_unchanged_and_so_does_its_answer() {
+fn a_request_and_its_answer_are_forwarded_unchanged() {
     run(async {
         let worker = FakeWorker::start("w1", vec![answer("201 Created", "X-Own: 1\r\n", "the bytes")]).await;
-        let gatekeeper = Gatekeeper::with(&[&worker]).await;
+        let gatekeeper = Gatekeeper::with_workers(&[&worker]).await;
         let text =
             request("POST", "/unsafe/a?b=c", "id-1", "X-Other: o\r\nConnection: keep-alive\r\n", "body");
-        let answer = gatekeeper.call(&text).await.expect("a whole answer");
+        let answer = gatekeeper.call(&text).await.expect("a complete answer");
         assert_eq!((answer.status(), &answer.body[..]), (201, &b"the bytes"[..]));
         assert_eq!(answer.header("server-signature"), Some("sig"));
         assert_eq!((answer.header("x-own"), answer.header("request-id")), (Some("1"), Some("id-1")));
@@ -34,45 +34,46 @@
     run(async {
         for path in ["/unsafe/a", "/safe/a"] {
             let full = FakeWorker::start("w1", vec![not_executed()]).await;
-            let gone = FakeWorker::start("w2", vec![answer("421 Misdirected Request", "", "")]).await;
-            let good = FakeWorker::start("w3", vec![answer("200 OK", "", "served")]).await;
-            let gatekeeper = Gatekeeper::with(&[&full, &gone, &good]).await;
+            let replaced = FakeWorker::start("w2", vec![answer("421 Misdirected Request", "", "")]).await;
+            let healthy = FakeWorker::start("w3", vec![answer("200 OK", "", "served")]).await;
+            let gatekeeper = Gatekeeper::with_workers(&[&full, &replaced, &healthy]).await;
             for id in 0..6 {
                 let text = request("POST", path, &format!("id-{id}"), "", "");
-                let answer = gatekeeper.call(&text).await.expect("a whole answer");
+                let answer = gatekeeper.call(&text).await.expect("a complete answer");
                 assert_eq!((answer.status(), &answer.body[..]), (200, &b"served"[..]));
             }
-            assert!(gone.count() <= 1, "a replaced worker gets nothing more");
-            assert_eq!(good.count(), 6);
+            assert!(replaced.count() <= 1, "a replaced worker receives no further requests");
+            assert_eq!(healthy.count(), 6);
         }
     });
 }
 
 #[test]
-fn a_request_that_may_have_run_is_never_sent_again_unless_it_is_safe() {
+fn a_request_that_may_have_run_is_attempted_again_only_on_a_safe_route() {
     run(async {
-        let lost = FakeWorker::start("w1", vec![Behaviour::Close]).await;
-        let also = FakeWorker::start("w2", vec![Behaviour::Close]).await;
-        let gatekeeper = Gatekeeper::with(&[&lost, &also]).await;
+        let closing = FakeWorker::start("w1", vec![Behaviour::Close]).await;
+        let closing_too = FakeWorker::start("w2", vec![Behaviour::Close]).await;
+        let gatekeeper = Gatekeeper::with_workers(&[&closing, &closing_too]).await;
         let answer =
             gatekeeper.call(&request("POST", "/unsafe/a", "id-1", "", "x")).await.expect("an answer");
-        assert_eq!(answer.status(), 502, "no promise is made");
-        assert_eq!(lost.count() + also.count(), 1);
+        assert_eq!(answer.status(), 502, "the status does not state that the request has not run");
+        assert_eq!(closing.count() + closing_too.count(), 1);
         let answer = gatekeeper.call(&request("GET", "/safe/a", "id-2", "", "")).await.expect("an answer");
         assert_eq!(answer.status(), 502);
-        assert_eq!(lost.count() + also.count(), 3, "two workers for the safe one");
+        assert_eq!(closing.count() + closing_too.count(), 3, "the safe request is attempted at two workers");
     });
 }
 
 #[test]
-fn a_safe_request_is_served_by_a_second_worker() {
+fn a_safe_request_is_served_by_a_second_worker_after_a_failure() {
     run(async {
-        let lost = FakeWorker::start("w1", vec![Behaviour::Close]).await;
-        let cut = "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nContent-Length: 50\r\n\r\nhalf";
-        let half = FakeWorker::start("w2", vec![Behaviour::SendAndClose(cut.to_owned())]).await;
-        let good = FakeWorker::start("w3", vec![answer("200 OK", "", "served")]).await;
-        for bad in [&lost, &half] {
-            let gatekeeper = Gatekeeper::with(&[bad, &good]).await;
+        let closing = FakeWorker::start("w1", vec![Behaviour::Close]).await;
+        let truncated_answer = "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nContent-Length: 50\r\n\r\nhalf";
+        let truncated =
+            FakeWorker::start("w2", vec![Behaviour::SendAndClose(truncated_answer.to_owned())]).await;
+        let healthy = FakeWorker::start("w3", vec![answer("200 OK", "", "served")]).await;
+        for failing in [&closing, &truncated] {
+            let gatekeeper = Gatekeeper::with_workers(&[failing, &healthy]).await;
             for id in 0..4 {
                 let text = request("GET", "/safe/a", &format!("id-{id}"), "", "");
                 assert_eq!(gatekeeper.call(&text).await.expect("an answer").status(), 200);
@@ -82,16 +83,16 @@
 }
 
 #[test]
-fn a_request_without_a_worker_is_refused_with_a_time_to_come_back() {
+fn a_request_without_an_available_worker_is_rejected_with_retry_after() {
     run(async {
         let full = FakeWorker::start("w1", vec![not_executed()]).await;
-        let gatekeeper = Gatekeeper::with(&[&full]).await;
+        let gatekeeper = Gatekeeper::with_workers(&[&full]).await;
         let text = request("POST", "/unsafe/a", "id-1", "", "");
         for _ in 0..2 {
             let answer = gatekeeper.call(&text).await.expect("an answer");
             assert_eq!(answer.status(), 503);
             let retry_after: f64 =
-                answer.header("retry-after").and_then(|s| s.parse().ok()).expect("a pause");
+                answer.header("retry-after").and_then(|s| s.parse().ok()).expect("Retry-After in seconds");
             assert!(retry_after > 0.0 && retry_after < 1.0);
             assert_eq!(answer.header("server-signature"), None);
             gatekeeper.set_ready_workers(&[]);
@@ -101,11 +102,11 @@
 }
 
 #[test]
-fn an_answer_to_another_request_is_never_passed_on() {
+fn an_answer_to_another_request_is_never_forwarded() {
     run(async {
-        let stray = "HTTP/1.1 200 OK\r\nRequest-Id: other\r\nContent-Length: 5\r\n\r\nstray";
-        let worker = FakeWorker::start("w1", vec![Behaviour::Send(stray.to_owned())]).await;
-        let gatekeeper = Gatekeeper::with(&[&worker]).await;
+        let foreign = "HTTP/1.1 200 OK\r\nRequest-Id: other\r\nContent-Length: 5\r\n\r\nstray";
+        let worker = FakeWorker::start("w1", vec![Behaviour::Send(foreign.to_owned())]).await;
+        let gatekeeper = Gatekeeper::with_workers(&[&worker]).await;
         let answer = gatekeeper.call(&request("POST", "/unsafe/a", "id-1", "", "")).await.expect("an answer");
         assert_eq!(answer.status(), 502);
         assert!(answer.body.is_empty());
@@ -113,15 +114,15 @@
 }
 
 #[test]
-fn a_workers_own_failure_is_passed_on_and_a_promise_it_did_not_make_is_not() {
+fn a_server_error_is_forwarded_except_a_503_without_not_executed() {
     run(async {
         let failing = FakeWorker::start("w1", vec![answer("500 Oops", "", "why")]).await;
-        let gatekeeper = Gatekeeper::with(&[&failing]).await;
+        let gatekeeper = Gatekeeper::with_workers(&[&failing]).await;
         let answered =
             gatekeeper.call(&request("POST", "/unsafe/a", "id-1", "", "")).await.expect("an answer");
         assert_eq!((answered.status(), &answered.body[..]), (500, &b"why"[..]));
         let vague = FakeWorker::start("w2", vec![answer("503 Service Unavailable", "", "")]).await;
-        let gatekeeper = Gatekeeper::with(&[&vague]).await;
+        let gatekeeper = Gatekeeper::with_workers(&[&vague]).await;
         let answered =
             gatekeeper.call(&request("POST", "/unsafe/a", "id-1", "", "")).await.expect("an answer");
         assert_eq!((answered.status(), answered.header("server-signature")), (502, None));
@@ -129,16 +130,16 @@
 }
 
 #[test]
-fn a_connection_to_a_worker_is_used_again() {
+fn a_connection_to_a_worker_is_reused() {
     run(async {
         let worker = FakeWorker::start("w1", vec![answer("200 OK", "", "x")]).await;
-        let gatekeeper = Gatekeeper::with(&[&worker]).await;
+        let gatekeeper = Gatekeeper::with_workers(&[&worker]).await;
         for id in 0..3 {
             gatekeeper
                 .call(&request("GET", "/safe/a", &format!("id-{id}"), "", ""))
                 .await
                 .expect("an answer");
-            // A connection rests for some milliseconds after an answer.
+            // A connection becomes reusable some milliseconds after an answer.
             tokio::time::pause();
             tokio::time::advance(std::time::Duration::from_millis(20)).await;
             tokio::time::resume();
@@ -148,10 +149,10 @@
 }
 
 #[test]
-fn what_has_no_route_or_breaks_a_limit_is_refused_before_any_worker_sees_it() {
+fn invalid_or_unroutable_requests_are_rejected_before_reaching_a_worker() {
     run(async {
         let worker = FakeWorker::start("w1", vec![answer("200 OK", "", "x")]).await;
-        let gatekeeper = Gatekeeper::with(&[&worker]).await;
+        let gatekeeper = Gatekeeper::with_workers(&[&worker]).await;
         let long_body = "x".repeat(1001);
         let long_header = format!("X-Long: {}\r\n", "x".repeat(2000));
         let cases = [
@@ -172,10 +173,10 @@
 }
 
 #[test]
-fn a_request_hidden_in_another_one_is_never_run() {
+fn a_smuggled_request_is_never_run() {
     run(async {
         let worker = FakeWorker::start("w1", vec![answer("200 OK", "", "x")]).await;
-        let gatekeeper = Gatekeeper::with(&[&worker]).await;
+        let gatekeeper = Gatekeeper::with_workers(&[&worker]).await;
         let hidden = request("POST", "/unsafe/hidden", "id-2", "", "");
         let text = format!(
             "POST /unsafe/a HTTP/1.1\r\nHost: h.example\r\nRequest-Id: id-1\r\nContent-Length: {}\r\n\
@@ -189,13 +190,17 @@
 }
 
 #[test]
-fn the_newest_configuration_decides_and_an_older_one_never_comes_back() {
+fn an_older_configuration_never_replaces_a_newer_one() {
     run(async {
         let worker = FakeWorker::start("w1", vec![answer("200 OK", "", "x")]).await;
         let gatekeeper = Gatekeeper::start().await;
         let text = request("GET", "/safe/a", "id", "", "");
         let unconfigured = gatekeeper.call(&text).await.expect("an answer");
-        assert_eq!(unconfigured.status(), 503, "nobody knows yet whether the route exists");
+        assert_eq!(
+            unconfigured.status(),
+            503,
+            "without a configuration it is unknown whether the route exists"
+        );
         gatekeeper.set_ready_workers(&[&worker]);
         gatekeeper.configure(5, CONFIGURATION);
         assert_eq!(gatekeeper.call(&text).await.expect("an answer").status(), 200);
@@ -210,11 +215,11 @@
 }
 
 #[test]
-fn a_draining_worker_gets_nothing_new() {
+fn a_draining_worker_receives_no_new_requests() {
     run(async {
         let leaving = FakeWorker::start("w1", vec![answer("200 OK", "", "x")]).await;
         let staying = FakeWorker::start("w2", vec![answer("200 OK", "", "x")]).await;
-        let gatekeeper = Gatekeeper::with(&[&leaving, &staying]).await;
+        let gatekeeper = Gatekeeper::with_workers(&[&leaving, &staying]).await;
         let mut draining = leaving.feed_entry("s");
         draining.state = WorkerState::Draining;
         gatekeeper.set_workers(vec![draining, staying.feed_entry("s")]);
--- a/crates/gatekeeper/tests/proxy/main.rs
+++ b/crates/gatekeeper/tests/proxy/main.rs
@@ -1,4 +1,4 @@
-//! The whole proxy over loopback, between clients and fake workers.
+//! Integration tests of the complete proxy over loopback, between clients and fake workers.
 
 mod fakes;
 mod forwarding;
--- a/crates/gatekeeper/tests/proxy/metrics.rs
+++ b/crates/gatekeeper/tests/proxy/metrics.rs
@@ -1,4 +1,4 @@
-//! What scrapers get from a proxy.
+//! Test of the metrics that a proxy exports.
 
 use crate::{
     fakes::{FakeWorker, run},
@@ -8,7 +8,7 @@
 use opalrun_metrics::Scrape;
 
 #[test]
-fn requests_turns_and_raises_are_counted() {
+fn requests_turns_and_lease_acquisitions_are_counted() {
     run(async {
         let stores = Stores::start().await;
         let worker = FakeWorker::start("w1", vec![complete_stream(2)]).await;
@@ -28,7 +28,8 @@
         ] {
             assert!(text.lines().any(|found| found == line), "{line} is missing from {text}");
         }
-        let raises = text.lines().find_map(|line| line.strip_prefix("opalrun_lease_raise_seconds_count "));
-        assert!(raises.expect("raises").parse::<u32>().expect("a count") >= 1, "{text}");
+        let acquisitions =
+            text.lines().find_map(|line| line.strip_prefix("opalrun_lease_raise_seconds_count "));
+        assert!(acquisitions.expect("the histogram's count").parse::<u32>().expect("a count") >= 1, "{text}");
     });
 }
--- a/crates/gatekeeper/tests/proxy/programs.rs
+++ b/crates/gatekeeper/tests/proxy/programs.rs
@@ -1,4 +1,4 @@
-//! Turns of programs: budgets, and what was said before.
+//! Tests of turns of programs: budgets and retained turns.
 
 use crate::{
     fakes::{
@@ -19,7 +19,7 @@
  "models":[{"name":"m"}]}}],"limits":{}}"#;
 
 pub async fn gatekeeper(stores: &Stores, workers: &[&FakeWorker]) -> Gatekeeper {
-    let gatekeeper = Gatekeeper::with(workers).await;
+    let gatekeeper = Gatekeeper::with_workers(workers).await;
     gatekeeper.configure(2, ROUTES);
     gatekeeper.proxy.set_store_map(&stores.map);
     gatekeeper
@@ -29,7 +29,7 @@
     Behaviour::Send(stream_head() + &events(1, count) + LAST_CHUNK)
 }
 
-/// A turn that may emit up to 30 tokens.
+/// Sends a turn that may emit up to 30 tokens.
 pub async fn turn(
     gatekeeper: &Gatekeeper,
     path: &str,
@@ -45,25 +45,25 @@
 }
 
 #[test]
-fn a_turn_gets_all_that_was_said_before_it_also_at_another_gatekeeper() {
+fn a_worker_receives_all_earlier_turns_also_through_another_gatekeeper() {
     run(async {
         let stores = Stores::start().await;
         let worker = FakeWorker::start("w1", vec![complete_stream(2)]).await;
         let first = gatekeeper(&stores, &[&worker]).await;
         let second = gatekeeper(&stores, &[&worker]).await;
-        let answer = turn(&first, "/kept/a", "t1", 1000, None, "one").await.expect("a whole answer");
+        let answer = turn(&first, "/kept/a", "t1", 1000, None, "one").await.expect("a complete answer");
         assert_eq!(answer.body, (event(1) + &event(2)).into_bytes());
-        turn(&first, "/kept/a", "t2", 1000, Some("t1"), "two").await.expect("a whole answer");
-        turn(&second, "/kept/a", "t3", 1000, Some("t2"), "three").await.expect("a whole answer");
-        let said = "piece 1\npiece 2\n";
+        turn(&first, "/kept/a", "t2", 1000, Some("t1"), "two").await.expect("a complete answer");
+        turn(&second, "/kept/a", "t3", 1000, Some("t2"), "three").await.expect("a complete answer");
+        let output = "piece 1\npiece 2\n";
         assert_eq!(worker.request(0).body, b"one");
-        assert_eq!(worker.request(1).body, format!("one{said}two").into_bytes());
-        assert_eq!(worker.request(2).body, format!("one{said}two{said}three").into_bytes());
+        assert_eq!(worker.request(1).body, format!("one{output}two").into_bytes());
+        assert_eq!(worker.request(2).body, format!("one{output}two{output}three").into_bytes());
     });
 }
 
 #[test]
-fn a_turn_that_continues_from_none_is_answered_404_only_when_that_is_sure() {
+fn an_unknown_previous_turn_is_answered_404_only_while_the_stores_are_available() {
     run(async {
         let mut stores = Stores::start().await;
         let worker = FakeWorker::start("w1", vec![complete_stream(2)]).await;
@@ -79,14 +79,14 @@
 }
 
 #[test]
-fn a_turn_that_is_not_stored_does_not_look_complete() {
+fn the_answer_of_a_turn_that_was_not_stored_is_cut_off() {
     run(async {
         let mut stores = Stores::start().await;
         let worker = FakeWorker::start("w1", vec![complete_stream(2)]).await;
         let gatekeeper = gatekeeper(&stores, &[&worker]).await;
         stores.stop_all_but(1);
         let text = request("POST", "/kept/a", "t1", "", "one");
-        assert!(gatekeeper.call(&text).await.is_none(), "the answer is cut");
+        assert!(gatekeeper.call(&text).await.is_none(), "the answer is cut off");
         assert_eq!(worker.count(), 1);
     });
 }
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn what_a_turn_did_not_use_can_be_spent_by_the_next() {
+fn units_unused_by_a_turn_can_be_spent_by_the_next() {
     run(async {
         let stores = Stores::start().await;
         let worker = FakeWorker::start("w1", vec![not_executed(), complete_stream(1)]).await;
@@ -125,12 +125,12 @@
             assert_eq!(answer.expect("an answer").status(), expected, "turn {number}");
         }
         let answer = turn(&gatekeeper, "/free/a", "t8", 50, None, "x").await.expect("an answer");
-        assert_eq!(answer.status(), 402, "29 are left of 50 after 7 events of 3");
+        assert_eq!(answer.status(), 402, "29 of 50 tokens are left after 7 events of 3 tokens");
     });
 }
 
 #[test]
-fn without_the_count_no_turn_runs_and_none_is_rejected_for_a_spent_budget() {
+fn turns_are_answered_503_rather_than_402_while_the_stores_are_unavailable() {
     run(async {
         let mut stores = Stores::start().await;
         let worker = FakeWorker::start("w1", vec![complete_stream(1)]).await;
--- a/crates/gatekeeper/tests/proxy/stores.rs
+++ b/crates/gatekeeper/tests/proxy/stores.rs
@@ -1,4 +1,4 @@
-//! Three stores on loopback with a map that names them.
+//! Test fixture of three stores on loopback, with the store map that lists them.
 
 use opalrun_net::Listener;
 use opalrun_storage::DataDirectory;
@@ -15,14 +15,14 @@
 
 pub struct Stores {
     pub map: StoreMap,
-    /// Removed with the stores.
-    folders: Vec<TempDir>,
+    /// Data directories, which are deleted when the stores are dropped.
+    directories: Vec<TempDir>,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl Stores {
     pub async fn start() -> Self {
-        let mut stores = Self { map: StoreMap::default(), folders: Vec::new(), tasks: Vec::new() };
+        let mut stores = Self { map: StoreMap::default(), directories: Vec::new(), tasks: Vec::new() };
         let mut servers = Vec::new();
         for identity in 1..=3 {
             servers.push(stores.add(identity).await);
@@ -39,8 +39,8 @@
     }
 
     async fn add(&mut self, identity: u64) -> Rc<StoreServer> {
-        let folder = TempDir::new().expect("a folder");
-        let directory = DataDirectory::open(folder.path()).expect("a folder that can be used");
+        let temp_dir = TempDir::new().expect("a temporary directory");
+        let directory = DataDirectory::open(temp_dir.path()).expect("a usable directory");
         let server = StoreServer::open(&directory, NodeIdentity(identity), LIMITS).expect("an empty log");
         let listener = Listener::bind("127.0.0.1:0".parse().expect("an address")).await.expect("a free port");
         self.map.stores.push(StoreNode {
@@ -50,14 +50,14 @@
             zone: "here".to_owned(),
             state: StoreState::Active,
         });
-        self.folders.push(folder);
+        self.directories.push(temp_dir);
         let serving = serve(listener, server.clone());
-        // A set of its own, so that its connections end with it.
+        // A `LocalSet` per store, so that aborting the task also closes the store's connections.
         self.tasks.push(spawn_local(async move { LocalSet::new().run_until(serving).await }));
         server
     }
 
-    /// Ends the stores, but for so many.
+    /// Stops all stores except the first `count`.
     pub fn stop_all_but(&mut self, count: usize) {
         self.tasks.drain(count..).for_each(|task| task.abort());
     }
