--- a/crates/gatekeeper/examples/lease_cost.rs
+++ b/crates/gatekeeper/examples/lease_cost.rs
@@ -1,4 +1,4 @@
-//! Measures the cost of the leases of many programs at a proxy: memory per program and time per event of a turn.
+//! What the leases of many programs cost a proxy: memory for each program, and time for each event of a turn.
 //!
 //! `cargo run --profile tier -p opalrun-gatekeeper --example lease_cost -- 72000`
 
@@ -11,7 +11,7 @@
 const MAX_UNITS_OF_A_TURN: u64 = EVENTS_OF_A_TURN * UNITS_OF_AN_EVENT;
 const BUDGET: u64 = 130 * MAX_UNITS_OF_A_TURN;
 
-/// Returns the resident set size of this process, in bytes.
+/// Bytes that this process has in memory.
 fn resident_bytes() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").expect("Linux");
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("a size");
@@ -19,7 +19,7 @@
     kilobytes << 10
 }
 
-/// Begins a turn of a program and grants the units that it acquires.
+/// Begins a turn of a program and grants what it asks for.
 fn begin(leases: &mut Leases, program: &str, now: Duration) -> TurnId {
     let turn = leases.begin(program, TurnBudget { budget: BUDGET, max_units: MAX_UNITS_OF_A_TURN }, now);
     for action in leases.take_actions() {
