--- a/crates/gateway/src/bin/opalrun-gateway/admin.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/admin.rs
@@ -141,7 +141,7 @@
             return StatusCode::METHOD_NOT_ALLOWED;
         }
         let known = percent_decode_str(id).decode_utf8().is_ok_and(|id| {
-            let known = self.driver.set_aside(&id, is_offline);
+            let known = self.driver.set_worker_offline(&id, is_offline);
             if known {
                 let message = HandoverMessage::WorkerSetOffline { id: id.into_owned(), is_offline };
                 self.driver.send_to_other_process(message);
--- a/crates/gateway/src/bin/opalrun-gateway/config/mod.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/config/mod.rs
@@ -17,7 +17,7 @@
 
 /// A worker as discovery shows it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct WorkerEntry {
     pub id: String,
     #[serde(default)]
     pub addr: String,
@@ -32,10 +32,10 @@
 
 /// A list of workers in discovery's form.
 #[derive(Debug, Clone, Deserialize)]
-pub struct List {
+pub struct WorkerList {
     pub version: u64,
     pub full: bool,
-    pub servers: Vec<Entry>,
+    pub servers: Vec<WorkerEntry>,
 }
 
 #[derive(Debug, Clone)]
@@ -51,7 +51,7 @@
     pub counter: Option<SocketAddr>,
     /// Where the operators' calls are taken, if anywhere.
     pub admin: Option<SocketAddr>,
-    pub known: Vec<Entry>,
+    pub known: Vec<WorkerEntry>,
     /// The version of that list, if it is a whole one.
     pub known_version: Option<u64>,
     pub options: Options,
@@ -255,7 +255,7 @@
         value
     }
 
-    fn known(&mut self) -> (Vec<Entry>, Option<u64>) {
+    fn known(&mut self) -> (Vec<WorkerEntry>, Option<u64>) {
         let (version, full) = (self.need("known.version"), self.need("known.full"));
         let mut entries = Vec::new();
         let servers = self.at("known.servers").and_then(Value::as_array);
@@ -263,7 +263,7 @@
             self.problems.push(Problem::of("known.servers", "is no list"));
         }
         for (i, entry) in servers.into_iter().flatten().enumerate() {
-            match Entry::deserialize(entry) {
+            match WorkerEntry::deserialize(entry) {
                 Ok(entry) => entries.push(entry),
                 Err(e) => self.problems.push(Problem::of(format!("known.servers[{i}]"), e)),
             }
--- a/crates/gateway/src/bin/opalrun-gateway/config/owner.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/config/owner.rs
@@ -185,7 +185,7 @@
     }
 
     /// This process goes on from a version of the one that it takes over from.
-    pub fn follow(&self, version: u64) {
+    pub fn continue_from_version(&self, version: u64) {
         self.history.borrow_mut().follow(version);
     }
 
--- a/crates/gateway/src/bin/opalrun-gateway/discovery.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/discovery.rs
@@ -1,6 +1,6 @@
 //! Follows the list of workers: one watch after another, the whole list after any doubt.
 
-use crate::config::List;
+use crate::config::WorkerList;
 use hyper::{Request, StatusCode, Uri, header};
 use opalrun_transport::{body::RequestBody, connection::Connection};
 use std::{fmt, net::SocketAddr, task::Waker, time::Duration};
@@ -45,7 +45,7 @@
 /// Follows discovery for good, wherever it is at the time, and delivers its lists; `known` is the version of the list that is held.
 pub async fn follow(
     mut addr: watch::Receiver<SocketAddr>,
-    deliver: impl Fn(List),
+    deliver: impl Fn(WorkerList),
     mut known: Option<u64>,
     mut rng: fastrand::Rng,
 ) {
@@ -61,7 +61,7 @@
 
 async fn follow_at(
     addr: SocketAddr,
-    deliver: &impl Fn(List),
+    deliver: &impl Fn(WorkerList),
     mut version: Option<u64>,
     rng: &mut fastrand::Rng,
 ) {
@@ -105,7 +105,11 @@
     }
 }
 
-async fn call(addr: SocketAddr, kept: &mut Option<Connection>, version: Option<u64>) -> Result<List, Fault> {
+async fn call(
+    addr: SocketAddr,
+    kept: &mut Option<Connection>,
+    version: Option<u64>,
+) -> Result<WorkerList, Fault> {
     let mut link = match kept.take().and_then(|mut link| link.ready(Waker::noop()).then_some(link)) {
         Some(link) => link,
         None => Connection::open(addr, CONNECT).await.map_err(|_| Fault::Connect)?,
--- a/crates/gateway/src/bin/opalrun-gateway/driver/handover.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/driver/handover.rs
@@ -33,12 +33,12 @@
     }
 
     /// Attempts in flight here, by customer.
-    pub fn attempts_out(&self) -> Vec<(CustomerId, u32)> {
+    pub fn attempts_in_flight(&self) -> Vec<(CustomerId, u32)> {
         self.gateway.borrow().attempts_out()
     }
 
     /// Attempts that are in flight at the other process, by customer.
-    pub fn out_elsewhere(&self, out: &[(CustomerId, u32)]) {
+    pub fn set_attempts_elsewhere(&self, out: &[(CustomerId, u32)]) {
         self.gateway.borrow_mut().out_elsewhere(out);
     }
 
--- a/crates/gateway/src/bin/opalrun-gateway/driver/mod.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/driver/mod.rs
@@ -15,7 +15,7 @@
 pub use open_request::{Answer, ClientRequest};
 
 use crate::{
-    config::{Config, Entry, List, trial::Tally},
+    config::{Config, WorkerEntry, WorkerList, trial::Tally},
     counter::{Counter, CounterCaller},
     fleet::Fleet,
     handover_message::HandoverMessage,
@@ -299,14 +299,14 @@
     }
 
     /// Discovery sent a list.
-    pub fn discovery_listed(self: &Rc<Self>, list: List) {
+    pub fn discovery_listed(self: &Rc<Self>, list: WorkerList) {
         self.listed.set(self.listed.get() || list.full);
         self.recovery.borrow().iter().for_each(|r| r.listed(&list));
         self.list(if list.full { ListKind::Full } else { ListKind::Changes }, list.servers);
     }
 
     /// News of the workers. Names are mapped to addresses here, which are each gateway's own.
-    pub fn list(self: &Rc<Self>, kind: ListKind, entries: Vec<Entry>) {
+    pub fn list(self: &Rc<Self>, kind: ListKind, entries: Vec<WorkerEntry>) {
         let (mut servers, options) = (Vec::with_capacity(entries.len()), self.options());
         for entry in entries {
             let Some(server) = worker_list::server(&entry, &options.zones) else { continue };
@@ -325,7 +325,7 @@
     }
 
     /// Takes a worker out by hand, or puts it back; `false`: no list has ever named it.
-    pub fn set_aside(&self, id: &str, out: bool) -> bool {
+    pub fn set_worker_offline(&self, id: &str, out: bool) -> bool {
         let known = self.gateway.borrow_mut().set_aside(self.clock.now(), id, out);
         if known {
             self.pools.set_aside(id, out);
--- a/crates/gateway/src/bin/opalrun-gateway/driver/sites.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/driver/sites.rs
@@ -2,7 +2,7 @@
 
 use super::{Driver, plans};
 use crate::{
-    config::Entry,
+    config::WorkerEntry,
     counter::Counter,
     fleet::{Fleet, Site},
     recovery::{self, Progress},
@@ -56,7 +56,7 @@
         }
     }
 
-    fn use_workers(&self, mut workers: Vec<Entry>) {
+    fn use_workers(&self, mut workers: Vec<WorkerEntry>) {
         let known: FnvHashSet<String> =
             self.gateway.borrow().server_names().map(|id| id.to_string()).collect();
         workers.retain(|w| !known.contains(&w.id));
--- a/crates/gateway/src/bin/opalrun-gateway/handover.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/handover.rs
@@ -84,7 +84,7 @@
             driver.take_over(state.state, &state.addresses);
             clients.send_away(state.is_out_of_service);
             set_descriptor_budgets(driver, clients, state.descriptors);
-            configuration.follow(state.configuration_version);
+            configuration.continue_from_version(state.configuration_version);
             Some(link)
         }
         Err(e) if matches!(e.kind(), ErrorKind::NotFound | ErrorKind::ConnectionRefused) => None,
@@ -116,17 +116,17 @@
         while let Some(message) = read_message(&mut lines).await {
             match message {
                 HandoverMessage::InFlight { attempts, descriptors } => {
-                    driver.out_elsewhere(&attempts);
+                    driver.set_attempts_elsewhere(&attempts);
                     set_descriptor_budgets(&driver, &clients, descriptors);
                 }
                 HandoverMessage::WorkerSetOffline { id, is_offline } => {
-                    driver.set_aside(&id, is_offline);
+                    driver.set_worker_offline(&id, is_offline);
                 }
                 HandoverMessage::Serving => {}
             }
         }
         said.abort();
-        driver.out_elsewhere(&[]);
+        driver.set_attempts_elsewhere(&[]);
         set_descriptor_budgets(&driver, &clients, 0);
         info!("the process before this one has left");
     }
@@ -169,7 +169,10 @@
 fn open_descriptors(driver: &Driver, clients: &Clients) -> usize {
     let connections = clients.connections();
     // A client's request may need a worker's connection.
-    crate::OTHERS + crate::ADMIN + connections + driver.pools().open().max(connections)
+    crate::PROCESS_DESCRIPTORS
+        + crate::ADMIN_DESCRIPTORS
+        + connections
+        + driver.pools().open().max(connections)
 }
 
 /// Budgets for connections where the other process holds so many descriptors: this one has the rest.
@@ -206,7 +209,7 @@
     let tell = async {
         let mut before = None;
         loop {
-            let now = (driver.attempts_out(), open_descriptors(driver, clients));
+            let now = (driver.attempts_in_flight(), open_descriptors(driver, clients));
             if before.as_ref() != Some(&now) {
                 driver.send_to_other_process(HandoverMessage::InFlight {
                     attempts: now.0.clone(),
@@ -220,7 +223,7 @@
     let hear = async {
         while let Some(message) = read_message(&mut lines).await {
             if let HandoverMessage::WorkerSetOffline { id, is_offline } = message {
-                driver.set_aside(&id, is_offline);
+                driver.set_worker_offline(&id, is_offline);
             }
         }
     };
--- a/crates/gateway/src/bin/opalrun-gateway/main.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/main.rs
@@ -58,9 +58,9 @@
 /// Between looks for idle connections that are due, and at a trial.
 const SWEEP: Duration = Duration::from_secs(1);
 /// Descriptors beside clients and workers: the standard three, runtime, signals, listener, discovery, counter.
-const OTHERS: usize = 24 + counter::LINES;
+const PROCESS_DESCRIPTORS: usize = 24 + counter::LINES;
 /// And those of a second address.
-const ADMIN: usize = 1 + admin::SEATS;
+const ADMIN_DESCRIPTORS: usize = 1 + admin::SEATS;
 
 #[derive(Debug)]
 enum NodeError {
@@ -109,7 +109,7 @@
     let (listener, inherited) = listen(&config).await.map_err(NodeError::Listen)?;
     let bound = listener.local_addr().map_err(NodeError::Listen)?;
     let name = config.name.clone();
-    let share = config.sockets - OTHERS - config.admin.map_or(0, |_| ADMIN);
+    let share = config.sockets - PROCESS_DESCRIPTORS - config.admin.map_or(0, |_| ADMIN_DESCRIPTORS);
     let admin = match config.admin {
         Some(addr) => Some(TcpListener::bind(addr).await.map_err(NodeError::Listen)?),
         None => None,
--- a/crates/gateway/src/bin/opalrun-gateway/recovery/golden_tests.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/recovery/golden_tests.rs
@@ -8,7 +8,7 @@
     record::{Entered, Record},
 };
 use crate::{
-    config::Entry,
+    config::WorkerEntry,
     golden::{case, check},
 };
 use opalrun_gateway::Ledger;
@@ -23,8 +23,8 @@
     Entered { plan, up, ledger }
 }
 
-fn worker() -> Entry {
-    Entry {
+fn worker() -> WorkerEntry {
+    WorkerEntry {
         id: "worker-1".into(),
         addr: "127.0.0.1:8080".into(),
         zone: "zone-1".into(),
--- a/crates/gateway/src/bin/opalrun-gateway/recovery/mod.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/recovery/mod.rs
@@ -16,7 +16,7 @@
 mod tests;
 pub mod tool;
 
-use crate::config::{Entry, List};
+use crate::config::{WorkerEntry, WorkerList};
 use away::Moment;
 use disk::Folder;
 use fnv::FnvHashSet;
@@ -91,7 +91,7 @@
     fn ledger(&self, customer: &str, exact: bool) -> Option<(usize, Ledger)>;
     fn progress(&self) -> Progress;
     /// Discovery is not to be had: these workers were there once, and may be cold.
-    fn use_workers(&self, workers: Vec<Entry>);
+    fn use_workers(&self, workers: Vec<WorkerEntry>);
 }
 
 /// A step of the start, and how it ended.
@@ -135,7 +135,7 @@
     clock: Clock,
     start: Time,
     waiting: RefCell<Waiting>,
-    workers: RefCell<(u64, BTreeMap<String, Entry>)>,
+    workers: RefCell<(u64, BTreeMap<String, WorkerEntry>)>,
     wake: Notify,
     /// This process is the one that is to have the folder.
     wanted: Cell<bool>,
@@ -143,7 +143,7 @@
     /// Workers that are out by hand.
     aside: RefCell<BTreeSet<String>>,
     /// The list that an earlier process had, for a start without discovery.
-    earlier: RefCell<Vec<Entry>>,
+    earlier: RefCell<Vec<WorkerEntry>>,
     trusted: serde_json::Value,
     steps: RefCell<Vec<Step>>,
     writing: RefCell<Writing>,
@@ -268,7 +268,7 @@
     }
 
     /// Discovery's list has changed.
-    pub fn listed(&self, list: &List) {
+    pub fn listed(&self, list: &WorkerList) {
         let (version, workers) = &mut *self.workers.borrow_mut();
         *version = list.version;
         if list.full {
--- a/crates/gateway/src/bin/opalrun-gateway/recovery/record.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/recovery/record.rs
@@ -1,7 +1,7 @@
 //! What the journal's records say, and the state that they add up to.
 
 use super::away::{Away, Moment, away};
-use crate::config::Entry;
+use crate::config::WorkerEntry;
 use opalrun_gateway::{CustomerId, Kept, Ledger};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -34,7 +34,7 @@
     /// A worker was taken out by hand, or put back.
     Hand { id: String, out: bool },
     /// The workers, as discovery last had them.
-    Workers { version: u64, workers: Vec<Entry> },
+    Workers { version: u64, workers: Vec<WorkerEntry> },
     /// The process ended in good order at `up`: all leases stand in what came before.
     End { up: f64 },
 }
@@ -53,7 +53,7 @@
     pub plans: Vec<String>,
     pub customers: BTreeMap<String, Entered>,
     pub aside: BTreeSet<String>,
-    pub workers: Option<(u64, Vec<Entry>)>,
+    pub workers: Option<(u64, Vec<WorkerEntry>)>,
 }
 
 impl Image {
--- a/crates/gateway/src/bin/opalrun-gateway/worker_list.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/worker_list.rs
@@ -1,10 +1,10 @@
 //! Workers as discovery lists them, in the terms of the decisions.
 
-use crate::config::Entry;
+use crate::config::WorkerEntry;
 use opalrun_gateway::{Lifecycle, Server};
 
 /// An entry in the terms of the decisions; `None` where its state is unknown.
-pub fn server(entry: &Entry, zones: &[String]) -> Option<Server> {
+pub fn server(entry: &WorkerEntry, zones: &[String]) -> Option<Server> {
     let lifecycle = match entry.state.as_str() {
         "SERVING" => Lifecycle::Running,
         "DRAINING" => Lifecycle::Draining,
