--- a/crates/gateway/src/bin/gateway-simulator-adapter.rs
+++ b/crates/gateway/src/bin/gateway-simulator-adapter.rs
@@ -89,12 +89,12 @@
         Ok(match self.text(i, "Outcome")? {
             "S" => Status::Ok,
             "E" => Status::Error,
-            "F" => Status::Full,
+            "F" => Status::Rejected,
             "T" => Status::Timeout,
             "C" => Status::ConnectFailed,
             "R" => Status::Reset,
             "X" => Status::Cancelled,
-            "N" => Status::Moot,
+            "N" => Status::NotSent,
             _ => return UnknownValueSnafu { message: self.1, field: "Outcome" }.fail(),
         })
     }
@@ -161,25 +161,25 @@
             Event::Request(Request {
                 job: row.text(0, "Job")?.into(),
                 units: row.num_or(1, "Weight", 1.0)?,
-                first: row.num_or(2, "FromNo", 0.0)? as u32,
+                first_gateway: row.num_or(2, "FromNo", 0.0)? as u32,
                 expires: row.num(3, "Expires")?,
                 plan: row.num_or(4, "GradeOfService", 0.0)? as usize,
                 spread: row.num_or(5, "NEntries", 1.0)? as u32,
                 class: row.num_or(6, "Category", 0.0)? as usize,
                 customer: row.text(7, "Customer").unwrap_or("").into(),
-                repeat: row.num_or(8, "StateBits", 0.0)? as u64 & 2 != 0,
-                view: None,
+                client_retry: row.num_or(8, "StateBits", 0.0)? as u64 & 2 != 0,
+                peer_view: None,
             })
         }
         "HEAD_RECEIVED" => Event::FirstByte { job: row("HEAD_RECEIVED").text(0, "Job")?.into() },
         "DONE" => {
             let row = row("DONE");
-            Event::Outcome {
+            Event::AttemptEnded {
                 job: row.text(0, "Job")?.into(),
                 attempt: row.int(1, "RoundNo")? as u32,
                 server: row.text(2, "Worker")?.into(),
                 status: row.status(3)?,
-                spent: row.num_or(4, "Spent", 0.0)?,
+                elapsed: row.num_or(4, "Spent", 0.0)?,
                 over: row.at(5, "NoMore")?.as_bool().context(WrongTypeSnafu {
                     message: "DONE",
                     field: "NoMore",
@@ -189,19 +189,23 @@
                 load: row.load(8),
             }
         }
-        "LEFT" => Event::Left { job: row("LEFT").text(0, "Job")?.into() },
+        "LEFT" => Event::ClientDisconnected { job: row("LEFT").text(0, "Job")?.into() },
         "ELAPSED" => Event::Timer { token: row("ELAPSED").int(0, "Name")? },
         "HEALTH_RESULT" => {
             let row = row("HEALTH_RESULT");
-            Event::Probed { server: row.text(0, "Worker")?.into(), status: row.status(1)?, load: row.load(3) }
+            Event::ProbeEnded {
+                server: row.text(0, "Worker")?.into(),
+                status: row.status(1)?,
+                load: row.load(3),
+            }
         }
         "TALLIED" => {
             let row = row("TALLIED");
-            Event::Counted {
+            Event::CounterAnswered {
                 counter: row.int(0, "Counter")?,
                 status: row.status(1)?,
                 total: row.num_or(2, "Value", 0.0)?,
-                spent: row.num_or(3, "Spent", 0.0)?,
+                elapsed: row.num_or(3, "Spent", 0.0)?,
             }
         }
         "NOTE_FROM" => return Ok(None),
@@ -218,7 +222,7 @@
         Action::Timer { token, at } => json!(["DEFER", token, at]),
         Action::Probe { server } => json!(["POLL", &*server]),
         Action::Count { counter, amount, ttl } => json!(["INCR", counter, amount, ttl]),
-        Action::Watch => json!(["SUBSCRIBE", true]),
+        Action::Subscribe => json!(["SUBSCRIBE", true]),
         Action::Log(text) => json!(["DEBUG", text]),
         other => json!(["PANIC", format!("no wire form for {other:?}")]),
     }
--- a/crates/gateway/src/bin/opalrun-gateway/clients.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/clients.rs
@@ -104,7 +104,7 @@
         let number = u64::from_str_radix(customer, 16).map_err(|_| bad)?;
         let remaining = text(&head.headers, "x-remaining").and_then(number_from).ok_or(bad)?;
         let quota = text(&head.headers, "x-quota").and_then(Quota::parse).ok_or(bad)?;
-        let gateways = options.settings.gateways;
+        let gateways = options.settings.gateway_count;
         let txn = text(&head.headers, "x-txn").filter(|t| !t.is_empty() && t.len() <= 256).ok_or(bad)?;
         let txn = HeaderValue::from_str(txn).map_err(|_| bad)?;
         let key = head.headers.get("idempotency-key").cloned();
@@ -113,8 +113,8 @@
         let (method, plain) = (head.method.clone(), key.is_none());
         let proper =
             |options: &Options, class: usize| match options.settings.classes.get(class).map(|c| c.effect) {
-                Some(Effect::Safe) => method == Method::GET,
-                Some(Effect::Keyed { .. }) => method == Method::POST && keyed,
+                Some(Effect::Idempotent) => method == Method::GET,
+                Some(Effect::Deduplicated { .. }) => method == Method::POST && keyed,
                 _ => method == Method::POST && plain,
             };
         if !proper(&options, class) {
--- a/crates/gateway/src/bin/opalrun-gateway/config/mod.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/config/mod.rs
@@ -286,7 +286,8 @@
             }
         };
         // Under a millisecond nothing would be kept, or come up.
-        let times = [("ConnIdle", options.conn_idle), ("ConnectTimeout", options.connect_timeout)];
+        let times =
+            [("ConnIdle", options.connection_idle_timeout), ("ConnectTimeout", options.connect_timeout)];
         for (key, _) in times.into_iter().filter(|(_, v)| !(1e-3..=3600.0).contains(v)) {
             self.problems.push(Problem::of(format!("settings.Limits.{key}"), "is no usable time"));
         }
--- a/crates/gateway/src/bin/opalrun-gateway/counter.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/counter.rs
@@ -224,7 +224,7 @@
         let (status, total) = match (answer, call.name) {
             (Answer::Pong, None) => return true,
             (Answer::Total(total), Some(_)) => (Status::Ok, *total),
-            (Answer::NothingAdded, Some(_)) => (Status::Full, 0.0),
+            (Answer::NothingAdded, Some(_)) => (Status::Rejected, 0.0),
             _ => {
                 self.lines.borrow_mut()[index].calls.push_front(call);
                 return false;
@@ -266,7 +266,7 @@
 
 fn report(caller: &Rc<impl CounterCaller>, name: Option<u64>, status: Status, total: f64, spent: Duration) {
     if let Some(counter) = name {
-        caller.counted(Event::Counted { counter, status, total, spent: spent.as_secs_f64() });
+        caller.counted(Event::CounterAnswered { counter, status, total, elapsed: spent.as_secs_f64() });
     }
 }
 
--- a/crates/gateway/src/bin/opalrun-gateway/driver/actions.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/driver/actions.rs
@@ -14,13 +14,13 @@
 impl Driver {
     pub(super) fn carry_out(self: &Rc<Self>, now: Time, action: Action) {
         match action {
-            Action::Send { job, server, timeout, until, paid } => {
-                self.log_request(&job, "sent", Some(&server), paid.text());
+            Action::Send { job, server, timeout, send_by, paid_from } => {
+                self.log_request(&job, "sent", Some(&server), paid_from.text());
                 self.report_spending(&job);
-                self.send_attempt(now, job, server, timeout, until);
+                self.send_attempt(now, job, server, timeout, send_by);
             }
-            Action::Refuse { job, retry_after, why } => {
-                self.log_request(&job, "refused", None, why.text());
+            Action::Refuse { job, retry_after, reason } => {
+                self.log_request(&job, "refused", None, reason.text());
                 self.answer(&job, Answer::Rejected(retry_after));
             }
             Action::Fail { job } => self.answer(&job, Answer::Failed),
@@ -30,22 +30,22 @@
             Action::Count { counter, amount, ttl } => match &self.counter {
                 Some(client) => {
                     let number = client.call(self, counter, amount, ttl);
-                    let limit = self.options.borrow().settings.count_limit;
+                    let limit = self.options.borrow().settings.counter_timeout;
                     self.set_timer(now + limit, Due::CounterCall(number));
                 }
                 None => {
                     let status = Status::ConnectFailed;
-                    self.events.borrow_mut().push_back(Event::Counted {
+                    self.events.borrow_mut().push_back(Event::CounterAnswered {
                         counter,
                         status,
                         total: 0.0,
-                        spent: 0.0,
+                        elapsed: 0.0,
                     });
                 }
             },
             Action::Log(text) => info!("{text}"),
             // The list is always followed.
-            Action::Watch => {}
+            Action::Subscribe => {}
             other => warn!("an action is unknown: {other:?}"),
         }
     }
@@ -90,7 +90,7 @@
         }
     }
 
-    fn send_attempt(self: &Rc<Self>, now: Time, job: JobId, server: ServerId, timeout: f64, until: Time) {
+    fn send_attempt(self: &Rc<Self>, now: Time, job: JobId, server: ServerId, timeout: f64, send_by: Time) {
         let mut table = self.open.borrow_mut();
         let known = self.pools.addr(&server).is_some();
         let Some(open) = table.get_mut(&job) else { return };
@@ -103,13 +103,13 @@
             open.attempts.push(None);
             drop(table);
             self.forget(&job);
-            let (status, load) = (Status::Moot, Load::default());
-            let event = Event::Outcome {
+            let (status, load) = (Status::NotSent, Load::default());
+            let event = Event::AttemptEnded {
                 job,
                 attempt: number,
                 server,
                 status,
-                spent: 0.0,
+                elapsed: 0.0,
                 over,
                 settled: None,
                 load,
@@ -117,7 +117,7 @@
             return self.events.borrow_mut().push_back(event);
         }
         let (driver, trace, forward) = (self.clone(), Trace::default(), open.forward.clone());
-        let until = until.is_finite().then(|| self.clock.instant(until));
+        let until = send_by.is_finite().then(|| self.clock.instant(send_by));
         let task = tokio::task::spawn_local({
             let (caller, trace, server) =
                 (AttemptCaller { driver, job: job.clone(), number }, trace.clone(), server.clone());
@@ -144,7 +144,7 @@
         tokio::task::spawn_local(async move {
             let probed = tokio::time::timeout(limit, driver.workers.probe(&server)).await.ok();
             let (status, load) = probed.map_or((Status::Timeout, Load::default()), |p| (p.status, p.load));
-            driver.post(Event::Probed { server, status, load });
+            driver.post(Event::ProbeEnded { server, status, load });
         });
     }
 }
--- a/crates/gateway/src/bin/opalrun-gateway/driver/handover.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/driver/handover.rs
@@ -23,7 +23,7 @@
         self.leaving.set(false);
         self.recovery.borrow().iter().for_each(|r| r.resume());
         self.pools.keep_none(false);
-        self.gateway.borrow_mut().take_back(self.clock.now());
+        self.gateway.borrow_mut().resume(self.clock.now());
     }
 
     /// Goes on from what another process has handed over.
@@ -34,12 +34,12 @@
 
     /// Attempts in flight here, by customer.
     pub fn attempts_in_flight(&self) -> Vec<(CustomerId, u32)> {
-        self.gateway.borrow().attempts_out()
+        self.gateway.borrow().attempts_in_flight()
     }
 
     /// Attempts that are in flight at the other process, by customer.
     pub fn set_attempts_elsewhere(&self, out: &[(CustomerId, u32)]) {
-        self.gateway.borrow_mut().out_elsewhere(out);
+        self.gateway.borrow_mut().set_attempts_elsewhere(out);
     }
 
     /// What the other process is to be told from now on.
--- a/crates/gateway/src/bin/opalrun-gateway/driver/mod.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/driver/mod.rs
@@ -25,8 +25,8 @@
 };
 use fnv::{FnvHashMap, FnvHashSet};
 use opalrun_gateway::{
-    Class, Event, Gateway, JobId, Kept, Lifecycle, ListKind, Options, Retune, SettingsError, Time, View,
-    ZoneView,
+    Class, Event, Gateway, JobId, Lifecycle, ListKind, Options, PeerView, PreparedSettings, RecoveredState,
+    SettingsError, Time, ZoneStatus,
 };
 use opalrun_transport::{
     body::{self, DiscardedBody, MemoryBudget},
@@ -53,8 +53,8 @@
 /// What the settings say of the connections to workers.
 fn pool_settings(options: &Options) -> pool::Settings {
     pool::Settings {
-        idle_limit: options.conn_idle,
-        sharers: options.settings.gateways,
+        idle_limit: options.connection_idle_timeout,
+        sharers: options.settings.gateway_count,
         connect_timeout: Duration::from_secs_f64(options.connect_timeout),
     }
 }
@@ -75,7 +75,7 @@
 
 /// Options that all parts can change to.
 pub struct PreparedOptions {
-    retune: Retune,
+    retune: PreparedSettings,
     options: Rc<Options>,
 }
 
@@ -121,7 +121,7 @@
 impl Driver {
     pub fn new(config: &Config, share: usize) -> Result<Rc<Self>, SettingsError> {
         let gateway = Gateway::new(config.options.settings.clone(), config.seed)?;
-        let limit = Duration::from_secs_f64(config.options.settings.count_limit);
+        let limit = Duration::from_secs_f64(config.options.settings.counter_timeout);
         let counter = config.counter.filter(|_| config.options.settings.has_counter);
         let clock = Clock::unix();
         let pools = Pools::new(share / 2, pool_settings(&config.options), clock, config.seed);
@@ -187,7 +187,7 @@
         self.pools.retune(pool_settings(&options));
         self.fleet.borrow().iter().for_each(|f| f.retune(plans(&options)));
         if let Some(part) = &self.counter {
-            part.retune(Duration::from_secs_f64(options.settings.count_limit));
+            part.retune(Duration::from_secs_f64(options.settings.counter_timeout));
             counter.into_iter().for_each(|addr| part.move_to(addr));
         }
         // A class is in use under its effect: another one makes it a new class.
@@ -244,11 +244,11 @@
     pub fn zones(&self) -> String {
         let (options, now) = (self.options(), self.clock.now());
         let name = |zone: u32| usize::try_from(zone).ok().and_then(|z| options.zones.get(z).cloned());
-        let told = |z: &ZoneView| {
+        let told = |z: &ZoneStatus| {
             json!({
-                "zone": name(z.zone), "own": z.zone == options.settings.zone, "usable": z.usable, "cold": z.cold,
-                "left_workers": z.servers - z.usable, "weight": z.weight, "share": z.share,
-                "left": z.left.map(|(since, how)| json!({"since": since, "for_s": now - since, "why": how})),
+                "zone": name(z.zone), "own": z.zone == options.settings.zone, "usable": z.usable, "cold": z.warming_up,
+                "left_workers": z.servers - z.usable, "weight": z.weight, "share": z.traffic_share,
+                "left": z.ejected.map(|(since, how)| json!({"since": since, "for_s": now - since, "why": how})),
             })
         };
         json!({ "zones": self.gateway.borrow().zones(now).iter().map(told).collect::<Vec<_>>() }).to_string()
@@ -267,18 +267,18 @@
     }
 
     /// Goes on from what an earlier process left on disk, and writes down there what is sent on from now on.
-    pub fn set_recovery(&self, recovery: Rc<Recovery>, kept: Option<Kept>) {
+    pub fn set_recovery(&self, recovery: Rc<Recovery>, kept: Option<RecoveredState>) {
         kept.into_iter().for_each(|kept| self.gateway.borrow_mut().recover(self.clock.now(), kept));
         self.recovery.replace(Some(recovery));
     }
 
     /// What others are known to have left of a customer's quota.
-    fn view(&self, customer: &str) -> Option<View> {
+    fn view(&self, customer: &str) -> Option<PeerView> {
         let fleet = self.fleet()?;
         let known = fleet.spending(customer)?;
-        let others = self.options.borrow().settings.gateways.saturating_sub(1).max(1);
+        let others = self.options.borrow().settings.gateway_count.saturating_sub(1).max(1);
         let part = (fleet.members() as f64 / f64::from(others)).min(1.0);
-        Some(View { level: known.level, age: known.age, part })
+        Some(PeerView { level: known.level, age: known.age, coverage: part })
     }
 
     /// Hands the decisions one event and carries out what it wants; events that this leads to come after it.
@@ -326,7 +326,7 @@
 
     /// Takes a worker out by hand, or puts it back; `false`: no list has ever named it.
     pub fn set_worker_offline(&self, id: &str, out: bool) -> bool {
-        let known = self.gateway.borrow_mut().set_aside(self.clock.now(), id, out);
+        let known = self.gateway.borrow_mut().set_offline(self.clock.now(), id, out);
         if known {
             self.pools.set_aside(id, out);
         }
--- a/crates/gateway/src/bin/opalrun-gateway/driver/requests.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/driver/requests.rs
@@ -112,11 +112,11 @@
             expires,
             plan: request.plan,
             spread: request.spread,
-            first: request.first,
+            first_gateway: request.first,
             class: request.class,
             customer,
-            repeat: request.repeat,
-            view,
+            client_retry: request.repeat,
+            peer_view: view,
         }));
         (job, receiver)
     }
@@ -150,7 +150,7 @@
             self.log_request(job, "left", None, "its client has gone");
             self.cancel_unsent(job);
             self.forget(job);
-            self.post(Event::Left { job: job.clone() });
+            self.post(Event::ClientDisconnected { job: job.clone() });
         }
     }
 
@@ -161,7 +161,7 @@
         let jobs: Vec<JobId> = self.open.borrow().keys().cloned().collect();
         for job in jobs {
             self.answer(&job, Answer::Failed);
-            self.post(Event::Left { job });
+            self.post(Event::ClientDisconnected { job });
         }
     }
 
@@ -184,12 +184,12 @@
         if let (Some(fleet), Some(answered)) = (&*self.fleet.borrow(), worker_answered(ending.status)) {
             fleet.saw(&attempt.server, answered);
         }
-        self.post(Event::Outcome {
+        self.post(Event::AttemptEnded {
             job: job.clone(),
             attempt: number,
             server: attempt.server,
             status: ending.status,
-            spent: (attempt.forwarded.map_or_else(|| self.clock.now(), |forwarded| forwarded.since)
+            elapsed: (attempt.forwarded.map_or_else(|| self.clock.now(), |forwarded| forwarded.since)
                 - attempt.sent)
                 .max(0.0),
             over,
@@ -207,7 +207,7 @@
             let unsent = attempts.filter(|(_, a)| a.as_ref().is_some_and(|a| !may_have_run(&a.trace)));
             unsent.map(|(number, _)| number as u32).collect()
         };
-        unsent.into_iter().for_each(|number| self.stop_attempt(job, number, Status::Moot));
+        unsent.into_iter().for_each(|number| self.stop_attempt(job, number, Status::NotSent));
     }
 
     /// Ends an attempt from this side, unless its answer has begun to go to the client.
@@ -235,7 +235,7 @@
         };
         if let Some(may_have_run) = stopped {
             // Not written whole: it was never sent, whatever ended it.
-            let status = if may_have_run { status } else { Status::Moot };
+            let status = if may_have_run { status } else { Status::NotSent };
             self.attempt_ended(job, number, Ending::of(status));
         }
     }
--- a/crates/gateway/src/bin/opalrun-gateway/driver/sites.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/driver/sites.rs
@@ -14,7 +14,7 @@
 impl Site for Rc<Driver> {
     fn facts(&self) -> (u32, u64, Vec<(f64, f64)>) {
         let options = self.options();
-        (options.settings.me, self.seed, plans(&options))
+        (options.settings.gateway_index, self.seed, plans(&options))
     }
 
     fn set_fleet(&self, fleet: Option<Rc<Fleet>>) {
@@ -27,7 +27,7 @@
     fn failing(&self, worker: &str) {
         let Some(sight) = self.fleet().map(|f| f.sight(worker)) else { return };
         let (answered, failed, members) = (sight.answered, sight.failed, sight.members);
-        self.post(Event::Sight { server: worker.into(), answered, failed, members });
+        self.post(Event::FleetObservation { server: worker.into(), answered, failed, members });
     }
 }
 
@@ -41,7 +41,7 @@
     }
 
     fn ledger(&self, customer: &str, exact: bool) -> Option<(usize, Ledger)> {
-        let block = self.options.borrow().settings.max_units.max(1.0);
+        let block = self.options.borrow().settings.max_request_units.max(1.0);
         self.gateway.borrow().ledger(self.clock.now(), customer, if exact { 0.0 } else { block })
     }
 
@@ -52,7 +52,7 @@
             counted: self.counter.as_ref().map(Counter::answers),
             members: self.fleet().map(|f| f.members()),
             usable: zones.iter().map(|z| z.usable).sum(),
-            cold: zones.iter().map(|z| z.cold).sum(),
+            cold: zones.iter().map(|z| z.warming_up).sum(),
         }
     }
 
--- a/crates/gateway/src/bin/opalrun-gateway/driver/timers.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/driver/timers.rs
@@ -56,7 +56,7 @@
         match forwarding {
             None => {
                 self.answer(&job, Answer::Failed);
-                self.post(Event::Left { job });
+                self.post(Event::ClientDisconnected { job });
             }
             // What has begun can't be told otherwise any more. Its client can tell by its end that it is not whole.
             Some((number, stalled)) if stalled >= KEPT_BACK => {
--- a/crates/gateway/src/bin/opalrun-gateway/recovery/mod.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/recovery/mod.rs
@@ -22,7 +22,7 @@
 use fnv::FnvHashSet;
 use journal::{Found, Journal};
 use keeper::Keeper;
-use opalrun_gateway::{CustomerId, Kept, Ledger, Time};
+use opalrun_gateway::{CustomerId, Ledger, RecoveredState, Time};
 use opalrun_transport::clock::Clock;
 use record::{BATCH, Entered, Image, Record};
 use serde::Serialize;
@@ -161,7 +161,7 @@
         plans: &[String],
         clock: Clock,
         heir: bool,
-    ) -> Result<(Rc<Self>, Option<Kept>), StateError> {
+    ) -> Result<(Rc<Self>, Option<RecoveredState>), StateError> {
         let mut recovery = Self {
             folder: folder.to_owned(),
             name: name.to_owned(),
@@ -191,18 +191,21 @@
                 recovery.writing.get_mut().failing = Some(e.to_string());
                 recovery.trusted = json!({"from": "nothing", "others_count_as_spent": spent.is_some()});
                 recovery.step("own state", format!("not to be had: {e}"));
-                Ok((Rc::new(recovery), Some(Kept { spent, ..Kept::default() })))
+                Ok((
+                    Rc::new(recovery),
+                    Some(RecoveredState { others_spent: spent, ..RecoveredState::default() }),
+                ))
             }
         }
     }
 
     /// The same for a folder that is there and can be read; `None`: another process has it.
-    fn open_first(&mut self, plans: &[String]) -> io::Result<Option<Kept>> {
+    fn open_first(&mut self, plans: &[String]) -> io::Result<Option<RecoveredState>> {
         let Some(lock) = keeper::lock(&self.folder)? else { return Ok(None) };
         let now = Moment::now(Path::new("/proc"));
         let (mut journal, found) = Journal::open(Folder::new(&self.folder), &self.name, &now)?;
         let mut kept = found.image.kept(found.away, plans);
-        kept.customers.retain(|(.., ledger)| ledger.is_sane());
+        kept.customers.retain(|(.., ledger)| ledger.is_plausible());
         // Before anything of it is used: a start that dies right after must not find the same leases again.
         if let Err(e) = journal.renew() {
             warn!("the state in {} can't be written: {e}", self.folder.display());
@@ -217,7 +220,7 @@
         Ok(Some(kept))
     }
 
-    fn tell_found(&mut self, found: &Found, kept: &Kept) {
+    fn tell_found(&mut self, found: &Found, kept: &RecoveredState) {
         let (outcome, end) = match (&found.refused, &found.end) {
             (Some((why, aside)), _) => (format!("refused, kept as {aside}: {why}"), None),
             (None, Some(end)) => (format!("{} customers", kept.customers.len()), Some(end.to_string())),
@@ -226,7 +229,7 @@
         let leases = kept.customers.iter().filter(|(.., l)| l.lease > 0.0).count();
         self.trusted = json!({
             "from": "disk", "file": end, "in_good_order": found.image.ended, "customers": kept.customers.len(),
-            "with_leases": leases, "others_count_as_spent": kept.spent.is_some(), "out_by_hand": kept.aside,
+            "with_leases": leases, "others_count_as_spent": kept.others_spent.is_some(), "out_by_hand": kept.offline_servers,
             "away_s": found.away, "refused": found.refused.as_ref().map(|(why, _)| why.to_string()),
         });
         let damaged = found.end.as_ref().filter(|end| **end != frame::End::Whole);
--- a/crates/gateway/src/bin/opalrun-gateway/recovery/record.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/recovery/record.rs
@@ -2,7 +2,7 @@
 
 use super::away::{Away, Moment, away};
 use crate::config::WorkerEntry;
-use opalrun_gateway::{CustomerId, Kept, Ledger};
+use opalrun_gateway::{CustomerId, Ledger, RecoveredState};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -127,7 +127,7 @@
     }
 
     /// The same for the module, which knows plans by their numbers in `plans`.
-    pub fn kept(&self, gone: Away, plans: &[String]) -> Kept {
+    pub fn kept(&self, gone: Away, plans: &[String]) -> RecoveredState {
         let number = |of: u32| {
             let name = self.plans.get(of as usize)?;
             plans.iter().position(|p| p == name)
@@ -139,6 +139,11 @@
         });
         let aside = self.aside.iter().map(|id| id.as_str().into()).collect();
         let spent = self.spent.map(|spent| (self.last - spent).max(0.0));
-        Kept { customers: all.collect(), aside, most: gone.most, spent }
+        RecoveredState {
+            customers: all.collect(),
+            offline_servers: aside,
+            max_elapsed: gone.most,
+            others_spent: spent,
+        }
     }
 }
--- a/crates/gateway/src/bin/opalrun-gateway/workers.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/workers.rs
@@ -89,7 +89,7 @@
     match why {
         NoConnection::Refused | NoConnection::TimedOut => Status::ConnectFailed,
         // It was never sent, and this says nothing of the worker.
-        NoConnection::Unknown | NoConnection::NoDescriptor | NoConnection::Bound => Status::Moot,
+        NoConnection::Unknown | NoConnection::NoDescriptor | NoConnection::Bound => Status::NotSent,
     }
 }
 
@@ -175,7 +175,7 @@
             biased;
             // First, so that nothing is written after it; dropping the rest closes what it has begun. A body that still
             // comes goes once only, and repeats nothing.
-            () = too_late(until, trace), if what.body.is_some() => Err(Status::Moot),
+            () = too_late(until, trace), if what.body.is_some() => Err(Status::NotSent),
             sent = self.send(worker, trace, build) => sent,
             // The time of a body that still comes is its client's, so a worker that reads no more has its own.
             () = stuck(trace), if what.body.is_none() => Err(Status::ConnectFailed),
@@ -189,7 +189,7 @@
         let load = load_of(&parts.headers);
         let ending = match parts.status.as_u16() {
             200 => self.serve(lease, body, pool, caller).await,
-            503 | 504 if turned_away => self.pass_over(lease, body, Status::Full).await,
+            503 | 504 if turned_away => self.pass_over(lease, body, Status::Rejected).await,
             _ => self.pass_over(lease, body, Status::Error).await,
         };
         Ending { load, ..ending }
@@ -200,7 +200,7 @@
         if body.size_hint().upper().is_some_and(|n| n <= PASSED_OVER) {
             let rest = async { while let Ok(Some(_)) = lease.connection().piece(&mut body).await {} };
             if tokio::time::timeout(KEPT_BACK, rest).await.is_ok() {
-                lease.give_back(status == Status::Full);
+                lease.give_back(status == Status::Rejected);
             }
         }
         Ending::of(status)
--- a/crates/gateway/src/decisions/admission.rs
+++ b/crates/gateway/src/decisions/admission.rs
@@ -32,22 +32,22 @@
         }
         let (plans, classes) = (self.settings.plans.len(), self.settings.classes.len());
         let known = request.class < classes && request.plan < plans && request.units.is_finite();
-        let time = request.expires > self.now + 4.0 * self.settings.step;
-        let full = self.jobs.len() >= self.settings.max_open as usize || request.units < 0.0;
+        let time = request.expires > self.now + 4.0 * self.settings.min_event_interval;
+        let full = self.jobs.len() >= self.settings.max_open_requests as usize || request.units < 0.0;
         let job = Job {
             request: request.clone(),
             class: self.settings.classes.get(request.class).cloned().unwrap_or_default(),
             max_attempts: self.settings.max_attempts as usize,
-            second_copies: self.settings.second_copies,
+            hedging_allowed: self.settings.hedging_allowed,
             arrived: self.now,
             ..Job::default()
         };
         self.jobs.insert(id.clone(), job);
         if !known || !time || full {
-            return self.finish(&id, 0.0, Reason::Unfit);
+            return self.finish(&id, 0.0, Reason::Invalid);
         }
         let plan = self.settings.plans[request.plan].clone();
-        let spread = request.spread.clamp(1, self.settings.gateways);
+        let spread = request.spread.clamp(1, self.settings.gateway_count);
         // Rule 5: a restarted gateway does not know what it spent under a ceiling; else one request fits.
         let (fresh, at) = (self.state.spent.is_none(), self.state.spent.unwrap_or(self.now));
         let even = (plan.burst / f64::from(spread)).max(request.units);
@@ -55,11 +55,12 @@
         let unseen = || Customer { share: TokenBucket { level, at }, ..Customer::default() };
         let customer = self.state.customers.entry(request.customer.clone()).or_insert_with(unseen);
         (customer.plan, customer.spread, customer.touched) = (request.plan, spread, self.now);
-        customer.turn = (self.settings.me + self.settings.gateways - request.first % self.settings.gateways)
-            % self.settings.gateways;
+        customer.turn = (self.settings.gateway_index + self.settings.gateway_count
+            - request.first_gateway % self.settings.gateway_count)
+            % self.settings.gateway_count;
         add_decaying(&mut customer.demand, self.now, request.units, DEMAND_MEMORY);
         if !self.has_capacity(1.0) {
-            return self.finish(&id, self.settings.max_retry_after, Reason::Pressed);
+            return self.finish(&id, self.settings.max_retry_after, Reason::Overloaded);
         }
         if plan.rate <= 0.0 {
             return self.spend(id, 0.0, Reason::Lease);
@@ -72,7 +73,7 @@
     /// where few are out. A fraction lets in by chance, so that many gateways of little load keep it
     /// together.
     pub(super) fn has_capacity(&mut self, share: f64) -> bool {
-        let least = MIN_IN_FLIGHT * self.names.len() as f64 / f64::from(self.settings.gateways);
+        let least = MIN_IN_FLIGHT * self.names.len() as f64 / f64::from(self.settings.gateway_count);
         let pressed =
             (PRESSURE_LATENCY_SHARE * self.latency_target()).max(PRESSURE_IDLE_FACTOR * self.state.idle);
         let ease = (pressed / self.state.typical.max(1e-3)).min(LIMIT_GROWTH);
@@ -82,7 +83,7 @@
     }
 
     pub(super) fn latency_target(&self) -> f64 {
-        self.settings.classes.iter().map(|c| c.aim).reduce(f64::min).unwrap_or(1.0).max(1e-3)
+        self.settings.classes.iter().map(|c| c.latency_target).reduce(f64::min).unwrap_or(1.0).max(1e-3)
     }
 
     /// Where the even share of an open cap is under one attempt, a first one at each gateway adds up to
@@ -92,10 +93,10 @@
         let customer = &self.state.customers[key];
         let level = customer.level.map(|mut l| l.refill(self.now, plan.rate, plan.burst));
         let used = level.map_or(0.0, |l| 1.0 - l / plan.burst.max(1e-9));
-        if plan.open >= customer.spread || used < OPEN_USED {
+        if plan.max_open_attempts >= customer.spread || used < OPEN_USED {
             return true;
         }
-        let free = f64::from(plan.open - 1).max(0.5);
+        let free = f64::from(plan.max_open_attempts - 1).max(0.5);
         self.draw() * plan.rate * self.state.latency <= free
     }
 
@@ -106,7 +107,7 @@
     pub(super) fn under_open_cap(&self, key: &CustomerId, plan: &Plan) -> bool {
         let customer = &self.state.customers[key];
         let open = customer.open + customer.elsewhere;
-        if open < (plan.open / customer.spread).max(1) {
+        if open < (plan.max_open_attempts / customer.spread).max(1) {
             return true;
         }
         let others = f64::from(customer.spread - 1);
@@ -116,7 +117,7 @@
         let mean = others * rate * latency;
         // The chance that they leave no room, were theirs to come by chance.
         let (mut term, mut fits) = ((-mean).exp(), 0.0);
-        for out in 0..plan.open.saturating_sub(open) {
+        for out in 0..plan.max_open_attempts.saturating_sub(open) {
             fits += term;
             term *= mean / f64::from(out + 1);
         }
--- a/crates/gateway/src/decisions/attempts.rs
+++ b/crates/gateway/src/decisions/attempts.rs
@@ -25,8 +25,8 @@
     pub(super) fn send_attempt(&mut self, id: &JobId) -> bool {
         let Some(mut job) = self.jobs.remove(id) else { return false };
         let class = &job.class;
-        let useful = if class.late_worth > 0.0 { f64::INFINITY } else { job.arrived + class.aim };
-        let timeout = (useful - 2.0 * self.settings.step).min(job.request.expires) - self.now;
+        let useful = if class.late_value > 0.0 { f64::INFINITY } else { job.arrived + class.latency_target };
+        let timeout = (useful - 2.0 * self.settings.min_event_interval).min(job.request.expires) - self.now;
         let tries = !job.once && job.attempts.len() < job.max_attempts;
         let server = if tries && timeout > 0.0 && !job.over { self.choose_server(&job) } else { None };
         if let Some(server) = &server {
@@ -45,12 +45,12 @@
             }
             let units = job.request.units / fleet.max(1.0);
             add_decaying(&mut self.state.warm_units, self.now, units, RATE_MEMORY);
-            let (to, paid, until) = (server.clone(), job.paid, self.repeats_until(&job));
-            let until = if until > self.now { until } else { f64::INFINITY }; // No repeat may follow.
-            self.out.push(Action::Send { job: id.clone(), server: to, timeout, until, paid });
+            let (to, paid_from, send_by) = (server.clone(), job.paid, self.repeats_until(&job));
+            let send_by = if send_by > self.now { send_by } else { f64::INFINITY }; // No repeat may follow.
+            self.out.push(Action::Send { job: id.clone(), server: to, timeout, send_by, paid_from });
             job.attempts.push(Attempt { server: server.clone(), sent: self.now, ran: Ran::Out });
-            let delay = (HEDGE_LATENCY_SHARE * class.aim).max(3.0 * self.state.latency);
-            if job.second_copies && delay < timeout {
+            let delay = (HEDGE_LATENCY_SHARE * class.latency_target).max(3.0 * self.state.latency);
+            if job.hedging_allowed && delay < timeout {
                 self.set_timer(self.now + delay, Due::Hedge(id.clone()));
             }
         }
@@ -69,8 +69,8 @@
         let Some(job) = self.jobs.get_mut(id) else { return };
         let Some(tried) = job.attempts.get_mut(attempt as usize) else { return };
         if tried.ran == Ran::Out {
-            let unsent = matches!(status, Status::ConnectFailed | Status::Moot);
-            tried.ran = if unsent || status == Status::Full { Ran::Never } else { Ran::Maybe };
+            let unsent = matches!(status, Status::ConnectFailed | Status::NotSent);
+            tried.ran = if unsent || status == Status::Rejected { Ran::Never } else { Ran::Maybe };
             job.drawn = if unsent { job.drawn } else { 0.0 };
             if let Some(customer) = self.state.customers.get_mut(&job.request.customer) {
                 customer.open = customer.open.saturating_sub(1);
@@ -94,7 +94,7 @@
             self.state.further -= 1.0;
             return;
         }
-        self.finish(id, self.state.latency, Reason::Attempts);
+        self.finish(id, self.state.latency, Reason::AttemptsFailed);
     }
 
     pub(super) fn send_hedge(&mut self, id: &JobId) {
@@ -108,10 +108,12 @@
     pub(super) fn finish(&mut self, id: &JobId, retry_after: f64, why: Reason) {
         let Some(job) = self.jobs.get(id).filter(|j| !j.over) else { return };
         let clean = job.attempts.iter().all(|a| a.ran == Ran::Never);
-        if clean || matches!(job.class.effect, Effect::Safe | Effect::Keyed { group: Group::All, .. }) {
+        if clean
+            || matches!(job.class.effect, Effect::Idempotent | Effect::Deduplicated { group: Group::All, .. })
+        {
             let most = if self.settings.retry_after { self.settings.max_retry_after } else { 0.0 };
             let retry_after = retry_after.max(0.0).min(most);
-            self.out.push(Action::Refuse { job: id.clone(), retry_after, why });
+            self.out.push(Action::Refuse { job: id.clone(), retry_after, reason: why });
         } else {
             self.out.push(Action::Fail { job: id.clone() });
         }
--- a/crates/gateway/src/decisions/even_share.rs
+++ b/crates/gateway/src/decisions/even_share.rs
@@ -2,7 +2,7 @@
 
 use super::{Gateway, SPARE_CAPACITY, window::phase};
 use crate::{
-    interface::{JobId, Plan, Reason, Request, Time, View},
+    interface::{JobId, PeerView, Plan, Reason, Request, Time},
     state::Customer,
     token_bucket::TokenBucket,
 };
@@ -22,8 +22,8 @@
         if self.leaving {
             return false;
         }
-        let (most, Request { units, customer: key, view, .. }) =
-            (self.settings.max_units.max(1.0), &self.jobs[id].request);
+        let (most, Request { units, customer: key, peer_view: view, .. }) =
+            (self.settings.max_request_units.max(1.0), &self.jobs[id].request);
         let customer = self.state.customers.get_mut(key).expect("asked for known customers only");
         let (mut rate, mut burst) = (plan.rate, plan.burst);
         if plan.ceiling_rate > 0.0 {
@@ -33,7 +33,7 @@
         let (spread, deal) = (f64::from(customer.spread), most / rate);
         if plan.ceiling_rate == 0.0 {
             let even = customer.share.refill(self.now, rate / spread, (burst / spread).max(*units));
-            let heard = |v: &View| v.part * (-v.age / VIEW_MEMORY).exp() * (v.level - even);
+            let heard = |v: &PeerView| v.coverage * (-v.age / VIEW_MEMORY).exp() * (v.level - even);
             return even + view.as_ref().map_or(0.0, heard) >= *units;
         }
         let phase = f64::from(customer.turn % customer.spread) + phase(key);
@@ -47,9 +47,9 @@
     /// Beyond the quota (the source's soft limit): refused, but where the settings say that such a request
     /// earns more than it costs and there is room to spare, it goes; under a ceiling only within the share.
     pub(super) fn beyond_quota(&mut self, id: JobId, plan: &Plan, why: Reason) {
-        let pays = plan.excess_worth > plan.overrun_cost && plan.open == 0;
+        let worthwhile = plan.excess_value > plan.overrun_cost && plan.max_open_attempts == 0;
         let (units, key) = (self.jobs[&id].request.units, self.jobs[&id].request.customer.clone());
-        if !(pays && self.has_capacity(SPARE_CAPACITY))
+        if !(worthwhile && self.has_capacity(SPARE_CAPACITY))
             || plan.ceiling_rate > 0.0 && !self.even_share_covers(&id, plan)
         {
             let Customer { lease, level, .. } = &self.state.customers[&key];
@@ -62,8 +62,8 @@
     }
 
     pub(super) fn spend_even_share(&mut self, id: JobId, plan: &Plan, why: Reason) {
-        let Request { units, view, .. } = self.jobs[&id].request;
-        let why = if view.is_some() { Reason::View } else { why };
+        let Request { units, peer_view: view, .. } = self.jobs[&id].request;
+        let why = if view.is_some() { Reason::PeerView } else { why };
         if self.even_share_covers(&id, plan) {
             self.spend(id, units, why)
         } else {
--- a/crates/gateway/src/decisions/mod.rs
+++ b/crates/gateway/src/decisions/mod.rs
@@ -18,7 +18,7 @@
 
 use crate::{
     interface::{Action, CustomerId, Event, JobId, ServerId, Settings, SettingsError, Time},
-    state::{Customer, Job, Kept, Ledger, State},
+    state::{Customer, Job, Ledger, RecoveredState, State},
     token_bucket::TokenBucket,
 };
 use std::collections::{BTreeMap, VecDeque};
@@ -85,7 +85,7 @@
 
 /// Settings that a gateway can change to.
 #[derive(Debug)]
-pub struct Retune(Settings);
+pub struct PreparedSettings(Settings);
 
 /// The decisions of one gateway.
 #[derive(Debug, Default)]
@@ -117,7 +117,7 @@
     /// Settings that no gateway can work with.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
-        let call_rate = (INITIAL_FLEET_CALL_RATE / f64::from(settings.gateways)).max(MIN_CALL_RATE);
+        let call_rate = (INITIAL_FLEET_CALL_RATE / f64::from(settings.gateway_count)).max(MIN_CALL_RATE);
         let flows = vec![Default::default(); settings.plans.len()];
         let (answered_rate, further, missed) = (call_rate, MAX_SAVED_RETRIES, [0.0, REPEAT_MISSED]);
         let state = State { flows, call_rate, answered_rate, further, missed, ..State::default() };
@@ -131,21 +131,21 @@
     ///
     /// # Errors
     /// Settings that no gateway can work with, or that this one can't change to.
-    pub fn prepare(&self, settings: Settings) -> Result<Retune, SettingsError> {
+    pub fn prepare(&self, settings: Settings) -> Result<PreparedSettings, SettingsError> {
         settings.check()?;
         let removed = settings.plans.len() < self.settings.plans.len();
-        if removed { Err(SettingsError::PlansRemoved) } else { Ok(Retune(settings)) }
+        if removed { Err(SettingsError::PlansRemoved) } else { Ok(PreparedSettings(settings)) }
     }
 
     /// Puts them there, which can't fail.
-    pub fn commit(&mut self, ready: Retune) {
+    pub fn commit(&mut self, ready: PreparedSettings) {
         self.state.flows.resize(ready.0.plans.len(), Default::default());
         self.settings = ready.0;
     }
 
     /// Gives up what this gateway knows and has granted to another process of the same gatekeeper, so that
     /// the two grant nothing twice. From then on it spends nothing that the counter has not granted it
-    /// anew, and sends nothing to a cold server, until [`Gateway::take_back`].
+    /// anew, and sends nothing to a cold server, until [`Gateway::resume`].
     pub fn hand_over(&mut self, now: Time) -> State {
         self.leaving = true;
         let customers = self.state.customers.iter_mut().map(|(id, c)| (id.clone(), c.give_up(now))).collect();
@@ -153,7 +153,7 @@
     }
 
     /// The process that took over has ended: this one grants again, beginning with nothing in its stores.
-    pub fn take_back(&mut self, now: Time) {
+    pub fn resume(&mut self, now: Time) {
         self.leaving = false;
         self.state.customers.values_mut().for_each(|c| c.share = TokenBucket { level: 0.0, at: now });
     }
@@ -161,7 +161,7 @@
     /// Goes on from where another process of the same gatekeeper has come to.
     pub fn take_over(&mut self, mut state: State) {
         state.customers.retain(|_, c| c.plan < self.settings.plans.len());
-        state.customers.values_mut().for_each(|c| c.spread = c.spread.clamp(1, self.settings.gateways));
+        state.customers.values_mut().for_each(|c| c.spread = c.spread.clamp(1, self.settings.gateway_count));
         state.flows.resize(self.settings.plans.len(), Default::default());
         state.call_rate = state.call_rate.max(MIN_CALL_RATE);
         // What both know of a server, the other process has learned.
@@ -174,17 +174,18 @@
     /// Goes on from what an earlier process left on disk, at the least of the time that has passed: of
     /// leases only those of a window that surely still runs; nothing under a ceiling, or for who may have
     /// spent it.
-    pub fn recover(&mut self, now: Time, kept: Kept) {
-        self.state.spent = kept.spent.map(|ago| now - ago);
-        self.state.aside.extend(kept.aside);
+    pub fn recover(&mut self, now: Time, kept: RecoveredState) {
+        self.state.spent = kept.others_spent.map(|ago| now - ago);
+        self.state.aside.extend(kept.offline_servers);
         for (id, plan, ago, Ledger { spread, window: of, lease, owed, share, level }) in kept.customers {
             let Some(terms) = self.settings.plans.get(plan) else { continue };
             let (window, age) = window(terms, &id, now);
-            let lease = if window == of && kept.most.is_some_and(|most| most <= age) { lease } else { 0.0 };
+            let lease =
+                if window == of && kept.max_elapsed.is_some_and(|most| most <= age) { lease } else { 0.0 };
             let store = |level| TokenBucket { level, at: now - ago };
             let share =
                 if terms.ceiling_rate > 0.0 { TokenBucket { level: 0.0, at: now } } else { store(share) };
-            let (spread, level) = (spread.clamp(1, self.settings.gateways), level.map(store));
+            let (spread, level) = (spread.clamp(1, self.settings.gateway_count), level.map(store));
             let rest = Customer { touched: now, ..Customer::default() };
             let new = Customer { plan, spread, lease, owed, share, level, window, ..rest };
             self.state.customers.insert(id, new);
@@ -200,21 +201,21 @@
             Event::Request(request) => self.admit(request),
             Event::Unrepeatable { job } => self.jobs.get_mut(&job).into_iter().for_each(|j| j.once = true),
             Event::FirstByte { job } => self.jobs.get_mut(&job).into_iter().for_each(|j| j.streaming = true),
-            Event::Outcome { job, attempt, server, status, spent, over, settled, load: _ } => {
-                let turn = self.observe_outcome(&server, status, spent);
+            Event::AttemptEnded { job, attempt, server, status, elapsed, over, settled, load: _ } => {
+                let turn = self.observe_outcome(&server, status, elapsed);
                 self.attempt_ended(&job, attempt, status, over, settled);
                 turn.into_iter().for_each(|(zone, turn)| self.zone_changed(zone, turn));
             }
-            Event::Left { job } => self.forget(&job),
+            Event::ClientDisconnected { job } => self.forget(&job),
             Event::Timer { token } => self.timer_fired(token),
-            Event::Sight { server, answered, failed, members } => {
+            Event::FleetObservation { server, answered, failed, members } => {
                 let sick =
                     failed >= EJECTION_FAILURES && failed > answered && members >= MIN_REPORTING_MEMBERS;
                 sick.then(|| self.eject(&server));
             }
-            Event::Probed { .. } => {} // None is asked for: attempts tell enough, and probes cost.
-            Event::Counted { counter, status, total, spent } => {
-                self.counter_answered(counter, status, total, spent)
+            Event::ProbeEnded { .. } => {} // None is asked for: attempts tell enough, and probes cost.
+            Event::CounterAnswered { counter, status, total, elapsed } => {
+                self.counter_answered(counter, status, total, elapsed)
             }
         }
         actions.append(&mut self.out);
--- a/crates/gateway/src/decisions/queries.rs
+++ b/crates/gateway/src/decisions/queries.rs
@@ -2,7 +2,7 @@
 
 use super::Gateway;
 use crate::{
-    interface::{CustomerId, ServerId, Time, ZoneView},
+    interface::{CustomerId, ServerId, Time, ZoneStatus},
     state::{Customer, Host, Ledger},
     token_bucket::TokenBucket,
     zones::Zone,
@@ -15,13 +15,13 @@
     }
 
     /// Attempts out, by customer.
-    pub fn attempts_out(&self) -> Vec<(CustomerId, u32)> {
+    pub fn attempts_in_flight(&self) -> Vec<(CustomerId, u32)> {
         let out = self.state.customers.iter().filter(|(_, c)| c.open + c.elsewhere > 0);
         out.map(|(id, c)| (id.clone(), c.open + c.elsewhere)).collect()
     }
 
     /// Attempts that are still out at the process that this one took over from.
-    pub fn out_elsewhere(&mut self, out: &[(CustomerId, u32)]) {
+    pub fn set_attempts_elsewhere(&mut self, out: &[(CustomerId, u32)]) {
         self.state.customers.values_mut().for_each(|c| c.elsewhere = 0);
         for (id, n) in out {
             self.state.customers.get_mut(id).into_iter().for_each(|c| c.elsewhere = *n);
@@ -41,7 +41,7 @@
         // A share under a ceiling is dealt out and not refilled: rule 5 lets the next start begin with
         // nothing.
         let even = |mut s: TokenBucket| {
-            s.refill(now, plan.rate / spread, (plan.burst / spread).max(self.settings.max_units))
+            s.refill(now, plan.rate / spread, (plan.burst / spread).max(self.settings.max_request_units))
         };
         let share = if plan.ceiling_rate > 0.0 { 0.0 } else { (even(c.share) - ahead).max(0.0) };
         let level = c.level.map(|mut level| level.refill(now, plan.rate, plan.burst));
@@ -51,21 +51,21 @@
     }
 
     /// What is known of the zones.
-    pub fn zones(&self, now: Time) -> Vec<ZoneView> {
+    pub fn zones(&self, now: Time) -> Vec<ZoneStatus> {
         let sent: f64 = self.state.zones.all.values().map(|z| z.sent.level).sum();
         let view = |(id, z): (&u32, &Zone)| {
             let hosts = self.names[z.place.0..z.place.0 + z.place.1].iter().map(|id| &self.state.servers[id]);
             let usable: Vec<&Host> = hosts.filter(|h| now >= h.out_until && z.left.is_none()).collect();
             let cold = usable.iter().filter(|h| self.warmth(h) < 1.0).count();
             let share = z.sent.level / sent.max(1e-9);
-            ZoneView {
+            ZoneStatus {
                 zone: *id,
                 servers: z.place.1,
                 usable: usable.len(),
-                cold,
+                warming_up: cold,
                 weight: z.weight,
-                share,
-                left: z.left,
+                traffic_share: share,
+                ejected: z.left,
             }
         };
         self.state.zones.all.iter().map(view).collect()
--- a/crates/gateway/src/decisions/quota_lease.rs
+++ b/crates/gateway/src/decisions/quota_lease.rs
@@ -49,13 +49,14 @@
     pub(super) fn cover_by_lease(&mut self, id: JobId, plan: &Plan) {
         let (units, key) = (self.jobs[&id].request.units, self.jobs[&id].request.customer.clone());
         // Crowded calls go to the largest worth at stake: a lesser one must find a fuller bucket.
-        let worth = units * plan.pays * self.jobs[&id].class.worth;
+        let worth = units * plan.unit_value * self.jobs[&id].class.value;
         self.state.stake += MEAN_GAIN * (worth - self.state.stake);
         let price = (self.state.stake / worth.max(1e-9)).powi(2).clamp(0.2, MIN_SAVED_CALLS);
         let saved = MIN_SAVED_CALLS.max(SAVED_CALL_SECONDS * self.state.call_rate);
         let bucket = self.state.tokens.refill(self.now, self.state.call_rate, saved);
         let usable = bucket >= price && self.settings.has_counter;
-        let hold = self.now + HOLD_SHARE * self.settings.count_limit + 4.0 * self.settings.step;
+        let hold =
+            self.now + HOLD_SHARE * self.settings.counter_timeout + 4.0 * self.settings.min_event_interval;
         let waits = self.jobs[&id].request.expires > hold; // Else it is over before an answer comes.
         let customer = self.state.customers.get_mut(&key).expect("admitted customers are known");
         if customer.window != window(plan, &key, self.now).0 {
@@ -71,7 +72,7 @@
         if let Some(mut level) = customer.level.filter(|l| self.now - l.at < REFRESH)
             && level.refill(self.now, plan.rate, plan.burst) + customer.lease + 1e-6 < units
         {
-            return self.beyond_quota(id, plan, Reason::Level);
+            return self.beyond_quota(id, plan, Reason::KnownLevel);
         }
         if customer.asking.is_none() && usable {
             let unseen = customer.level.is_none() && plan.burst >= f64::from(customer.spread) * units;
@@ -79,20 +80,20 @@
             self.request_block(&key, plan);
             if !waits || unseen && self.even_share_covers(&id, plan) {
                 self.state.customers.get_mut(&key).expect("still known").pending.pop_back();
-                self.spend_even_share(id, plan, Reason::Unseen);
+                self.spend_even_share(id, plan, Reason::FirstCallPending);
             }
             return;
         }
         // Whom the count refused often of late is rarely owed a unit; a silent counter leaves the even
         // share.
-        let missed = self.state.missed[usize::from(self.jobs[&id].request.repeat)];
+        let missed = self.state.missed[usize::from(self.jobs[&id].request.client_retry)];
         if self.settings.has_counter
             && !self.unanswered
             && 1.0 - missed * (1.0 + plan.overrun_cost) < MIN_GAIN
         {
-            return self.beyond_quota(id, plan, Reason::NoCall);
+            return self.beyond_quota(id, plan, Reason::NoCallBudget);
         }
-        self.spend_even_share(id, plan, Reason::NoCall);
+        self.spend_even_share(id, plan, Reason::NoCallBudget);
     }
 
     pub(super) fn spend(&mut self, id: JobId, units: f64, paid: Reason) {
@@ -115,16 +116,16 @@
         }
         let drawn = if off_count || plan.ceiling_rate > 0.0 { units } else { 0.0 };
         customer.share.level = (customer.share.level - drawn).max(0.0);
-        if plan.open == 0 {
+        if plan.max_open_attempts == 0 {
             self.send_first(id);
         } else if !self.under_open_cap(&key, &plan) {
-            self.finish(&id, self.state.latency, Reason::OpenCap);
+            self.finish(&id, self.state.latency, Reason::OpenAttemptLimit);
         } else if self.within_open_pace(&key, &plan) {
             self.send_first(id);
         } else {
             // Its unit stays spent: else the rate would be as high as before.
             self.jobs.get_mut(&id).expect("seen above").drawn = 0.0;
-            self.finish(&id, self.state.latency, Reason::OpenPace);
+            self.finish(&id, self.state.latency, Reason::OpenAttemptPace);
         }
     }
 
@@ -149,8 +150,10 @@
         let owed = std::mem::take(&mut customer.owed);
         (customer.window, customer.late) = (window, false);
         self.call_counter(key, window, want + owed + others, CallPurpose::Ask { want, owed, others }, plan);
-        let token = self
-            .set_timer(self.now + HOLD_SHARE * self.settings.count_limit, Due::CounterTimeout(key.clone()));
+        let token = self.set_timer(
+            self.now + HOLD_SHARE * self.settings.counter_timeout,
+            Due::CounterTimeout(key.clone()),
+        );
         self.state.customers.get_mut(key).expect("seen above").asking = Some(token);
     }
 
@@ -174,10 +177,10 @@
     /// counter works in vain on calls that nobody waits for. A silent one gets trial calls only; as it is
     /// gone and not crowded, the rate is soon what it was once it answers again.
     pub(super) fn pace_calls(&mut self, status: Status, spent: f64) {
-        if status == Status::Timeout && spent < DISCONNECT_SHARE * self.settings.count_limit {
+        if status == Status::Timeout && spent < DISCONNECT_SHARE * self.settings.counter_timeout {
             return; // Its connection broke first: that says nothing of how crowded the counter is.
         }
-        let quick = status == Status::Ok && spent < CROWDED_SHARE * self.settings.count_limit;
+        let quick = status == Status::Ok && spent < CROWDED_SHARE * self.settings.counter_timeout;
         // A call that is not answered tells of a crowd once; others after it, and refused ones, of silence.
         let silent = status == Status::ConnectFailed || status == Status::Timeout && self.unanswered;
         self.unanswered = matches!(status, Status::ConnectFailed | Status::Timeout);
@@ -216,10 +219,10 @@
             customer.lease -= paid;
             let rest = std::mem::take(&mut customer.ahead) - paid;
             if rest > 0.0 {
-                let most = (plan.burst / f64::from(customer.spread)).max(self.settings.max_units);
+                let most = (plan.burst / f64::from(customer.spread)).max(self.settings.max_request_units);
                 customer.owed = (customer.owed + rest).min(most);
             }
-            let why = if status == Status::Ok { Reason::Count } else { Reason::Unanswered };
+            let why = if status == Status::Ok { Reason::CounterTotal } else { Reason::CounterUnanswered };
             let held = std::mem::take(&mut customer.pending);
             held.into_iter().for_each(|id| self.serve_pending(id, why, &plan));
         }
@@ -228,13 +231,13 @@
     pub(super) fn serve_pending(&mut self, id: JobId, why: Reason, plan: &Plan) {
         let Some(Job { request, .. }) = self.jobs.get(&id).filter(|j| !j.over) else { return };
         let covered = self.state.customers[&request.customer].lease >= request.units;
-        if why == Reason::Count {
-            let missed = &mut self.state.missed[usize::from(request.repeat)];
+        if why == Reason::CounterTotal {
+            let missed = &mut self.state.missed[usize::from(request.client_retry)];
             *missed += MEAN_GAIN * (f64::from(u8::from(!covered)) - *missed);
         }
         match why {
             _ if covered => self.spend(id, request.units, Reason::Lease),
-            Reason::Count => self.beyond_quota(id, plan, why),
+            Reason::CounterTotal => self.beyond_quota(id, plan, why),
             _ => self.spend_even_share(id, plan, why),
         }
     }
@@ -297,7 +300,7 @@
         customer.late = true;
         let plan = self.settings.plans[customer.plan].clone();
         for id in std::mem::take(&mut customer.pending) {
-            self.serve_pending(id, Reason::Late, &plan);
+            self.serve_pending(id, Reason::CounterLate, &plan);
         }
     }
 }
--- a/crates/gateway/src/decisions/server_choice.rs
+++ b/crates/gateway/src/decisions/server_choice.rs
@@ -38,8 +38,9 @@
         let sums: Vec<f64> = self.state.zones.all.values().map(sum).collect();
         self.state.zones.all.values_mut().zip(sums).for_each(|(zone, sum)| zone.carries = sum);
         self.state.zones.weigh(self.now, self.settings.zone);
-        let all = MIN_SUBSET.max(SUBSET_FACTOR * self.names.len() / self.settings.gateways as usize) as f64;
-        let part = (f64::from(self.settings.me) * GOLDEN).fract();
+        let all =
+            MIN_SUBSET.max(SUBSET_FACTOR * self.names.len() / self.settings.gateway_count as usize) as f64;
+        let part = (f64::from(self.settings.gateway_index) * GOLDEN).fract();
         let own = |z: &Zone| {
             let (from, count) = z.place;
             let near = ((all * z.weight).round() as usize).max(1).min(count);
@@ -64,9 +65,9 @@
             return 0.0;
         }
         let rate =
-            warmth * (self.settings.fall_multiple * SLOW_START_SHARE).min(1.0) * self.state.carried.level;
+            warmth * (self.settings.overload_factor * SLOW_START_SHARE).min(1.0) * self.state.carried.level;
         let host = self.state.servers.get_mut(id).expect("the caller names a known server");
-        host.cold.refill(self.now, rate, (rate * self.settings.fall / 2.0).max(1.0))
+        host.cold.refill(self.now, rate, (rate * self.settings.overload_window / 2.0).max(1.0))
     }
 
     /// The server that should answer first, among those this job may go to: this gateway's own of all
@@ -74,7 +75,7 @@
     pub(super) fn choose_server(&mut self, job: &Job) -> Option<ServerId> {
         let anchor = self.retry_scope(job)?;
         self.weigh_zones();
-        let (safe, draw) = (job.attempts.is_empty() && job.class.effect == Effect::Safe, self.draw());
+        let (safe, draw) = (job.attempts.is_empty() && job.class.effect == Effect::Idempotent, self.draw());
         let trial = self.state.zones.trial(self.now, safe, 0.5 + draw);
         trial
             .and_then(|zone| self.best_server(job, anchor, Some(zone)))
@@ -124,14 +125,14 @@
 
     /// Rule 2: `None`: no further attempt may go out; `Some(None)`: anywhere; else only to that group.
     pub(super) fn retry_scope(&self, job: &Job) -> Option<Option<(Group, u32, u32)>> {
-        if job.out() > 0 && !job.second_copies {
+        if job.out() > 0 && !job.hedging_allowed {
             return None;
         }
         let Some(first) = job.attempts.iter().find(|a| a.ran != Ran::Never) else { return Some(None) };
         match job.class.effect {
-            Effect::Safe => Some(None),
-            Effect::Unsafe => None,
-            Effect::Keyed { group, .. } => {
+            Effect::Idempotent => Some(None),
+            Effect::AtMostOnce => None,
+            Effect::Deduplicated { group, .. } => {
                 let host = self.state.servers.get(&first.server)?;
                 (self.now < self.repeats_until(job)).then_some(Some((group, host.zone, host.cell)))
             }
@@ -140,7 +141,7 @@
 
     /// Until when an attempt, however long it waits to be sent, is known for the repeat that it may be.
     pub(super) fn repeats_until(&self, job: &Job) -> Time {
-        let Effect::Keyed { window, .. } = job.class.effect else { return f64::INFINITY };
+        let Effect::Deduplicated { window, .. } = job.class.effect else { return f64::INFINITY };
         let first = job.attempts.iter().find(|a| a.ran != Ran::Never);
         first.map_or(self.now, |a| a.sent) + window
     }
--- a/crates/gateway/src/decisions/server_health.rs
+++ b/crates/gateway/src/decisions/server_health.rs
@@ -3,7 +3,8 @@
 use super::{CUSTOMER_IDLE_TIMEOUT, Due, EJECTION_FAILURES, Gateway, MEAN_GAIN, OBSERVATION_MEMORY};
 use crate::{
     interface::{
-        Action, Effect, Group, JobId, Lifecycle, ListKind, Lost, Reason, Server, ServerId, Status, Time,
+        Action, Effect, FailureKind, Group, JobId, Lifecycle, ListKind, Reason, Server, ServerId, Status,
+        Time,
     },
     state::{Attempt, Host, Job, Ran},
     token_bucket::TokenBucket,
@@ -23,8 +24,8 @@
 
 impl Gateway {
     pub(super) fn servers_listed(&mut self, kind: ListKind, servers: Vec<Server>) {
-        let watch = self.settings.must_ask && matches!(kind, ListKind::Stale | ListKind::Failed);
-        watch.then(|| self.out.push(Action::Watch));
+        let watch = self.settings.must_subscribe && matches!(kind, ListKind::Stale | ListKind::Failed);
+        watch.then(|| self.out.push(Action::Subscribe));
         match kind {
             ListKind::Stale => drop(self.set_timer(self.now + CUSTOMER_IDLE_TIMEOUT, Due::Cleanup)),
             ListKind::Full => self.state.servers.values_mut().for_each(|h| h.running = false),
@@ -59,7 +60,7 @@
 
     /// Takes a server out by hand (`out`), or puts it back, until told otherwise; saying so again changes
     /// nothing. `false`: no list has ever named it.
-    pub fn set_aside(&mut self, now: Time, id: &str, out: bool) -> bool {
+    pub fn set_offline(&mut self, now: Time, id: &str, out: bool) -> bool {
         self.now = now;
         let phase = self.draw();
         let latency = self.state.latency;
@@ -102,7 +103,7 @@
         host.inflight = (host.inflight - 1.0).max(0.0);
         self.inflight = (self.inflight - 1.0).max(0.0);
         match status {
-            Status::Moot | Status::Cancelled => return None,
+            Status::NotSent | Status::Cancelled => return None,
             Status::Ok => {
                 // It was unreachable and answers again: it may have restarted untold, so suspect it cold.
                 // An answer to what it had in hand before shows that its process has lived on.
@@ -113,8 +114,8 @@
                 (host.failures, host.out_for) = (0, FIRST_EJECTION);
             }
             // Where most turn away the fleet is full, and the bound shrinks with it; else this one is.
-            Status::Full if crowded => self.state.beside *= 1.0 - MEAN_GAIN,
-            Status::Full => host.failures = EJECTION_FAILURES,
+            Status::Rejected if crowded => self.state.beside *= 1.0 - MEAN_GAIN,
+            Status::Rejected => host.failures = EJECTION_FAILURES,
             Status::ConnectFailed => {
                 (host.failures, host.gone, host.gone_at) = (EJECTION_FAILURES, true, self.now);
             }
@@ -122,7 +123,7 @@
             _ => host.failures += 1,
         }
         let zones = &mut self.state.zones;
-        let turn = match Lost::of(status) {
+        let turn = match FailureKind::from_status(status) {
             Some(how) => zones.bad(self.now, host.zone, server, how, spread),
             None if status == Status::Ok => zones.good(self.now, host.zone, spent, spread),
             None => None,
@@ -157,10 +158,11 @@
     /// The part of its full capacity that a server surely has.
     pub(crate) fn warmth(&self, host: &Host) -> f64 {
         let age = self.now - host.cold_since;
-        if host.cold_since <= 0.0 || age >= self.settings.cold {
+        if host.cold_since <= 0.0 || age >= self.settings.warm_up {
             return 1.0;
         }
-        self.settings.cold_from + (1.0 - self.settings.cold_from) * (age / self.settings.cold).max(0.0)
+        self.settings.initial_capacity_share
+            + (1.0 - self.settings.initial_capacity_share) * (age / self.settings.warm_up).max(0.0)
     }
 
     /// A zone was left, or is back: what that means for its servers and for what is out to them.
@@ -179,8 +181,12 @@
             }
             (host.failures, host.out_for) = (0, FIRST_EJECTION);
         }
-        let what = if let Turn::Left(how) = turn { format!("left: {how:?}") } else { "used again".into() };
-        self.out.push(Action::Log(format!("zone {zone} is {what}")));
+        let what = if let Turn::Left(how) = turn {
+            format!("ejected: {how:?}")
+        } else {
+            "returned to service".into()
+        };
+        self.out.push(Action::Log(format!("zone {zone} {what}")));
         if !matches!(turn, Turn::Left(_)) {
             return;
         }
@@ -191,9 +197,11 @@
         let waiting: Vec<JobId> =
             self.jobs.iter().filter(|(_, j)| waits(j)).map(|(id, _)| id.clone()).collect();
         for id in waiting {
-            let bound =
-                matches!(self.jobs[&id].class.effect, Effect::Keyed { group: Group::Zone | Group::Cell, .. });
-            if bound { self.finish(&id, 0.0, Reason::Attempts) } else { self.send_hedge(&id) }
+            let bound = matches!(
+                self.jobs[&id].class.effect,
+                Effect::Deduplicated { group: Group::Zone | Group::Cell, .. }
+            );
+            if bound { self.finish(&id, 0.0, Reason::AttemptsFailed) } else { self.send_hedge(&id) }
         }
     }
 }
--- a/crates/gateway/src/interface.rs
+++ b/crates/gateway/src/interface.rs
@@ -27,16 +27,16 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Effect {
     /// May run any number of times.
-    Safe,
+    Idempotent,
     /// Repeats are discarded by the servers of `group` for `window` seconds after the first send.
-    Keyed {
+    Deduplicated {
         /// The servers that remember the request.
         group: Group,
         /// For how long, in seconds.
         window: f64,
     },
     /// May run once at most.
-    Unsafe,
+    AtMostOnce,
 }
 
 /// One class of requests.
@@ -44,11 +44,11 @@
 #[non_exhaustive]
 pub struct Class {
     /// The answer earns its full worth within this many seconds.
-    pub aim: f64,
+    pub latency_target: f64,
     /// What a request is worth, relative to other classes.
-    pub worth: f64,
+    pub value: f64,
     /// Share of the worth that a later answer earns.
-    pub late_worth: f64,
+    pub late_value: f64,
     /// What a repeat may do.
     pub effect: Effect,
     /// The answer streams.
@@ -57,7 +57,7 @@
 
 impl Default for Class {
     fn default() -> Self {
-        Self { aim: 1.0, worth: 1.0, late_worth: 0.0, effect: Effect::Safe, streamed: false }
+        Self { latency_target: 1.0, value: 1.0, late_value: 0.0, effect: Effect::Idempotent, streamed: false }
     }
 }
 
@@ -70,11 +70,11 @@
     /// Units that may be used at once.
     pub burst: f64,
     /// Attempts that may be out at once; 0: no such limit.
-    pub open: u32,
+    pub max_open_attempts: u32,
     /// Worth of a unit, relative to other plans.
-    pub pays: f64,
+    pub unit_value: f64,
     /// Share of its worth that a request sent beyond the quota earns.
-    pub excess_worth: f64,
+    pub excess_value: f64,
     /// Share of its worth that such a request costs.
     pub overrun_cost: f64,
     /// Units a second that refill the hard ceiling; 0: none.
@@ -88,9 +88,9 @@
 #[non_exhaustive]
 pub struct Settings {
     /// This gateway's number, from 0.
-    pub me: u32,
+    pub gateway_index: u32,
     /// How many gateways there are.
-    pub gateways: u32,
+    pub gateway_count: u32,
     /// The zone this gateway is in.
     pub zone: u32,
     /// Request classes, by index.
@@ -100,9 +100,9 @@
     /// The counter service may be called.
     pub has_counter: bool,
     /// A counter call is given up after this many seconds.
-    pub count_limit: f64,
+    pub counter_timeout: f64,
     /// Most units that one request takes.
-    pub max_units: f64,
+    pub max_request_units: f64,
     /// True units come with the answer; a request's own are a guess.
     pub post_paid: bool,
     /// Probes are allowed.
@@ -110,54 +110,54 @@
     /// Attempts may be called off.
     pub may_cancel: bool,
     /// Two attempts of one request may be out at once.
-    pub second_copies: bool,
+    pub hedging_allowed: bool,
     /// Most attempts for one request.
     pub max_attempts: u32,
     /// Requests a gateway may have open.
-    pub max_open: u32,
+    pub max_open_requests: u32,
     /// Clients receive the advice to stay away.
     pub retry_after: bool,
     /// The longest advice that clients honour, in seconds.
     pub max_retry_after: f64,
     /// The list of servers must be asked for.
-    pub must_ask: bool,
+    pub must_subscribe: bool,
     /// The least share of its capacity that a server starts with.
-    pub cold_from: f64,
+    pub initial_capacity_share: f64,
     /// A server is warm after this many seconds at most.
-    pub cold: f64,
+    pub warm_up: f64,
     /// A cold server falls over when sent more than this multiple of its present capacity ...
-    pub fall_multiple: f64,
+    pub overload_factor: f64,
     /// ... for this many seconds.
-    pub fall: f64,
+    pub overload_window: f64,
     /// Least time between two batches of events, in seconds.
-    pub step: f64,
+    pub min_event_interval: f64,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            me: 0,
-            gateways: 1,
+            gateway_index: 0,
+            gateway_count: 1,
             zone: 0,
             classes: Vec::new(),
             plans: Vec::new(),
             has_counter: false,
-            count_limit: 0.05,
-            max_units: 1.0,
+            counter_timeout: 0.05,
+            max_request_units: 1.0,
             post_paid: false,
             may_probe: false,
             may_cancel: false,
-            second_copies: false,
+            hedging_allowed: false,
             max_attempts: 1,
-            max_open: u32::MAX,
+            max_open_requests: u32::MAX,
             retry_after: true,
             max_retry_after: 1.0,
-            must_ask: false,
-            cold_from: 1.0,
-            cold: 0.0,
-            fall_multiple: 1.0,
-            fall: 1.0,
-            step: 0.001,
+            must_subscribe: false,
+            initial_capacity_share: 1.0,
+            warm_up: 0.0,
+            overload_factor: 1.0,
+            overload_window: 1.0,
+            min_event_interval: 0.001,
         }
     }
 }
@@ -168,33 +168,34 @@
     /// # Errors
     /// Why not.
     pub fn check(&self) -> Result<(), SettingsError> {
-        if self.me >= self.gateways {
-            return Err(if self.gateways == 0 {
+        if self.gateway_index >= self.gateway_count {
+            return Err(if self.gateway_count == 0 {
                 SettingsError::NoGateways
             } else {
-                SettingsError::MeOutOfRange
+                SettingsError::GatewayIndexOutOfRange
             });
         }
-        let mut figures = vec![("count_limit", self.count_limit), ("max_retry_after", self.max_retry_after)];
+        let mut figures =
+            vec![("count_limit", self.counter_timeout), ("max_retry_after", self.max_retry_after)];
         figures.extend([
-            ("cold_from", self.cold_from),
-            ("cold", self.cold),
-            ("step", self.step),
-            ("fall", self.fall),
+            ("cold_from", self.initial_capacity_share),
+            ("cold", self.warm_up),
+            ("step", self.min_event_interval),
+            ("fall", self.overload_window),
         ]);
-        figures.push(("fall_multiple", self.fall_multiple));
+        figures.push(("fall_multiple", self.overload_factor));
         figures.extend(
             self.classes
                 .iter()
-                .flat_map(|c| [("aim", c.aim), ("worth", c.worth), ("late_worth", c.late_worth)]),
+                .flat_map(|c| [("aim", c.latency_target), ("worth", c.value), ("late_worth", c.late_value)]),
         );
         for p in &self.plans {
-            figures.extend([("rate", p.rate), ("burst", p.burst), ("excess_worth", p.excess_worth)]);
+            figures.extend([("rate", p.rate), ("burst", p.burst), ("excess_worth", p.excess_value)]);
             figures.extend([("overrun_cost", p.overrun_cost), ("ceiling_rate", p.ceiling_rate)]);
-            figures.extend([("ceiling_burst", p.ceiling_burst), ("pays", p.pays)]);
+            figures.extend([("ceiling_burst", p.ceiling_burst), ("pays", p.unit_value)]);
         }
         let bad = figures.into_iter().find(|(_, v)| !v.is_finite() || *v < 0.0);
-        bad.map_or(Ok(()), |(name, _)| Err(SettingsError::BadNumber(name)))
+        bad.map_or(Ok(()), |(name, _)| Err(SettingsError::InvalidNumber(name)))
     }
 }
 
@@ -205,20 +206,20 @@
     /// There are no gateways.
     NoGateways,
     /// This gateway's number is not below the count of gateways.
-    MeOutOfRange,
+    GatewayIndexOutOfRange,
     /// Plans were removed while their customers' quotas are in use.
     PlansRemoved,
     /// The named figure is negative, infinite or not a number.
-    BadNumber(&'static str),
+    InvalidNumber(&'static str),
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NoGateways => f.write_str("there are no gateways"),
-            Self::MeOutOfRange => f.write_str("this gateway's number is out of range"),
+            Self::GatewayIndexOutOfRange => f.write_str("this gateway's number is out of range"),
             Self::PlansRemoved => f.write_str("plans can't be removed while in use"),
-            Self::BadNumber(name) => write!(f, "{name} is not a usable number"),
+            Self::InvalidNumber(name) => write!(f, "{name} is not a usable number"),
         }
     }
 }
@@ -272,7 +273,7 @@
     /// An error answer; it may have run.
     Error,
     /// Turned away unexamined.
-    Full,
+    Rejected,
     /// No answer in time; it may have run.
     Timeout,
     /// No connection.
@@ -282,7 +283,7 @@
     /// Called off; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 /// A load report; values a server did not give are `None`.
@@ -309,15 +310,15 @@
     /// How many gateways carry this customer's requests.
     pub spread: u32,
     /// The number of the first of them; the rest follow in order, and 0 comes after the last.
-    pub first: u32,
+    pub first_gateway: u32,
     /// Index of its class.
     pub class: usize,
     /// Its customer.
     pub customer: CustomerId,
     /// It is a client's marked repeat.
-    pub repeat: bool,
+    pub client_retry: bool,
     /// What other gateways are known to have left of its customer's quota, where this one hears of them.
-    pub view: Option<View>,
+    pub peer_view: Option<PeerView>,
 }
 
 /// What happens to a gateway.
@@ -344,7 +345,7 @@
         job: JobId,
     },
     /// An attempt ended.
-    Outcome {
+    AttemptEnded {
         /// The request.
         job: JobId,
         /// Which attempt, from 0.
@@ -354,7 +355,7 @@
         /// How it ended.
         status: Status,
         /// Seconds since it was sent.
-        spent: f64,
+        elapsed: f64,
         /// The request is over.
         over: bool,
         /// True units, where they are settled afterwards.
@@ -363,7 +364,7 @@
         load: Load,
     },
     /// The client left; nothing more is owed.
-    Left {
+    ClientDisconnected {
         /// The request.
         job: JobId,
     },
@@ -373,7 +374,7 @@
         token: u64,
     },
     /// A probe ended.
-    Probed {
+    ProbeEnded {
         /// The server.
         server: ServerId,
         /// How it ended.
@@ -382,7 +383,7 @@
         load: Load,
     },
     /// What the fleet saw of a server within the last second, as far as was heard.
-    Sight {
+    FleetObservation {
         /// The server.
         server: ServerId,
         /// Attempts that it answered, and that it failed.
@@ -393,7 +394,7 @@
         members: u32,
     },
     /// A counter call ended.
-    Counted {
+    CounterAnswered {
         /// The count's name.
         counter: u64,
         /// How it ended.
@@ -401,7 +402,7 @@
         /// The count after the call, valid with [`Status::Ok`].
         total: f64,
         /// Seconds since the call.
-        spent: f64,
+        elapsed: f64,
     },
 }
 
@@ -418,9 +419,9 @@
         /// Seconds until it is given up.
         timeout: f64,
         /// When it is too late for its last byte to go out: what is not sent whole by then may not be sent any more.
-        until: Time,
+        send_by: Time,
         /// What its units are paid with.
-        paid: Reason,
+        paid_from: Reason,
     },
     /// Final answer: refused; a retry does no harm.
     Refuse {
@@ -429,7 +430,7 @@
         /// Seconds the client should stay away; 0: no advice.
         retry_after: f64,
         /// Why.
-        why: Reason,
+        reason: Reason,
     },
     /// Final answer: failed, with no promise.
     Fail {
@@ -465,20 +466,20 @@
         ttl: f64,
     },
     /// Follow the list of servers from now on.
-    Watch,
+    Subscribe,
     /// A line for the operators' log.
     Log(String),
 }
 
 /// What other gateways are known to have left of a customer's quota.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct View {
+pub struct PeerView {
     /// Units that a bucket of the quota's size still holds, were all that was heard of drawn from it.
     pub level: f64,
     /// Seconds since others were heard of.
     pub age: f64,
     /// Share of the other gateways that can be heard of.
-    pub part: f64,
+    pub coverage: f64,
 }
 
 /// What a decision on a request rested on: how its units are paid, or why it is refused.
@@ -488,31 +489,31 @@
     #[default]
     Lease,
     /// The even share, while the customer's first call is out.
-    Unseen,
+    FirstCallPending,
     /// The even share, as a call's answer takes too long.
-    Late,
+    CounterLate,
     /// The even share, as a call had no answer.
-    Unanswered,
+    CounterUnanswered,
     /// The even share, with no call to spare.
-    NoCall,
+    NoCallBudget,
     /// What the fleet is known to have left, with no call to spare.
-    View,
+    PeerView,
     /// The quota is used up, as was last heard.
-    Level,
+    KnownLevel,
     /// The quota is used up, as the count says.
-    Count,
+    CounterTotal,
     /// The fleet has no room.
-    Pressed,
+    Overloaded,
     /// As many attempts are out as the plan allows, probably.
-    OpenCap,
+    OpenAttemptLimit,
     /// The customer's rate alone keeps as many out.
-    OpenPace,
+    OpenAttemptPace,
     /// No server may be sent to.
     NoServer,
     /// Attempts have failed, and there is no further one.
-    Attempts,
+    AttemptsFailed,
     /// There is no time left, too much is open, or nobody knows the class or plan.
-    Unfit,
+    Invalid,
 }
 
 impl Reason {
@@ -520,19 +521,19 @@
     pub fn text(self) -> &'static str {
         match self {
             Self::Lease => "lease",
-            Self::Unseen => "even share: first call out",
-            Self::Late => "even share: answer late",
-            Self::Unanswered => "even share: call lost",
-            Self::NoCall => "even share: no call to spare",
-            Self::View => "left by the fleet's views",
-            Self::Level => "used up as last heard",
-            Self::Count => "used up by the count",
-            Self::Pressed => "fleet full",
-            Self::OpenCap => "open cap",
-            Self::OpenPace => "open pace",
+            Self::FirstCallPending => "even share: first call out",
+            Self::CounterLate => "even share: answer late",
+            Self::CounterUnanswered => "even share: call lost",
+            Self::NoCallBudget => "even share: no call to spare",
+            Self::PeerView => "left by the fleet's views",
+            Self::KnownLevel => "used up as last heard",
+            Self::CounterTotal => "used up by the count",
+            Self::Overloaded => "fleet full",
+            Self::OpenAttemptLimit => "open cap",
+            Self::OpenAttemptPace => "open pace",
             Self::NoServer => "no server",
-            Self::Attempts => "attempts failed",
-            Self::Unfit => "unfit",
+            Self::AttemptsFailed => "attempts failed",
+            Self::Invalid => "unfit",
         }
     }
 }
@@ -540,7 +541,7 @@
 /// How a zone's servers were lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Lost {
+pub enum FailureKind {
     /// No connection.
     Unreachable,
     /// No answer in time.
@@ -551,9 +552,9 @@
     Failing,
 }
 
-impl Lost {
+impl FailureKind {
     /// How an attempt that ended so lost its server; `None`: it did not.
-    pub fn of(status: Status) -> Option<Self> {
+    pub fn from_status(status: Status) -> Option<Self> {
         match status {
             Status::ConnectFailed => Some(Self::Unreachable),
             Status::Timeout => Some(Self::Silent),
@@ -567,7 +568,7 @@
 /// A zone as a gateway sees it.
 #[derive(Debug, Clone, PartialEq)]
 #[non_exhaustive]
-pub struct ZoneView {
+pub struct ZoneStatus {
     /// Its number in the settings; `u32::MAX`: none there names it.
     pub zone: u32,
     /// Servers there that run and are not out by hand.
@@ -575,11 +576,11 @@
     /// Those that may be sent to, and those of them that are cold.
     pub usable: usize,
     /// See there.
-    pub cold: usize,
+    pub warming_up: usize,
     /// Share of the traffic that it should get.
     pub weight: f64,
     /// Share of the attempts of late that went there.
-    pub share: f64,
+    pub traffic_share: f64,
     /// Since when it is left, and why.
-    pub left: Option<(Time, Lost)>,
+    pub ejected: Option<(Time, FailureKind)>,
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -13,7 +13,7 @@
 mod token_bucket;
 mod zones;
 
-pub use decisions::{Gateway, Retune};
+pub use decisions::{Gateway, PreparedSettings};
 pub use interface::*;
 pub use options::{Options, OptionsError, OptionsFault};
-pub use state::{Kept, Ledger, State};
+pub use state::{Ledger, RecoveredState, State};
--- a/crates/gateway/src/options.rs
+++ b/crates/gateway/src/options.rs
@@ -18,9 +18,9 @@
     /// Names of the zones, by index.
     pub zones: Vec<String>,
     /// The longest time in seconds that a client of any class waits.
-    pub longest: f64,
+    pub max_deadline: f64,
     /// A server closes a connection that has stood idle for this many seconds.
-    pub conn_idle: f64,
+    pub connection_idle_timeout: f64,
     /// A connection that is not up after this many seconds has failed.
     pub connect_timeout: f64,
 }
@@ -145,9 +145,9 @@
 fn class(keys: &Keys) -> (Class, f64) {
     let deadline = keys.above_zero("Deadline", 1.0);
     let mut class = Class::default();
-    class.aim = keys.num("Slo", class.aim);
-    class.worth = keys.num("Worth", class.worth);
-    class.late_worth = keys.num("LateWorth", 0.0);
+    class.latency_target = keys.num("Slo", class.latency_target);
+    class.value = keys.num("Worth", class.value);
+    class.late_value = keys.num("LateWorth", 0.0);
     class.streamed = keys.flag("Streamed");
     let group = match keys.text("Group") {
         "zone" => Group::Zone,
@@ -155,12 +155,12 @@
         _ => Group::All,
     };
     class.effect = match keys.text("Effect") {
-        "idempotent" => Effect::Safe,
-        "deduplicated" => Effect::Keyed { group, window: keys.num("Window", 0.0) },
-        "at_most_once" => Effect::Unsafe,
+        "idempotent" => Effect::Idempotent,
+        "deduplicated" => Effect::Deduplicated { group, window: keys.num("Window", 0.0) },
+        "at_most_once" => Effect::AtMostOnce,
         _ => {
             keys.note("Effect", OptionsFault::Unknown);
-            Effect::Unsafe
+            Effect::AtMostOnce
         }
     };
     (class, deadline)
@@ -170,9 +170,9 @@
     Plan {
         rate: keys.num("QuotaRate", 0.0),
         burst: keys.num("Depth", 0.0),
-        open: keys.num("Open", 0.0) as u32,
-        pays: keys.num("Pays", 1.0),
-        excess_worth: keys.num("ExcessWorth", 0.0),
+        max_open_attempts: keys.num("Open", 0.0) as u32,
+        unit_value: keys.num("Pays", 1.0),
+        excess_value: keys.num("ExcessWorth", 0.0),
         overrun_cost: keys.num("OverrunCost", 0.0),
         ceiling_rate: keys.num("CeilingRate", 0.0),
         ceiling_burst: keys.num("CeilingBurst", 0.0),
@@ -189,30 +189,30 @@
         let keys = Keys { value, path: String::new(), errors: &errors };
         let (limits, domain, rules) = (keys.sub("Limits"), keys.sub("Domain"), keys.sub("Rules"));
         let mut s = Settings::default();
-        s.me = keys.num("Me", 0.0) as u32;
-        s.gateways = keys.num("PeersTotal", 1.0) as u32;
+        s.gateway_index = keys.num("Me", 0.0) as u32;
+        s.gateway_count = keys.num("PeersTotal", 1.0) as u32;
         s.zone = keys.num("Locality", 0.0) as u32;
-        s.step = keys.num("Step", s.step);
+        s.min_event_interval = keys.num("Step", s.min_event_interval);
         let deadlines: Vec<f64>;
         (s.classes, deadlines) = keys.list("Classes").iter().map(class).unzip();
         let longest = deadlines.into_iter().fold(0.0, f64::max);
         s.plans = keys.list("Plans").iter().map(plan).collect();
-        s.must_ask = keys.text("Discovery") == "ask";
+        s.must_subscribe = keys.text("Discovery") == "ask";
         s.has_counter = domain.flag("HasCounter");
-        s.count_limit = domain.num("CountLimit", s.count_limit);
-        s.max_units = domain.num("MaxUnits", s.max_units);
+        s.counter_timeout = domain.num("CountLimit", s.counter_timeout);
+        s.max_request_units = domain.num("MaxUnits", s.max_request_units);
         s.post_paid = domain.flag("PostPaid");
         s.may_probe = limits.flag("MayProbe");
         s.may_cancel = limits.flag("Cancelling");
-        s.second_copies = limits.flag("SecondCopies");
+        s.hedging_allowed = limits.flag("SecondCopies");
         s.max_attempts = limits.above_zero("SendCap", 1.0) as u32;
-        s.max_open = limits.num("OpenCap", f64::from(u32::MAX)) as u32;
+        s.max_open_requests = limits.num("OpenCap", f64::from(u32::MAX)) as u32;
         s.retry_after = limits.flag("RetryAfter");
         s.max_retry_after = limits.num("MaxRetryAfter", s.max_retry_after);
-        s.cold_from = rules.num("ColdFrom", s.cold_from);
-        s.cold = rules.num("Cold", s.cold);
-        s.fall_multiple = rules.num("FallMultiple", s.fall_multiple);
-        s.fall = rules.num("Fall", s.fall);
+        s.initial_capacity_share = rules.num("ColdFrom", s.initial_capacity_share);
+        s.warm_up = rules.num("Cold", s.warm_up);
+        s.overload_factor = rules.num("FallMultiple", s.overload_factor);
+        s.overload_window = rules.num("Fall", s.overload_window);
         let names = |key: &str| keys.list(key).iter().map(|k| k.text("Name").to_owned()).collect();
         let zones = keys.list("Dcs");
         let zones = zones.iter().map(|z| z.value.as_str().unwrap_or("").to_owned()).collect();
@@ -221,12 +221,20 @@
             keys.note("Locality", OptionsFault::Unknown);
         }
         let (classes, plans) = (names("Classes"), names("Plans"));
-        let conn_idle = limits.num("ConnIdle", 30.0);
+        let connection_idle_timeout = limits.num("ConnIdle", 30.0);
         let connect_timeout = limits.num("ConnectTimeout", 0.25);
         let errors = errors.take();
         if !errors.is_empty() {
             return Err(errors);
         }
-        Ok(Self { settings: s, classes, plans, zones, longest, conn_idle, connect_timeout })
+        Ok(Self {
+            settings: s,
+            classes,
+            plans,
+            zones,
+            max_deadline: longest,
+            connection_idle_timeout,
+            connect_timeout,
+        })
     }
 }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -27,7 +27,7 @@
     /// The rules that it came under: they hold for it whatever the settings say later.
     pub(crate) class: Class,
     pub(crate) max_attempts: usize,
-    pub(crate) second_copies: bool,
+    pub(crate) hedging_allowed: bool,
     pub(crate) arrived: Time,
     pub(crate) attempts: Vec<Attempt>,
     pub(crate) paid: Reason,
@@ -175,7 +175,7 @@
 
 impl Ledger {
     /// Whether the figures can be true at all.
-    pub fn is_sane(&self) -> bool {
+    pub fn is_plausible(&self) -> bool {
         let figures = [self.lease, self.owed, self.share, self.level.unwrap_or(0.0)];
         figures.into_iter().all(|f| f.is_finite() && f.abs() < 1e12) && self.share >= 0.0 && self.lease >= 0.0
     }
@@ -183,13 +183,13 @@
 
 /// What a process that crashed, or lost its power, has left for the next one. Times in seconds.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Kept {
+pub struct RecoveredState {
     /// Customers, each with its plan's number and the time that has surely passed since it stood so.
     pub customers: Vec<(CustomerId, usize, Time, Ledger)>,
     /// Servers that are out by hand.
-    pub aside: Vec<ServerId>,
+    pub offline_servers: Vec<ServerId>,
     /// The most that has passed since the last of it; `None`: nobody knows.
-    pub most: Option<Time>,
+    pub max_elapsed: Option<Time>,
     /// Whoever is not among the customers may have spent all that it had, so long ago; `None`: nothing.
-    pub spent: Option<Time>,
+    pub others_spent: Option<Time>,
 }
--- a/crates/gateway/src/zones.rs
+++ b/crates/gateway/src/zones.rs
@@ -1,7 +1,7 @@
 //! What a gateway knows of the zones: how much of its traffic each should get, and which it has left.
 
 use crate::{
-    interface::{Lost, ServerId, Time},
+    interface::{FailureKind, ServerId, Time},
     token_bucket::TokenBucket,
 };
 use serde::{Deserialize, Serialize};
@@ -26,7 +26,7 @@
 /// What a zone's news has led to.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum Turn {
-    Left(Lost),
+    Left(FailureKind),
     /// It answers what was sent to it since it was left.
     Back,
     /// It was never gone: it answers what it had in hand when it was left.
@@ -51,8 +51,8 @@
     /// Lost since then, with no answer between.
     run: BTreeSet<ServerId>,
     run_since: Time,
-    how: Option<Lost>,
-    pub(crate) left: Option<(Time, Lost)>,
+    how: Option<FailureKind>,
+    pub(crate) left: Option<(Time, FailureKind)>,
     until: Time,
     pause: f64,
     back: Time,
@@ -138,7 +138,14 @@
     }
 
     /// A server of the zone was lost.
-    pub(crate) fn bad(&mut self, now: Time, id: u32, server: &ServerId, how: Lost, jitter: f64) -> News {
+    pub(crate) fn bad(
+        &mut self,
+        now: Time,
+        id: u32,
+        server: &ServerId,
+        how: FailureKind,
+        jitter: f64,
+    ) -> News {
         let zone = self.all.get_mut(&id).filter(|z| z.left.is_none())?;
         if zone.run.is_empty() {
             zone.run_since = now;
--- a/crates/gateway/tests/bounds.rs
+++ b/crates/gateway/tests/bounds.rs
@@ -78,7 +78,7 @@
 impl World {
     fn new(gateways: u32, burst: f64, twins: bool) -> Self {
         let mut settings = settings();
-        (settings.gateways, settings.max_attempts, settings.cold) = (gateways, 1, 0.0);
+        (settings.gateway_count, settings.max_attempts, settings.warm_up) = (gateways, 1, 0.0);
         settings.plans = vec![plan(RATE, burst)];
         let (counts, now) = (BTreeMap::new(), 100.0);
         let mut world = Self {
@@ -98,7 +98,7 @@
 
     fn start(&self, me: u32) -> Node {
         let mut settings = self.settings.clone();
-        settings.me = me;
+        settings.gateway_index = me;
         let mut rig = Rig::new(settings);
         rig.now = self.now;
         Node { me, rig, calls: VecDeque::new(), holds: VecDeque::new() }
@@ -106,7 +106,7 @@
 
     /// What a customer may get in all, after the kills there were, while the clock stands: `docs/bounds.md`.
     fn most(&self) -> f64 {
-        let (burst, n) = (self.settings.plans[0].burst, f64::from(self.settings.gateways));
+        let (burst, n) = (self.settings.plans[0].burst, f64::from(self.settings.gateway_count));
         burst + (n + f64::from(self.kills)) * (burst / n).max(1.0)
     }
 
@@ -138,15 +138,16 @@
         let total = self.counts.entry(name).or_default();
         *total += if added { amount } else { 0.0 };
         let (status, total) = if answered { (Status::Ok, *total) } else { (Status::Timeout, 0.0) };
-        let spent = if answered { 0.002 } else { self.settings.count_limit };
-        let out = self.nodes[at].rig.event(Event::Counted { counter: name, status, total, spent });
+        let spent = if answered { 0.002 } else { self.settings.counter_timeout };
+        let out =
+            self.nodes[at].rig.event(Event::CounterAnswered { counter: name, status, total, elapsed: spent });
         self.carry_out(at, out);
         true
     }
 
     /// Takes one step; `false`: it can't be taken now.
     fn take(&mut self, step: Step, limits: Limits) -> bool {
-        let gateways = self.settings.gateways;
+        let gateways = self.settings.gateway_count;
         match step {
             Step::Ask(at) => {
                 self.asks += 1;
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -11,14 +11,15 @@
 
 pub fn plan(rate: f64, burst: f64) -> Plan {
     let mut plan = Plan::default();
-    (plan.rate, plan.burst, plan.pays) = (rate, burst, 1.0);
+    (plan.rate, plan.burst, plan.unit_value) = (rate, burst, 1.0);
     plan
 }
 
 pub fn settings() -> Settings {
     let mut s = Settings::default();
-    (s.gateways, s.has_counter, s.second_copies, s.max_attempts) = (2, true, true, 3);
-    (s.may_cancel, s.cold, s.cold_from, s.fall_multiple, s.fall) = (true, 10.0, 0.2, 2.0, 1.0);
+    (s.gateway_count, s.has_counter, s.hedging_allowed, s.max_attempts) = (2, true, true, 3);
+    (s.may_cancel, s.warm_up, s.initial_capacity_share, s.overload_factor, s.overload_window) =
+        (true, 10.0, 0.2, 2.0, 1.0);
     s.classes = vec![Class::default()];
     s.plans = vec![plan(10.0, 20.0)];
     s
@@ -42,11 +43,11 @@
         expires: now + 3.0,
         plan: 0,
         spread: 2,
-        first: 0,
+        first_gateway: 0,
         class: 0,
         customer: "c".into(),
-        repeat: false,
-        view: None,
+        client_retry: false,
+        peer_view: None,
     }
 }
 
@@ -80,16 +81,16 @@
     }
 
     pub fn counted(&mut self, counter: u64, status: Status, total: f64) -> Vec<Action> {
-        self.event(Event::Counted { counter, status, total, spent: 0.002 })
+        self.event(Event::CounterAnswered { counter, status, total, elapsed: 0.002 })
     }
 
     pub fn outcome(&mut self, job: &str, attempt: u32, server: &ServerId, status: Status) -> Vec<Action> {
-        self.event(Event::Outcome {
+        self.event(Event::AttemptEnded {
             job: job.into(),
             attempt,
             server: server.clone(),
             status,
-            spent: 0.1,
+            elapsed: 0.1,
             over: status == Status::Ok,
             settled: None,
             load: Load::default(),
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -8,7 +8,7 @@
 fn fleet(n: u32, settings: &Settings, servers: &[Server]) -> Vec<Rig> {
     let rig = |me: u32| {
         let mut s = settings.clone();
-        (s.me, s.gateways) = (me, n);
+        (s.gateway_index, s.gateway_count) = (me, n);
         let gateway = Gateway::new(s, u64::from(me) * 7919 + 1).expect("usable settings");
         let mut rig = Rig { gateway, now: 100.0, actions: Vec::new() };
         rig.list(ListKind::Stale, servers.to_vec());
@@ -54,7 +54,7 @@
         }
     }
     let each = sent / 7.0 / 9.0; // What a server carried, a second.
-    let may = s.fall_multiple * s.cold_from * each * s.fall;
+    let may = s.overload_factor * s.initial_capacity_share * each * s.overload_window;
     assert!(to_cold > 0.0, "a cold server is not left idle");
     assert!(to_cold <= may, "{to_cold} sent in the fall span, {may} would push it over");
 }
@@ -84,8 +84,8 @@
             }
         }
     }
-    let warmth = s.cold_from + (1.0 - s.cold_from) * 2.5 / s.cold; // Half way through these 5 s.
-    let (least, may) = (0.5 * warmth * to_warm, s.fall_multiple * warmth * to_warm);
+    let warmth = s.initial_capacity_share + (1.0 - s.initial_capacity_share) * 2.5 / s.warm_up; // Half way through these 5 s.
+    let (least, may) = (0.5 * warmth * to_warm, s.overload_factor * warmth * to_warm);
     assert!(to_cold > least, "{to_cold} sent to the cold half, {to_warm} to the warm half");
     assert!(to_cold < may, "{to_cold} sent to the cold half, {to_warm} to the warm half");
 }
@@ -128,7 +128,7 @@
 /// Of 300 requests at one gateway, how many are turned away at once when `lost` in ten attempts never answer.
 fn refused_when_lost(lost: usize) -> usize {
     let mut s = settings();
-    (s.plans, s.gateways) = (vec![Plan::default()], 20);
+    (s.plans, s.gateway_count) = (vec![Plan::default()], 20);
     let mut rig = Rig::new(s);
     let mut total = 0;
     for i in 0..300 {
@@ -139,7 +139,16 @@
             let (status, spent) = if i * 3 % 10 < lost { (Status::Timeout, 1.0) } else { (Status::Ok, 0.03) };
             let over = status == Status::Ok;
             let load = Load::default();
-            rig.event(Event::Outcome { job, attempt: 0, server, status, spent, over, settled: None, load });
+            rig.event(Event::AttemptEnded {
+                job,
+                attempt: 0,
+                server,
+                status,
+                elapsed: spent,
+                over,
+                settled: None,
+                load,
+            });
         }
     }
     total
@@ -163,7 +172,16 @@
             rig.now += 0.05;
             for (job, server) in sends(&rig.ask(&format!("a{i}"))) {
                 let (attempt, status, over, settled, load) = (0, Status::Ok, true, None, Load::default());
-                rig.event(Event::Outcome { job, attempt, server, status, spent, over, settled, load });
+                rig.event(Event::AttemptEnded {
+                    job,
+                    attempt,
+                    server,
+                    status,
+                    elapsed: spent,
+                    over,
+                    settled,
+                    load,
+                });
             }
         }
         (0..6).map(|i| sends(&rig.ask(&format!("b{i}"))).len()).sum::<usize>()
@@ -177,10 +195,10 @@
     let mut free = settings();
     free.plans = vec![Plan::default()];
     let mut rig = Rig::new(free);
-    assert!(!rig.gateway.set_aside(rig.now, "nonesuch", true), "never listed");
-    assert!(!rig.gateway.set_aside(rig.now, "nonesuch", false));
+    assert!(!rig.gateway.set_offline(rig.now, "nonesuch", true), "never listed");
+    assert!(!rig.gateway.set_offline(rig.now, "nonesuch", false));
     for id in ["a", "b"] {
-        assert!(rig.gateway.set_aside(rig.now, id, true) && rig.gateway.set_aside(rig.now, id, true));
+        assert!(rig.gateway.set_offline(rig.now, id, true) && rig.gateway.set_offline(rig.now, id, true));
     }
     // Listed anew, restarted, drained and back.
     for (lifecycle, started) in
@@ -191,8 +209,8 @@
     for i in 0..6 {
         assert!(sends(&rig.ask(&format!("j{i}"))).iter().all(|(_, s)| &**s == "c"));
     }
-    assert!(rig.gateway.set_aside(rig.now, "a", false), "one call back ends it");
-    assert!(rig.gateway.set_aside(rig.now, "c", false), "one that is not out is left as it is");
+    assert!(rig.gateway.set_offline(rig.now, "a", false), "one call back ends it");
+    assert!(rig.gateway.set_offline(rig.now, "c", false), "one that is not out is left as it is");
     let mut used = std::collections::BTreeMap::<_, u32>::new();
     for i in 0..60 {
         rig.now += 0.05;
@@ -208,7 +226,7 @@
 #[test]
 fn a_fleet_that_starts_over_and_over_is_not_sent_less_each_time() {
     let mut s = settings();
-    (s.plans, s.fall_multiple) = (vec![Plan::default()], 3.0);
+    (s.plans, s.overload_factor) = (vec![Plan::default()], 3.0);
     let mut rig = fleet(1, &s, &servers(3)).remove(0);
     let mut sent = [0; 13];
     for step in 0..1300 {
--- a/crates/gateway/tests/golden_state.rs
+++ b/crates/gateway/tests/golden_state.rs
@@ -19,7 +19,7 @@
         let status = if number % 3 == 2 { Status::Error } else { Status::Ok };
         rig.outcome(job, 0, server, status);
     }
-    rig.gateway.set_aside(rig.now, "c", true);
+    rig.gateway.set_offline(rig.now, "c", true);
     rig
 }
 
--- a/crates/gateway/tests/handover.rs
+++ b/crates/gateway/tests/handover.rs
@@ -32,7 +32,7 @@
     let (kept, handed) = (ask(&mut old, "old"), ask(&mut new, "new"));
     assert_eq!(kept, 0, "the old one has nothing left to grant");
     assert!(before + handed <= 20, "{before} and {handed} of a burst of 20");
-    old.gateway.take_back(old.now);
+    old.gateway.resume(old.now);
     old.now += 0.5;
     // Those that it held for the counter's answer are waited for no longer.
     let timers = old.actions.clone().into_iter().filter_map(|a| match a {
@@ -47,7 +47,8 @@
 fn attempts_out_at_the_old_process_count_at_the_new_one() {
     let mut s = settings();
     s.plans = vec![plan(100.0, 100.0)];
-    (s.plans[0].open, s.plans[0].overrun_cost, s.has_counter, s.gateways) = (1, 0.8, false, 1);
+    (s.plans[0].max_open_attempts, s.plans[0].overrun_cost, s.has_counter, s.gateway_count) =
+        (1, 0.8, false, 1);
     let mut old = Rig::new(s.clone());
     let mut request = request("out", old.now);
     request.spread = 1;
@@ -55,8 +56,8 @@
     let mut new = successor(&mut old, s);
     request.job = "second".into();
     assert_eq!(refused(&new.event(Event::Request(request.clone()))), 1, "one may be out, and one is");
-    assert_eq!(old.gateway.attempts_out(), [("c".into(), 1)]);
-    new.gateway.out_elsewhere(&[]);
+    assert_eq!(old.gateway.attempts_in_flight(), [("c".into(), 1)]);
+    new.gateway.set_attempts_elsewhere(&[]);
     request.job = "third".into();
     assert_eq!(sends(&new.event(Event::Request(request))).len(), 1);
 }
@@ -66,7 +67,7 @@
     let mut free = settings();
     free.plans = vec![Plan::default()];
     let mut old = Rig::new(free.clone());
-    assert!(old.gateway.set_aside(old.now, "a", true));
+    assert!(old.gateway.set_offline(old.now, "a", true));
     let started = old.now - 1.0;
     old.list(
         ListKind::Changes,
@@ -80,7 +81,9 @@
     let to = |rig: &Rig, id: &str| sends(&rig.actions).iter().filter(|(_, s)| &**s == id).count();
     assert_eq!((to(&new, "a"), to(&new, "b"), to(&old, "d")), (0, 0, 0), "one of them warms it up");
     assert!(to(&new, "d") * 4 < to(&new, "c"), "{} and {}", to(&new, "d"), to(&new, "c"));
-    assert!(!new.gateway.set_aside(new.now, "nonesuch", true) && new.gateway.set_aside(new.now, "a", false));
+    assert!(
+        !new.gateway.set_offline(new.now, "nonesuch", true) && new.gateway.set_offline(new.now, "a", false)
+    );
 }
 
 #[test]
@@ -92,7 +95,7 @@
     third.plan = 2;
     old.event(Event::Request(third));
     let mut one = settings();
-    one.gateways = 1;
+    one.gateway_count = 1;
     let mut new = successor(&mut old, one);
     assert_eq!(refused(&new.ask("a")), 0, "it goes on as if it had not met it");
     for broken in ["", "{}", "null", "{\"servers\":7}"] {
--- a/crates/gateway/tests/leases.rs
+++ b/crates/gateway/tests/leases.rs
@@ -49,13 +49,13 @@
 fn a_unit_that_no_worker_has_taken_is_there_for_the_next_and_once() {
     let ends = [
         // Its client left while it waited for a connection.
-        (true, Status::Moot, 1),
+        (true, Status::NotSent, 1),
         (true, Status::ConnectFailed, 1),
         (true, Status::Cancelled, 0),
         // No connection came up, and no further attempt can be made.
         (false, Status::ConnectFailed, 1),
         // The worker has had it whole, whether it ran or not.
-        (false, Status::Full, 0),
+        (false, Status::Rejected, 0),
         (false, Status::Timeout, 0),
     ];
     for (left, status, back) in ends {
@@ -65,7 +65,7 @@
         let out = counter.ask(&mut rig, "first");
         let (job, server) = sends(&out).pop().expect("the count grants it");
         if left {
-            rig.event(Event::Left { job: job.clone() });
+            rig.event(Event::ClientDisconnected { job: job.clone() });
         }
         rig.outcome(&job, 0, &server, status);
         let mut sent = 0;
@@ -146,14 +146,23 @@
     let out_at_once = |spent: f64| {
         let mut s = settings();
         s.plans.push(s.plans[0].clone());
-        s.plans[0].open = 4;
-        s.classes[0].aim = 20.0; // So that no such answer is slow.
+        s.plans[0].max_open_attempts = 4;
+        s.classes[0].latency_target = 20.0; // So that no such answer is slow.
         let (mut rig, mut counter) = (Rig::new(s), Counter::default());
         let mut other = request("other", rig.now);
         (other.plan, other.customer) = (1, "other".into());
         for (job, server) in sends(&rig.event(Event::Request(other))) {
             let (attempt, status, over, settled, load) = (0, Status::Ok, true, None, Load::default());
-            rig.event(Event::Outcome { job, attempt, server, status, spent, over, settled, load });
+            rig.event(Event::AttemptEnded {
+                job,
+                attempt,
+                server,
+                status,
+                elapsed: spent,
+                over,
+                settled,
+                load,
+            });
         }
         let asks = (0..6).flat_map(|i| counter.ask(&mut rig, &format!("j{i}")));
         sends(&asks.collect::<Vec<_>>()).len()
@@ -165,7 +174,7 @@
 #[test]
 fn an_open_cap_is_an_even_share_of_it() {
     let mut s = settings();
-    s.plans[0].open = 4;
+    s.plans[0].max_open_attempts = 4;
     let (mut rig, mut counter) = (Rig::new(s), Counter::default());
     let mut out = Vec::new();
     for i in 0..6 {
@@ -192,7 +201,7 @@
             for (counter, _) in counts(&out) {
                 let status = if i % 4 == 0 { Status::Timeout } else { Status::Ok };
                 let spent = if i % 4 == 0 { spent } else { 0.002 };
-                rig.event(Event::Counted { counter, status, total: 1.0, spent });
+                rig.event(Event::CounterAnswered { counter, status, total: 1.0, elapsed: spent });
             }
             for (job, server) in sends(&out) {
                 rig.outcome(&job, 0, &server, Status::Ok);
@@ -200,7 +209,7 @@
         }
         asked
     };
-    let limit = settings().count_limit;
+    let limit = settings().counter_timeout;
     assert_eq!(asked_after(0.1 * limit), 400, "every customer is asked for");
     assert!(asked_after(limit) < 200, "calls that time out slow it down");
 }
@@ -220,7 +229,7 @@
             for (counter, _) in counts(&out) {
                 let wrong = (50..300).contains(&i);
                 let (status, spent) = if wrong { (status, spent) } else { (Status::Ok, 0.002) };
-                rig.event(Event::Counted { counter, status, total: 1.0, spent });
+                rig.event(Event::CounterAnswered { counter, status, total: 1.0, elapsed: spent });
             }
             for (job, server) in sends(&out) {
                 rig.outcome(&job, 0, &server, Status::Ok);
@@ -228,7 +237,7 @@
         }
         asked
     };
-    let limit = settings().count_limit;
+    let limit = settings().counter_timeout;
     assert_eq!(asked_after(Status::ConnectFailed, 0.0), 50, "it was gone");
     assert_eq!(asked_after(Status::Timeout, limit), 50, "it was silent");
     assert!(asked_after(Status::Ok, 0.9 * limit) < 25, "it was crowded");
@@ -237,7 +246,7 @@
 #[test]
 fn a_guess_at_what_others_sent_off_the_count_refuses_nobody_whose_count_is_untouched() {
     let mut s = settings();
-    (s.gateways, s.plans[0]) = (100, plan(0.4, 2.0));
+    (s.gateway_count, s.plans[0]) = (100, plan(0.4, 2.0));
     let mut rig = Rig::new(s);
     let begins = |rig: &mut Rig, i: u32| {
         let mut request = request(&format!("j{i}"), rig.now);
@@ -264,8 +273,8 @@
     // How many of a crowd of requests go at one of many gateways when answers take so long.
     let sent = |spent: f64| {
         let mut s = settings();
-        s.gateways = 100;
-        (s.plans[0].open, s.classes[0].aim) = (3, 50.0);
+        s.gateway_count = 100;
+        (s.plans[0].max_open_attempts, s.classes[0].latency_target) = (3, 50.0);
         let (mut rig, mut counter) = (Rig::new(s), Counter::default());
         let mut sent = 0;
         for i in 0..600 {
@@ -277,7 +286,16 @@
             for (job, server) in sends(&out) {
                 sent += 1;
                 let (attempt, status, over, settled, load) = (0, Status::Ok, true, None, Load::default());
-                rig.event(Event::Outcome { job, attempt, server, status, spent, over, settled, load });
+                rig.event(Event::AttemptEnded {
+                    job,
+                    attempt,
+                    server,
+                    status,
+                    elapsed: spent,
+                    over,
+                    settled,
+                    load,
+                });
             }
         }
         sent
@@ -313,12 +331,12 @@
     let mut s = settings();
     s.plans[0].overrun_cost = 0.8;
     // So many that none has a whole unit of a customer's burst for its own: an unseen one waits for the count.
-    s.gateways = 100;
+    s.gateway_count = 100;
     let sent_off = |used_up: bool| {
         let mut rig = Rig::new(s.clone());
         let of = |rig: &Rig, i: usize, repeat| {
             let customer = format!("c{i}").as_str().into();
-            Request { customer, repeat, spread: 100, ..request(&format!("j{i}"), rig.now) }
+            Request { customer, client_retry: repeat, spread: 100, ..request(&format!("j{i}"), rig.now) }
         };
         let mut counter = Counter::default();
         for i in 0..40 {
--- a/crates/gateway/tests/power_loss.rs
+++ b/crates/gateway/tests/power_loss.rs
@@ -10,7 +10,7 @@
 /// Gateway `me` of `n`, with the counter silent.
 fn start(me: u32, n: u32, now: Time) -> Rig {
     let mut s = settings();
-    (s.me, s.gateways, s.has_counter, s.max_attempts, s.cold) = (me, n, false, 1, 0.0);
+    (s.gateway_index, s.gateway_count, s.has_counter, s.max_attempts, s.warm_up) = (me, n, false, 1, 0.0);
     s.plans = vec![plan(RATE, BURST)];
     let mut rig = Rig::new(s);
     rig.now = now;
@@ -65,7 +65,8 @@
                     let ago = (now - written[at]) * if rng.bool() { 1.0 } else { rng.f64() };
                     ("c".into(), 0, ago, ledger)
                 });
-                let kept = Kept { customers: kept.into_iter().collect(), ..Kept::default() };
+                let kept =
+                    RecoveredState { customers: kept.into_iter().collect(), ..RecoveredState::default() };
                 rigs[at].gateway.recover(now, kept);
             }
         }
@@ -90,7 +91,7 @@
 fn a_lease_is_spent_again_only_within_its_window_and_if_the_time_away_is_known() {
     // Windows of 16 s: four bursts over the rate, at the customer's own phase.
     let mut s = settings();
-    (s.plans, s.cold) = (vec![plan(2.0, 8.0)], 0.0);
+    (s.plans, s.warm_up) = (vec![plan(2.0, 8.0)], 0.0);
     let (mut counter, mut rig) = (Counter::default(), Rig::new(s.clone()));
     assert_eq!(counter.ask_many(&mut rig, "before", 1), 1);
     let (_, mut ledger) = rig.gateway.ledger(rig.now, "c", 0.0).expect("it is known");
@@ -98,7 +99,11 @@
     let spent = |away: f64, most: Option<f64>| {
         let mut heir = Rig::new(s.clone());
         heir.now = rig.now + away;
-        let kept = Kept { customers: vec![("c".into(), 0, away, ledger.clone())], most, ..Kept::default() };
+        let kept = RecoveredState {
+            customers: vec![("c".into(), 0, away, ledger.clone())],
+            max_elapsed: most,
+            ..RecoveredState::default()
+        };
         heir.gateway.recover(heir.now, kept);
         heir.gateway.ledger(heir.now, "c", 0.0).expect("it is known").1.lease
     };
@@ -120,18 +125,21 @@
 #[test]
 fn customers_of_whom_all_is_lost_begin_at_nothing_and_ceilings_always_do() {
     let mut rig = start(0, 2, 100.0);
-    rig.gateway.recover(100.0, Kept { spent: Some(0.0), ..Kept::default() });
+    rig.gateway.recover(100.0, RecoveredState { others_spent: Some(0.0), ..RecoveredState::default() });
     assert!(!sent(&mut rig, "at once", 2));
     // A share of half a unit in two seconds.
     rig.now = 104.5;
     assert!(sent(&mut rig, "refilled since", 2));
     let mut s = settings();
-    (s.has_counter, s.cold) = (false, 0.0);
+    (s.has_counter, s.warm_up) = (false, 0.0);
     s.plans = vec![plan(1.0, 4.0)];
     (s.plans[0].ceiling_rate, s.plans[0].ceiling_burst) = (2.0, 8.0);
     let mut rig = Rig::new(s);
     let ledger = Ledger { spread: 2, share: 4.0, ..Ledger::default() };
-    rig.gateway.recover(100.0, Kept { customers: vec![("c".into(), 0, 50.0, ledger)], ..Kept::default() });
+    rig.gateway.recover(
+        100.0,
+        RecoveredState { customers: vec![("c".into(), 0, 50.0, ledger)], ..RecoveredState::default() },
+    );
     assert!(!sent(&mut rig, "under a ceiling", 2));
 }
 
@@ -140,7 +148,10 @@
     let mut rig = start(0, 2, 100.0);
     let ledger = Ledger { spread: 900, share: 1e9, owed: 2.0, ..Ledger::default() };
     let customers = vec![("c".into(), 0, 1.0, ledger.clone()), ("d".into(), 7, 1.0, ledger)];
-    rig.gateway.recover(100.0, Kept { customers, aside: vec!["a".into()], ..Kept::default() });
+    rig.gateway.recover(
+        100.0,
+        RecoveredState { customers, offline_servers: vec!["a".into()], ..RecoveredState::default() },
+    );
     assert_eq!(rig.gateway.customers().map(|id| &**id).collect::<Vec<_>>(), ["c"]);
     let (plan, kept) = rig.gateway.ledger(100.0, "c", 0.0).expect("it is known");
     assert_eq!((plan, kept.spread, kept.owed), (0, 2, 2.0));
--- a/crates/gateway/tests/property.rs
+++ b/crates/gateway/tests/property.rs
@@ -61,9 +61,9 @@
     let (mut dice, mut world) = (Dice(seed), World::default());
     let unsafe_class = seed.is_multiple_of(3);
     let mut s = settings();
-    s.classes[0].effect = if unsafe_class { Effect::Unsafe } else { Effect::Safe };
+    s.classes[0].effect = if unsafe_class { Effect::AtMostOnce } else { Effect::Idempotent };
     s.plans.push(plan(1.0, 3.0));
-    s.plans[1].open = 2;
+    s.plans[1].max_open_attempts = 2;
     (s.plans[0].ceiling_rate, s.plans[0].ceiling_burst) = (20.0, 40.0);
     s.plans.push(Plan::default());
     let mut rig = Rig::new(s);
@@ -92,9 +92,10 @@
             4..7 if !world.out.is_empty() => {
                 let i = dice.roll(world.out.len() as u64) as usize;
                 let (job, attempt, server, _) = world.out.remove(i);
-                let ends = [Status::Ok, Status::Error, Status::Full, Status::ConnectFailed, Status::Reset];
+                let ends =
+                    [Status::Ok, Status::Error, Status::Rejected, Status::ConnectFailed, Status::Reset];
                 let status = ends[dice.roll(5) as usize];
-                let never = matches!(status, Status::Full | Status::ConnectFailed);
+                let never = matches!(status, Status::Rejected | Status::ConnectFailed);
                 world.attempts.get_mut(&job).expect("sent")[attempt as usize] = never;
                 if status == Status::Ok {
                     world.ended.insert(job.clone());
@@ -106,7 +107,7 @@
                 if dice.roll(200) == 0 {
                     world.counter.clear();
                 }
-                let ends = [Status::Ok, Status::Ok, Status::Ok, Status::Timeout, Status::Full];
+                let ends = [Status::Ok, Status::Ok, Status::Ok, Status::Timeout, Status::Rejected];
                 let total = world.counter.get(&name).copied().unwrap_or(0.0);
                 rig.counted(name, ends[dice.roll(5) as usize], total)
             }
--- a/crates/gateway/tests/rules.rs
+++ b/crates/gateway/tests/rules.rs
@@ -13,12 +13,12 @@
 
 #[test]
 fn a_request_ends_once_whatever_comes_later() {
-    let mut rig = Rig::new(plain(Effect::Safe));
+    let mut rig = Rig::new(plain(Effect::Idempotent));
     let (_, server) = sends(&rig.ask("j")).remove(0);
     assert!(rig.ask("j").is_empty(), "an id is taken once");
     rig.outcome("j", 0, &server, Status::Ok);
     assert!(rig.outcome("j", 0, &server, Status::Error).is_empty(), "a late outcome leads to nothing");
-    assert!(rig.event(Event::Left { job: "j".into() }).is_empty());
+    assert!(rig.event(Event::ClientDisconnected { job: "j".into() }).is_empty());
 }
 
 #[test]
@@ -26,7 +26,7 @@
     let mut s = settings();
     s.plans[0].ceiling_rate = 20.0; // An unseen customer of such a plan has no share to start with.
     s.plans[0].ceiling_burst = 40.0;
-    let limit = s.count_limit;
+    let limit = s.counter_timeout;
     let mut rig = Rig::new(s);
     let out = rig.ask("j");
     assert!(sends(&out).is_empty() && refused(&out) == 0, "held for the counter");
@@ -52,7 +52,7 @@
 #[test]
 fn a_deadline_nearer_than_the_holds_end_is_decided_at_once_and_the_count_is_asked_all_the_same() {
     let mut s = settings();
-    s.count_limit = 0.05;
+    s.counter_timeout = 0.05;
     let mut rig = Rig::new(s);
     let ask = |rig: &mut Rig, job: &str| {
         let mut near = request(job, rig.now);
@@ -73,18 +73,18 @@
 
 #[test]
 fn an_unsafe_request_that_may_have_run_is_neither_repeated_nor_refused() {
-    let mut rig = Rig::new(plain(Effect::Unsafe));
+    let mut rig = Rig::new(plain(Effect::AtMostOnce));
     let (_, server) = sends(&rig.ask("j")).remove(0);
     let out = rig.outcome("j", 0, &server, Status::Reset);
     assert_eq!((sends(&out).len(), refused(&out), failed(&out)), (0, 0, 1));
     let (_, server) = sends(&rig.ask("k")).remove(0);
-    let out = rig.outcome("k", 0, &server, Status::Full);
+    let out = rig.outcome("k", 0, &server, Status::Rejected);
     assert_eq!(sends(&out).len(), 1, "one that surely never ran goes out again");
 }
 
 #[test]
 fn a_keyed_request_stays_in_its_group_and_window() {
-    let mut s = plain(Effect::Keyed { group: Group::Zone, window: 1.0 });
+    let mut s = plain(Effect::Deduplicated { group: Group::Zone, window: 1.0 });
     s.max_attempts = 9;
     let mut rig = Rig::empty(s);
     let mut list: Vec<Server> =
@@ -103,16 +103,18 @@
 #[test]
 fn an_attempt_may_be_sent_until_the_window_of_the_first_ends_where_a_repeat_may_follow() {
     let until = |out: &[Action]| match out.iter().find(|a| matches!(a, Action::Send { .. })) {
-        Some(Action::Send { until, server, .. }) => (*until, server.clone()),
+        Some(Action::Send { send_by, server, .. }) => (*send_by, server.clone()),
         _ => panic!("it is sent"),
     };
-    let mut rig = Rig::new(plain(Effect::Keyed { group: Group::All, window: 1.0 }));
+    let mut rig = Rig::new(plain(Effect::Deduplicated { group: Group::All, window: 1.0 }));
     let start = rig.now;
     let (first, server) = until(&rig.ask("j"));
     assert_eq!(first, start + 1.0, "a second copy may run before it");
     rig.now += 0.5;
     assert_eq!(until(&rig.outcome("j", 0, &server, Status::Reset)).0, first);
-    for effect in [Effect::Keyed { group: Group::All, window: 0.0 }, Effect::Safe, Effect::Unsafe] {
+    for effect in
+        [Effect::Deduplicated { group: Group::All, window: 0.0 }, Effect::Idempotent, Effect::AtMostOnce]
+    {
         let mut rig = Rig::new(plain(effect));
         assert_eq!(until(&rig.ask("j")).0, f64::INFINITY, "{effect:?}");
     }
@@ -120,8 +122,8 @@
 
 #[test]
 fn no_second_copy_where_none_is_allowed() {
-    let mut s = plain(Effect::Safe);
-    s.second_copies = false;
+    let mut s = plain(Effect::Idempotent);
+    s.hedging_allowed = false;
     let mut rig = Rig::new(s);
     let out = rig.ask("j");
     assert_eq!(sends(&out).len(), 1);
@@ -130,7 +132,7 @@
 
 #[test]
 fn a_draining_or_missing_server_gets_nothing_new() {
-    let mut rig = Rig::new(plain(Effect::Safe));
+    let mut rig = Rig::new(plain(Effect::Idempotent));
     rig.list(ListKind::Changes, vec![server("a", Lifecycle::Draining, 0.0)]);
     rig.list(
         ListKind::Full,
@@ -148,7 +150,7 @@
 
 #[test]
 fn a_cold_server_gets_a_small_part() {
-    let mut rig = Rig::new(plain(Effect::Safe));
+    let mut rig = Rig::new(plain(Effect::Idempotent));
     rig.list(ListKind::Changes, vec![server("a", Lifecycle::Running, 99.9)]);
     let mut cold = 0;
     for i in 0..90 {
@@ -163,7 +165,7 @@
 
 #[test]
 fn a_server_that_comes_back_untold_is_suspected_cold() {
-    let mut rig = Rig::new(plain(Effect::Safe));
+    let mut rig = Rig::new(plain(Effect::Idempotent));
     rig.list(ListKind::Full, vec![server("a", Lifecycle::Running, 0.0)]);
     rig.ask("j0");
     rig.outcome("j0", 0, &"a".into(), Status::ConnectFailed);
@@ -189,7 +191,7 @@
 
 #[test]
 fn time_outs_in_overload_do_not_put_the_fleet_out() {
-    let mut rig = Rig::new(plain(Effect::Safe));
+    let mut rig = Rig::new(plain(Effect::Idempotent));
     for i in 0..12 {
         for (job, to) in sends(&rig.ask(&format!("j{i}"))) {
             rig.outcome(&job, 0, &to, Status::Timeout);
@@ -201,7 +203,7 @@
 
 #[test]
 fn what_is_not_held_in_full_has_no_second_copy_and_no_further_attempt() {
-    let mut rig = Rig::new(plain(Effect::Safe));
+    let mut rig = Rig::new(plain(Effect::Idempotent));
     let (_, server) = sends(&rig.ask("j")).remove(0);
     assert!(rig.event(Event::Unrepeatable { job: "j".into() }).is_empty());
     let timers = rig.actions.clone().into_iter().filter_map(|a| match a {
@@ -211,7 +213,7 @@
     rig.now += 0.9;
     let out: Vec<Action> = timers.flat_map(|token| rig.event(Event::Timer { token })).collect();
     assert!(sends(&out).is_empty(), "a second copy");
-    let out = rig.outcome("j", 0, &server, Status::Full);
+    let out = rig.outcome("j", 0, &server, Status::Rejected);
     assert_eq!((sends(&out).len(), refused(&out)), (0, 1));
 }
 
@@ -219,12 +221,12 @@
 fn a_server_that_turns_away_is_left_alone_for_a_while_and_not_by_all_for_as_long() {
     // Seconds until a gateway sends again to a server that turned it away, the others being as free.
     let away = |seed: u64| {
-        let gateway = Gateway::new(plain(Effect::Safe), seed).expect("usable settings");
+        let gateway = Gateway::new(plain(Effect::Idempotent), seed).expect("usable settings");
         let mut rig = Rig { gateway, now: 100.0, actions: Vec::new() };
         let servers = ["a", "b", "c"].map(|n| server(n, Lifecycle::Running, 0.0)).to_vec();
         rig.list(ListKind::Stale, servers);
         let (job, full) = sends(&rig.ask("full")).remove(0);
-        rig.outcome(&job, 0, &full, Status::Full);
+        rig.outcome(&job, 0, &full, Status::Rejected);
         for i in 0..400 {
             rig.now += 0.01;
             for (job, server) in sends(&rig.ask(&format!("j{i}"))) {
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -12,11 +12,17 @@
 
 #[test]
 fn impossible_settings_are_a_typed_error() {
-    assert_eq!(refused_settings(|s| s.gateways = 0), SettingsError::NoGateways);
-    assert_eq!(refused_settings(|s| s.me = 2), SettingsError::MeOutOfRange);
-    assert_eq!(refused_settings(|s| s.plans[0].rate = -1.0), SettingsError::BadNumber("rate"));
-    assert_eq!(refused_settings(|s| s.count_limit = f64::NAN), SettingsError::BadNumber("count_limit"));
-    assert_eq!(refused_settings(|s| s.classes[0].aim = f64::INFINITY), SettingsError::BadNumber("aim"));
+    assert_eq!(refused_settings(|s| s.gateway_count = 0), SettingsError::NoGateways);
+    assert_eq!(refused_settings(|s| s.gateway_index = 2), SettingsError::GatewayIndexOutOfRange);
+    assert_eq!(refused_settings(|s| s.plans[0].rate = -1.0), SettingsError::InvalidNumber("rate"));
+    assert_eq!(
+        refused_settings(|s| s.counter_timeout = f64::NAN),
+        SettingsError::InvalidNumber("count_limit")
+    );
+    assert_eq!(
+        refused_settings(|s| s.classes[0].latency_target = f64::INFINITY),
+        SettingsError::InvalidNumber("aim")
+    );
 }
 
 #[test]
@@ -39,21 +45,21 @@
     assert!(rig.event(Event::Timer { token: 999 }).is_empty());
     assert!(rig.counted(5, Status::Ok, 1.0).is_empty());
     assert!(rig.outcome("never", 0, &"nowhere".into(), Status::Reset).is_empty());
-    assert!(rig.event(Event::Left { job: "never".into() }).is_empty());
+    assert!(rig.event(Event::ClientDisconnected { job: "never".into() }).is_empty());
 }
 
 #[test]
 fn a_change_of_settings_is_all_or_nothing() {
     let mut rig = Rig::new(settings());
     let mut bad = settings();
-    (bad.plans[0].rate, bad.max_open) = (f64::NAN, 0);
-    assert_eq!(retune(&mut rig.gateway, bad), Err(SettingsError::BadNumber("rate")));
+    (bad.plans[0].rate, bad.max_open_requests) = (f64::NAN, 0);
+    assert_eq!(retune(&mut rig.gateway, bad), Err(SettingsError::InvalidNumber("rate")));
     let mut fewer = settings();
-    (fewer.plans, fewer.max_open) = (Vec::new(), 0);
+    (fewer.plans, fewer.max_open_requests) = (Vec::new(), 0);
     assert_eq!(retune(&mut rig.gateway, fewer), Err(SettingsError::PlansRemoved));
     assert_eq!(sends(&rig.ask("still")).len(), 1, "nothing of either is in force");
     let mut full = settings();
-    full.max_open = 0;
+    full.max_open_requests = 0;
     assert_eq!(retune(&mut rig.gateway, full), Ok(()));
     assert_eq!(refused(&rig.ask("now")), 1);
 }
@@ -63,7 +69,7 @@
     let mut old = settings();
     old.plans = vec![Plan::default()];
     old.classes = vec![Class::default(), Class::default()];
-    (old.classes[0].effect, old.max_attempts) = (Effect::Unsafe, 2);
+    (old.classes[0].effect, old.max_attempts) = (Effect::AtMostOnce, 2);
     let mut rig = Rig::new(old.clone());
     let open = |rig: &mut Rig, job: &str, class: usize| {
         let mut request = request(job, rig.now);
--- a/crates/gateway/tests/zone_loss.rs
+++ b/crates/gateway/tests/zone_loss.rs
@@ -87,13 +87,13 @@
         (&json!("hall-a"), &json!(true), &json!(false))
     );
     halls.near(&Does::Resets);
-    halls.until(&node, "zone 0 is left: Broken");
+    halls.until(&node, "zone 0 ejected: Broken");
     let told = zones(&node);
     assert_eq!((&told[0]["left"]["why"], &told[0]["weight"]), (&json!("broken"), &json!(0.0)));
     // An answer to what was in hand when the zone was left would show that its workers have lived on.
     (0..3).for_each(|i| drop(node.pool(&format!("w{i}"), |pool| pool["in_use"] == 0)));
     halls.near(&Does::Serves("back"));
-    halls.until(&node, "zone 0 is used again");
+    halls.until(&node, "zone 0 returned to service");
     let told = zones(&node);
     assert_eq!(
         (&told[0]["left"], &told[0]["cold"]),
@@ -118,7 +118,7 @@
     }
     let seen: usize = halls.workers.iter().map(|w| w.rest().len()).sum();
     assert_eq!(seen, 6);
-    halls.until(&node, "zone 0 is left: Silent");
+    halls.until(&node, "zone 0 ejected: Silent");
     let (served, asked) = (0..10).fold((0, 0), |(served, asked), i| {
         let ask = Ask::new(&format!("s{i}")).with("X-Remaining", "0.5");
         (served + usize::from(node.ask(&ask).status() == 200), asked + 1)
--- a/crates/gateway/tests/zones.rs
+++ b/crates/gateway/tests/zones.rs
@@ -49,12 +49,13 @@
 
 fn settings(gateways: u32, me: u32, zone: u32) -> Settings {
     let mut s = Settings::default();
-    (s.gateways, s.me, s.zone, s.second_copies, s.max_attempts) = (gateways, me, zone, true, 4);
-    (s.cold, s.cold_from, s.fall_multiple, s.fall) = (10.0, 0.25, 3.0, 3.0);
+    (s.gateway_count, s.gateway_index, s.zone, s.hedging_allowed, s.max_attempts) =
+        (gateways, me, zone, true, 4);
+    (s.warm_up, s.initial_capacity_share, s.overload_factor, s.overload_window) = (10.0, 0.25, 3.0, 3.0);
     let mut class = Class::default();
-    class.aim = 0.6;
+    class.latency_target = 0.6;
     s.classes = vec![class.clone(), class];
-    s.classes[1].effect = Effect::Keyed { group: Group::Zone, window: 5.0 };
+    s.classes[1].effect = Effect::Deduplicated { group: Group::Zone, window: 5.0 };
     s.plans = vec![Plan::default()];
     s
 }
@@ -145,11 +146,11 @@
                 expires: self.now + 2.0,
                 plan: 0,
                 spread: 1,
-                first: 0,
+                first_gateway: 0,
                 class,
                 customer: "c".into(),
-                repeat: false,
-                view: None,
+                client_retry: false,
+                peer_view: None,
             }),
         );
     }
@@ -167,12 +168,12 @@
                 let (status, over) = (o.status, o.status == Status::Ok);
                 self.event(
                     o.gateway,
-                    Event::Outcome {
+                    Event::AttemptEnded {
                         job: o.job,
                         attempt: o.attempt,
                         server: o.server,
                         status,
-                        spent: o.spent,
+                        elapsed: o.spent,
                         over,
                         settled: None,
                         load: Load::default(),
@@ -198,7 +199,7 @@
     }
 
     fn left(&self, zone: u32) -> usize {
-        let has = |g: &&Gateway| g.zones(self.now).iter().any(|z| z.zone == zone && z.left.is_some());
+        let has = |g: &&Gateway| g.zones(self.now).iter().any(|z| z.zone == zone && z.ejected.is_some());
         self.gateways.iter().filter(has).count()
     }
 }
@@ -248,7 +249,7 @@
     assert!(still < 0.1, "{still} still go there after 2 s");
     let left = [0, 1, 2].map(|zone| fleet.left(zone));
     assert!(left[1] > 30 && left[0] + left[2] == 0, "{left:?}");
-    assert!(fleet.logs.iter().any(|(at, _, text)| *at > lost && text == "zone 1 is left: Unreachable"));
+    assert!(fleet.logs.iter().any(|(at, _, text)| *at > lost && text == "zone 1 ejected: Unreachable"));
     fleet.run(1.5, 6.0);
     // It returns cold, and no list says so yet.
     fleet.does.insert(1, Does::Answers);
@@ -293,13 +294,17 @@
     let mut fleet = Fleet::new(12, &[8, 8], &[0, 1], 9);
     fleet.does.insert(0, Does::Errs(12));
     fleet.run(8.0, 10.0);
-    assert!(fleet.logs.iter().filter(|(_, _, text)| text.contains("left")).count() <= 2, "{:?}", fleet.logs);
+    assert!(
+        fleet.logs.iter().filter(|(_, _, text)| text.contains("ejected")).count() <= 2,
+        "{:?}",
+        fleet.logs
+    );
     let mut fleet = Fleet::new(12, &[8, 8], &[0, 1], 9);
     fleet.run(3.0, 10.0);
     fleet.does.extend([(0, Does::Silent), (1, Does::Silent)]);
     fleet.run(4.0, 10.0);
     let both =
-        (0..12).filter(|g| fleet.gateways[*g].zones(fleet.now).iter().all(|z| z.left.is_some())).count();
+        (0..12).filter(|g| fleet.gateways[*g].zones(fleet.now).iter().all(|z| z.ejected.is_some())).count();
     assert_eq!(both, 0, "the last one is never left");
     fleet.does.extend([(0, Does::Answers), (1, Does::Answers)]);
     fleet.run(10.0, 10.0);
@@ -385,11 +390,11 @@
     let mut text = serde_json::to_value(&state).expect("a form of its own");
     let mut next = Gateway::new(settings(1, 0, 0), 1).expect("usable");
     next.take_over(serde_json::from_value(text.clone()).expect("its own form"));
-    assert!(next.zones(fleet.now).iter().any(|z| z.zone == 0 && z.left.is_some()));
+    assert!(next.zones(fleet.now).iter().any(|z| z.zone == 0 && z.ejected.is_some()));
     text.as_object_mut().expect("an object").remove("zones");
     let mut next = Gateway::new(settings(1, 0, 0), 1).expect("usable");
     next.take_over(serde_json::from_value(text).expect("an older form"));
     let mut out = Vec::new();
     next.handle(fleet.now, Event::Timer { token: 1 }, &mut out);
-    assert!(next.zones(fleet.now).iter().all(|z| z.left.is_none()));
+    assert!(next.zones(fleet.now).iter().all(|z| z.ejected.is_none()));
 }
