--- a/crates/control/src/inspect.rs
+++ b/crates/control/src/inspect.rs
@@ -101,7 +101,7 @@
         ResultCode::STATE_INCONSISTENT,
         shard_name(*shard)
     ))]
-    FallingTerm {
+    DecreasingTerm {
         /// The shard.
         shard: Shard,
         /// The index of the entry.
@@ -243,7 +243,7 @@
     let mut term = found.log.base.last_included_term;
     for entry in &found.log.entries {
         if entry.term < term {
-            problems.push(Problem::FallingTerm { shard, index: entry.index });
+            problems.push(Problem::DecreasingTerm { shard, index: entry.index });
         }
         term = term.max(entry.term);
     }
--- a/crates/control/src/process/membership.rs
+++ b/crates/control/src/process/membership.rs
@@ -49,7 +49,7 @@
     /// This process, as the directory should name it.
     node: ControlNode,
     /// Number of control processes that the tier began with.
-    seeds: usize,
+    seed_count: usize,
     /// Used while this process owns shard 0.
     failure_detector: RefCell<MemberFailureDetector>,
     /// This process is about to end and is no member any more.
@@ -61,14 +61,14 @@
         client: Rc<ControlClient>,
         quorum_contact: Rc<QuorumContact>,
         node: ControlNode,
-        seeds: usize,
+        seed_count: usize,
         min_members: usize,
     ) -> Rc<Self> {
         Rc::new(Self {
             client,
             quorum_contact,
             node,
-            seeds,
+            seed_count,
             failure_detector: RefCell::new(MemberFailureDetector::new(min_members)),
             is_leaving: Cell::new(false),
         })
@@ -80,7 +80,7 @@
         let mut applied: Vec<ControlNode> = Vec::new();
         loop {
             let nodes = self.client.members();
-            if nodes != applied && nodes.len() >= self.seeds {
+            if nodes != applied && nodes.len() >= self.seed_count {
                 self.client.host().set_desired_members(nodes.clone());
                 applied = nodes;
             }
--- a/crates/control/src/process/mod.rs
+++ b/crates/control/src/process/mod.rs
@@ -73,7 +73,7 @@
     /// Machines that may be lost at a time.
     pub hosts_lost: usize,
     /// Number of control processes that the tier began with, as far as is known.
-    pub seeds: usize,
+    pub seed_count: usize,
     /// How the partitions of the stores' data are laid out.
     pub store_layout: StoreLayout,
     /// How often workers send a heartbeat.
@@ -103,7 +103,7 @@
     /// A process over a host that runs `shards`.
     #[must_use]
     pub fn new(options: ProcessOptions, host: Rc<Host>, shards: Shards) -> Rc<Self> {
-        let min_members = options.seeds.max(2 * options.hosts_lost + 1);
+        let min_members = options.seed_count.max(2 * options.hosts_lost + 1);
         let clock = SteadyClock::start();
         let subscribers: Rc<RefCell<Subscribers>> = Rc::default();
         let client = ControlClient::new(Rc::clone(&host), shards);
@@ -114,7 +114,7 @@
             Rc::clone(&client),
             Rc::clone(&quorum_contact),
             options.node,
-            options.seeds,
+            options.seed_count,
             min_members,
         );
         let configuration = ConfigurationService::new(Rc::clone(&client), Rc::clone(&subscribers), clock);
@@ -153,7 +153,7 @@
     }
 
     /// Lets the host bring the calls of other control processes.
-    pub fn connect(self: &Rc<Self>) {
+    pub fn register_handlers(self: &Rc<Self>) {
         let process = Rc::downgrade(self);
         self.host().set_call_handler(move |bytes| {
             let process = process.upgrade();
--- a/crates/control/src/process/owner_tasks.rs
+++ b/crates/control/src/process/owner_tasks.rs
@@ -15,7 +15,7 @@
 
 /// Message of the log line that names a command to the membership or to the store map which the owner of shard 0 decided
 /// on, with the command in the field `command`.
-pub const OWNER_DECISION_MESSAGE: &str = "the owner of shard 0 decided";
+pub const OWNER_DECISION_MESSAGE: &str = "proposing a command as the owner of shard 0";
 
 /// The periodic task of owners.
 pub(super) struct OwnerTasks {
--- a/crates/control/src/run.rs
+++ b/crates/control/src/run.rs
@@ -39,7 +39,7 @@
         // What is on disk is read again at the next start.
         source = control.process().host().failure() => return Err(ControlError::Disk { source }),
     }
-    control.end().await;
+    control.shut_down().await;
     Ok(())
 }
 
@@ -81,7 +81,7 @@
 
     /// Leaves the groups if there are more members than needed, transfers the owned shards, sends subscribers to other
     /// processes and lets calls in flight end.
-    pub async fn end(mut self) {
+    pub async fn shut_down(mut self) {
         self.process.membership().leave(self.grace.mul_f64(LEAVE_FRACTION)).await;
         let _ = timeout(TRANSFER_TIMEOUT, self.process.host().transfer_leadership()).await;
         self.process.stop();
@@ -106,12 +106,12 @@
     let options = ProcessOptions {
         node,
         hosts_lost: max_losses,
-        seeds: settings.seed_nodes.iter().collect::<BTreeSet<_>>().len(),
+        seed_count: settings.seed_nodes.iter().collect::<BTreeSet<_>>().len(),
         store_layout: store_layout(settings),
         heartbeat: settings.heartbeat,
     };
     let process = ControlProcess::new(options, host, shards);
-    process.connect();
+    process.register_handlers();
     Ok(process)
 }
 
--- a/crates/control/tests/observability.rs
+++ b/crates/control/tests/observability.rs
@@ -81,7 +81,7 @@
         let api = [machine.api()];
         assert_eq!(put_configuration(&api, 0, &configuration(3, 500)).await, 200);
         assert_eq!(heartbeat(&api, "a", "s", "ready", 1).await, 200);
-        control.end().await;
+        control.shut_down().await;
         let folder = machine.settings.data_dir.clone().expect("a folder");
         let disk = ReadOnlyDisk::new();
         let directory = DataDirectory::open_on(Arc::new(disk.clone()), &folder).expect("a folder");
--- a/crates/control/tests/tier.rs
+++ b/crates/control/tests/tier.rs
@@ -144,10 +144,10 @@
         let all = addresses(&machines);
         assert_eq!(put_configuration(&all, 0, &configuration(1, 500)).await, 200);
         let owner = owner_of_configuration(&controls).expect("a process owns the configuration");
-        controls.remove(owner).end().await;
+        controls.remove(owner).shut_down().await;
         assert_eq!(put_configuration(&all, 1, &configuration(4, 500)).await, 200);
         for control in controls {
-            control.end().await;
+            control.shut_down().await;
         }
         let _controls = start_all(&machines).await;
         assert_eq!(read_configuration(&all).await.body, configuration(4, 500));
@@ -163,7 +163,7 @@
         let all = addresses(&machines);
         assert_eq!(put_configuration(&all, 0, &configuration(1, 500)).await, 200);
         let old = controls[0].process().host().identity();
-        controls.remove(0).end().await;
+        controls.remove(0).shut_down().await;
         machines[0].wipe();
         let back = machines[0].start().await;
         let new = back.process().host().identity();
@@ -180,7 +180,7 @@
         assert_eq!(read_configuration(&all[..1]).await.body, configuration(1, 500));
         wait_for_voters(&controls[0], &mut gatekeeper, &[&controls[0], &controls[1], &back]).await;
         // With that one complete again, another may be lost.
-        controls.remove(0).end().await;
+        controls.remove(0).shut_down().await;
         assert_eq!(put_configuration(&all, 1, &configuration(2, 500)).await, 200);
         assert_eq!(read_configuration(&all[..1]).await.body, configuration(2, 500));
     });
@@ -193,7 +193,7 @@
         let mut controls = start_all(&machines[..3]).await;
         let all = addresses(&machines);
         assert_eq!(put_configuration(&all[..3], 0, &configuration(1, 500)).await, 200);
-        controls.remove(0).end().await;
+        controls.remove(0).shut_down().await;
         let new = machines[3].start().await;
         let mut gatekeeper = FeedCaller::gatekeeper(machines[1].feed(), "edge-1").await;
         let replaced = |change: &Change| match change {
@@ -205,7 +205,7 @@
         };
         gatekeeper.wait_for(replaced).await;
         wait_for_voters(&controls[0], &mut gatekeeper, &[&controls[0], &controls[1], &new]).await;
-        controls.remove(0).end().await;
+        controls.remove(0).shut_down().await;
         assert_eq!(put_configuration(&all[2..], 1, &configuration(2, 500)).await, 200);
     });
 }
@@ -221,7 +221,7 @@
         let answer = order.await.expect("it answers");
         assert_eq!(answer.status, 503);
         assert!(begun.elapsed().as_millis() < 1000);
-        alone.end().await;
+        alone.shut_down().await;
     });
 }
 
@@ -246,7 +246,7 @@
         gatekeeper.wait_for(names(&["core-1", "core-2", "core-3", "core-4"])).await;
         let dropped = controls.remove(3);
         let identity = dropped.process().host().identity();
-        dropped.end().await;
+        dropped.shut_down().await;
         gatekeeper.wait_for(names(&["core-1", "core-2", "core-3"])).await;
         let back = machines[3].start().await;
         assert_eq!(back.process().host().identity(), identity);
@@ -264,7 +264,7 @@
         assert_eq!(put_configuration(&all, 0, &configuration(1, 500)).await, 200);
         let mut gatekeeper = FeedCaller::gatekeeper(machines[0].feed(), "edge-1").await;
         gatekeeper.next().await;
-        let ending = tokio::task::spawn_local(controls.remove(0).end());
+        let ending = tokio::task::spawn_local(controls.remove(0).shut_down());
         while gatekeeper.next().await != FeedUpdate::Unavailable {}
         ending.await.expect("it ends");
         assert_eq!(put_configuration(&all[1..], 1, &configuration(2, 500)).await, 200);
--- a/lab/src/tier/fault.rs
+++ b/lab/src/tier/fault.rs
@@ -19,7 +19,7 @@
 /// How long an order may take.
 pub const ORDER_LIMIT: Duration = Duration::from_secs(6);
 /// What the owner of the configuration logs once it has decided something.
-const OWNER_LOG: &str = "the owner of shard 0 decided";
+const OWNER_LOG: &str = "proposing a command as the owner of shard 0";
 /// Faults of workers, of which one is drawn.
 const WORKER_FAULTS: [Fault; 6] = [
     Fault::LoseAnswer,
