--- a/crates/control/src/calls.rs
+++ b/crates/control/src/calls.rs
@@ -1,4 +1,4 @@
-//! Requests between control processes, apart from the replication of their shards.
+//! Remote calls between control processes, other than the replication messages of the shards.
 #![expect(missing_docs, reason = "the derived resolvers have no docs; every item written here has")]
 
 use opalrun_replication::LogIndex;
@@ -8,121 +8,124 @@
 };
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// A request to another control process.
+/// A remote call to another control process.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub enum ControlCall {
-    /// To the owner of a shard: commit this command.
+    /// Asks the owner of a shard to commit a command. Answered by [`ControlAnswer::Proposed`].
     Propose {
-        /// The shard.
+        /// Shard that the command changes.
         shard: Shard,
-        /// The encoded command.
+        /// Encoded command of that shard's state machine.
         command: Vec<u8>,
     },
-    /// To the owner of a shard: the commit index that a linearizable read has to wait for (Raft dissertation, 6.4).
+    /// Asks the owner of a shard for the commit index that a linearizable read has to wait for (Raft dissertation,
+    /// section 6.4). Answered by [`ControlAnswer::Offset`].
     ReadIndex {
-        /// The shard.
+        /// Shard to read.
         shard: Shard,
     },
-    /// Answered once the state holds the command of an index.
+    /// Waits until the receiver has applied a shard's log up to an index.
     AwaitApplied {
-        /// The shard.
+        /// Shard whose log is waited for.
         shard: Shard,
-        /// The index.
+        /// Last log entry that has to be applied.
         index: LogIndex,
-        /// Milliseconds after which it is answered in any case.
+        /// Milliseconds after which the call is answered in any case.
         limit_ms: u64,
     },
-    /// Answered once the gatekeepers that subscribe here have a configuration in force.
+    /// Waits until all gatekeepers that subscribe at the receiver have put a configuration in force.
     AwaitGeneration {
-        /// The generation.
+        /// Generation of the configuration.
         generation: Generation,
-        /// Milliseconds after which it is answered in any case.
+        /// Milliseconds after which the call is answered in any case.
         limit_ms: u64,
     },
-    /// To the owner of a shard of sessions: heartbeats of these workers arrived.
+    /// Reports to the owner of a session shard that heartbeats of these workers were received.
     RenewSessions {
-        /// The shard.
+        /// Shard that holds the sessions.
         shard: Shard,
-        /// The ids of the workers.
+        /// Ids of the workers.
         ids: Vec<String>,
     },
-    /// To the owner of shard 0: when these stores were last heard from.
+    /// Reports to the owner of shard 0 when stores last contacted the sender.
     StoreContacts {
-        /// The stores.
+        /// Last contact of each store.
         contacts: Vec<StoreContact>,
     },
-    /// To the owner of shard 0: how many gatekeepers subscribe here.
+    /// Reports to the owner of shard 0 how many gatekeepers subscribe at the sender. Answered by the total over all
+    /// control processes, [`ControlAnswer::Gatekeepers`].
     Gatekeepers {
-        /// The identity of the process that counted.
+        /// Identity of the sender.
         from: NodeIdentity,
-        /// How many.
+        /// Number of gatekeepers that subscribe at the sender.
         count: u32,
     },
-    /// To the owner of shard 0: requests that failed at workers, by the gatekeepers that reported them. Answered by the
-    /// suspects over the whole tier.
+    /// Reports to the owner of shard 0 the requests that failed at workers, by the gatekeeper that reported them.
+    /// Answered by the workers that are suspected to have failed, [`ControlAnswer::Suspects`].
     WorkerFailures(Vec<GatekeeperReport>),
-    /// To any member: this control process asks to join.
+    /// Asks any member to admit this control process.
     Join(ControlNode),
-    /// Which gatekeepers subscribe there.
+    /// Asks which gatekeepers subscribe at the receiver.
     Subscribers,
-    /// To the owner of a shard: who has a vote in its group, once the latest change of that is committed.
+    /// Asks the owner of a shard for the voters of its group. Answered by [`ControlAnswer::Voters`] once the latest
+    /// membership change is committed, before that by [`ControlAnswer::NotOwner`].
     Voters {
-        /// The shard.
+        /// Shard whose group is meant.
         shard: Shard,
     },
 }
 
-/// A store and how long ago it was heard from.
+/// The last contact of a store.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoreContact {
-    /// The identity of the store.
+    /// Identity of the store.
     pub identity: NodeIdentity,
-    /// Milliseconds since it was heard from.
+    /// Milliseconds since its last message.
     pub age_ms: u64,
 }
 
-/// The failures at workers that one gatekeeper reported.
+/// Failed requests at workers, as one gatekeeper reported them.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, Eq)]
 pub struct GatekeeperReport {
-    /// Distinguishes gatekeepers: a hash of the name of the machine.
+    /// Identifies the gatekeeper: a hash of its machine's name.
     pub reporter: u64,
-    /// The failures, by worker.
+    /// Number of failed requests of each worker.
     pub failures: Vec<WorkerFailures>,
 }
 
-/// A gatekeeper that subscribes at a control process.
+/// A gatekeeper that subscribes to the change feed of a control process.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, Eq)]
 pub struct SubscribedGatekeeper {
-    /// The name of its machine.
+    /// Name of its machine.
     pub node_name: String,
-    /// The generation of the configuration in force there.
+    /// Generation of the configuration in force at the gatekeeper.
     pub generation: Generation,
 }
 
 /// The answer to a [`ControlCall`].
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, Eq)]
 pub enum ControlAnswer {
-    /// The command is committed.
+    /// The proposed command is committed.
     Proposed {
-        /// Its index.
+        /// Index of the command in the shard's log.
         index: LogIndex,
-        /// The encoded outcome.
+        /// Encoded outcome, as the state machine returned it.
         outcome: Vec<u8>,
     },
-    /// The process does not own the shard; nothing was done.
+    /// The process called does not own the shard and did nothing.
     NotOwner,
-    /// The process doesn't know, or can't do it now.
+    /// The process called can't carry out the call now, or the outcome is unknown.
     Unavailable,
-    /// The commit index that a linearizable read has to wait for.
+    /// Commit index that a linearizable read has to wait for.
     Offset(LogIndex),
-    /// Gatekeepers over the whole tier.
+    /// Number of gatekeepers in the whole tier.
     Gatekeepers(u32),
-    /// Workers that are suspected.
+    /// Ids of the workers that are suspected to have failed.
     Suspects(Vec<String>),
-    /// Done.
+    /// The call was carried out.
     Done,
-    /// The gatekeepers that subscribe there.
+    /// Gatekeepers that subscribe at the process called.
     Subscribers(Vec<SubscribedGatekeeper>),
-    /// Identities of voters.
+    /// Identities of the group's voters.
     Voters(Vec<NodeIdentity>),
 }
--- a/crates/control/src/error.rs
+++ b/crates/control/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors that keep a control process from starting, or end it.
+//! Errors that prevent a control process from starting or terminate it.
 
 use crate::host::HostFailure;
 use opalrun_net::NetError;
@@ -6,40 +6,40 @@
 use snafu::Snafu;
 use std::{io, net::SocketAddr, sync::Arc};
 
-/// Why a control process can't start, or has to end.
+/// Why a control process can't start or has to terminate.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ControlError {
-    /// The settings lack a key that the role needs.
-    #[snafu(display("{}: {key}: missing, but a control process needs it", ResultCode::SETTINGS_INVALID))]
+    /// The settings lack a key that the control role requires.
+    #[snafu(display("{}: {key}: missing, but required by the control role", ResultCode::SETTINGS_INVALID))]
     Missing {
-        /// The key.
+        /// Name of the missing key.
         key: &'static str,
     },
-    /// The address for workers and the operator can't be listened on.
+    /// The HTTP server for workers and the operator can't listen on its address.
     #[snafu(display("can't listen on {address}: {source}"))]
     Listen {
-        /// The address.
+        /// Address that can't be bound.
         address: SocketAddr,
-        /// The error of the operating system.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The address of the feed can't be listened on.
-    #[snafu(display("the feed: {source}"))]
+    /// The change feed can't listen on its address.
+    #[snafu(display("can't start the change feed: {source}"))]
     Feed {
-        /// The error of the listener.
+        /// Error of the listener.
         source: NetError,
     },
-    /// The replicated state can't be opened.
-    #[snafu(display("the replicated state: {source}"))]
+    /// The replicated host can't be started.
+    #[snafu(display("can't open the replicated state: {source}"))]
     Host {
-        /// What is wrong with it.
+        /// Why the host can't be started.
         source: crate::host::HostError,
     },
-    /// The disk has failed while the process ran.
-    #[snafu(display("the disk: {source}"))]
+    /// The host has failed at runtime: a write to the disk failed, or a received snapshot can't be decoded.
+    #[snafu(display("the replicated state has failed: {source}"))]
     Disk {
-        /// The operation that failed.
+        /// What failed.
         source: Arc<HostFailure>,
     },
 }
--- a/crates/control/src/inspect.rs
+++ b/crates/control/src/inspect.rs
@@ -1,5 +1,5 @@
-//! What a control process has stored on its disk, for people: numbers and sizes, never contents. The fields are named as
-//! in the JSON of `opalrun state`.
+//! Offline inspection of a control process's data directory: counts and sizes, never contents. The field names are
+//! the keys of the JSON that `opalrun state` prints.
 
 use crate::{
     configuration_shard::ConfigurationShard,
@@ -21,140 +21,140 @@
 use snafu::Snafu;
 use std::path::PathBuf;
 
-/// What a control process has stored on its disk.
+/// Summary of a control process's data directory.
 #[derive(Facet, Debug, Clone, PartialEq, Eq)]
 pub struct ControlState {
-    /// Its identity.
+    /// Identity of the control process.
     pub identity: NodeIdentity,
-    /// Number of the members that its groups began with; 0 in a process that joined later.
+    /// Number of members with which the groups were bootstrapped; 0 in a process that joined later.
     pub first_members: u64,
-    /// Bytes of the journal of all groups.
+    /// Size in bytes of the journal, which all groups share.
     pub journal_bytes: u64,
-    /// The generation of the configuration in the snapshot; 0 for none.
+    /// Generation of the configuration in the snapshot; 0 if there is none.
     pub snapshot_generation: Generation,
-    /// The generation after all entries, which need not be committed; 0 for none.
+    /// Generation of the configuration after all log entries, committed or not; 0 if there is none.
     pub log_generation: Generation,
-    /// The epoch of the store map after all entries.
+    /// Epoch of the store map after all log entries, committed or not.
     pub store_epoch: Epoch,
-    /// The groups.
+    /// One element for each replicated group.
     pub shards: Vec<ShardState>,
 }
 
-/// One replicated group on disk.
+/// Stored state of one replicated group.
 #[derive(Facet, Debug, Clone, PartialEq, Eq)]
 pub struct ShardState {
-    /// The shard's number; 0 holds the configuration, the others sessions.
+    /// Number of the shard: 0 holds the configuration, the others hold worker sessions.
     pub shard: Shard,
-    /// The newest term known.
+    /// Current term, as stored.
     pub term: Term,
-    /// Whom the process voted for in that term.
+    /// Candidate that the process voted for in that term.
     pub vote: Option<NodeIdentity>,
-    /// The last entry that the snapshot covers; 0 without one.
+    /// Index of the last log entry that the snapshot covers; 0 without a snapshot.
     pub snapshot_index: LogIndex,
-    /// That entry's term.
+    /// Term of the last log entry that the snapshot covers; 0 without a snapshot.
     pub snapshot_term: Term,
-    /// Bytes of the snapshot.
+    /// Size of the snapshot's state in bytes.
     pub snapshot_bytes: u64,
-    /// Entries in the journal after the snapshot.
+    /// Number of log entries after the snapshot.
     pub entries: u64,
-    /// About how many bytes they take.
+    /// Approximate size in bytes of the log entries after the snapshot.
     pub entry_bytes: u64,
-    /// The last entry.
+    /// Index of the last log entry.
     pub last_index: LogIndex,
-    /// Its term.
+    /// Term of the last log entry.
     pub last_term: Term,
-    /// Sessions of workers after all entries.
+    /// Number of worker sessions after all log entries, committed or not.
     pub workers: u64,
-    /// The newest members, committed or not.
+    /// Members of the group by the newest membership in the log, committed or not.
     pub members: Vec<MemberState>,
 }
 
 /// A member of a group.
 #[derive(Facet, Debug, Clone, PartialEq, Eq)]
 pub struct MemberState {
-    /// Its identity.
+    /// Identity of the member's control process.
     pub identity: NodeIdentity,
-    /// Where the others reach it.
+    /// Peer address of the member, for the links between control processes.
     pub address: String,
-    /// Whether it votes.
+    /// Whether the member is a voter; otherwise it is a learner.
     pub voter: bool,
 }
 
-/// Something that is wrong with the state on disk.
+/// An inconsistency of the stored state.
 #[derive(Debug, Snafu)]
 pub enum Problem {
-    /// The folder has no state of a control process.
-    #[snafu(display("{}: {}: no control process has kept its state here", ResultCode::STATE_MISSING, path.display()))]
+    /// The data directory has no state of a control process.
+    #[snafu(display("{}: {}: no control process has stored state in this folder", ResultCode::STATE_MISSING, path.display()))]
     NoState {
-        /// The folder.
+        /// Path of the data directory.
         path: PathBuf,
     },
-    /// The state can't be read.
+    /// The stored state can't be read.
     #[snafu(display("{source}"))]
     Unreadable {
-        /// Why.
+        /// Error of the host's storage.
         source: HostError,
     },
-    /// The term of an entry is lower than that of the entry before it.
+    /// The term of a log entry is lower than that of the entry before it.
     #[snafu(display(
-        "{}: {}: the term falls at entry {index}",
+        "{}: {}: log entry {index} has a lower term than the entry before it",
         ResultCode::STATE_INCONSISTENT,
         shard_name(*shard)
     ))]
     DecreasingTerm {
-        /// The shard.
+        /// Shard of the log.
         shard: Shard,
-        /// The index of the entry.
+        /// Index of the entry with the lower term.
         index: LogIndex,
     },
-    /// An entry has a newer term than the newest one known.
+    /// A log entry has a higher term than the stored current term.
     #[snafu(display(
-        "{}: {}: an entry has term {term}, the newest known is {known}",
+        "{}: {}: a log entry has term {term}, but the stored current term is {current}",
         ResultCode::STATE_INCONSISTENT,
         shard_name(*shard)
     ))]
-    UnknownTerm {
-        /// The shard.
+    TermAboveCurrent {
+        /// Shard of the log.
         shard: Shard,
-        /// The newest term of an entry.
+        /// Highest term of an entry in the log.
         term: Term,
-        /// The newest term known.
-        known: Term,
+        /// Stored current term.
+        current: Term,
     },
-    /// The state in a snapshot can't be decoded.
+    /// The state in a snapshot file can't be decoded.
     #[snafu(display(
-        "{}: {}: the state in the snapshot can't be read",
+        "{}: {}: the state in the snapshot can't be decoded",
         ResultCode::DISK_CORRUPT,
         shard_name(*shard)
     ))]
     UnreadableSnapshot {
-        /// The shard.
+        /// Shard of the snapshot.
         shard: Shard,
     },
-    /// A command in the log can't be decoded.
+    /// The command of a log entry can't be decoded.
     #[snafu(display(
-        "{}: {}: the command of entry {index} can't be read",
+        "{}: {}: the command of log entry {index} can't be decoded",
         ResultCode::DISK_CORRUPT,
         shard_name(*shard)
     ))]
     UnreadableCommand {
-        /// The shard.
+        /// Shard of the log.
         shard: Shard,
-        /// The index of the entry.
+        /// Index of the entry.
         index: LogIndex,
     },
 }
 
-/// What was found, with everything that is wrong about it.
+/// Result of an inspection.
 #[derive(Debug)]
 pub struct Inspection {
-    /// The state, as far as it can be read.
+    /// Summary of the stored state; `None` if it can't be read.
     pub state: Option<ControlState>,
-    /// What is wrong; each text begins with a result code.
+    /// Inconsistencies found; each message begins with a result code.
     pub problems: Vec<Problem>,
 }
 
-/// Inspects a data directory. It changes nothing if the directory's disk is read-only.
+/// Inspects a data directory. Writes nothing if the directory was opened on a read-only disk.
 #[must_use]
 pub fn inspect(directory: &DataDirectory) -> Inspection {
     match stored_state::read(directory, SHARDS) {
@@ -238,7 +238,7 @@
     members.iter().map(describe).collect()
 }
 
-/// Terms never fall along a log, and none is above the newest term known.
+/// Checks that terms never decrease along a log and that none is above the stored current term.
 fn check_order(shard: Shard, found: &StoredShard, problems: &mut Vec<Problem>) {
     let mut term = found.log.base.last_included_term;
     for entry in &found.log.entries {
@@ -247,10 +247,10 @@
         }
         term = term.max(entry.term);
     }
-    let known = found.log.hard_state.term;
-    // A snapshot from another process may be newer than the last term written: its term is taken over at the start.
-    if !found.log.entries.is_empty() && term > known {
-        problems.push(Problem::UnknownTerm { shard, term, known });
+    let current = found.log.hard_state.term;
+    // An installed snapshot may have a higher term than the stored current term: the replica adopts it at its start.
+    if !found.log.entries.is_empty() && term > current {
+        problems.push(Problem::TermAboveCurrent { shard, term, current });
     }
 }
 
@@ -261,7 +261,7 @@
     }
 }
 
-/// Applies the entries. A command that can't be read has no outcome.
+/// Applies the commands of log entries. A command without an outcome could not be decoded.
 fn replay(shards: &Shards, shard: Shard, entries: &[Entry], problems: &mut Vec<Problem>) {
     for entry in entries {
         if let Payload::Command(command) = &entry.payload
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,8 +1,9 @@
-//! The control process: it knows the machines and workers, keeps the operator's configuration and notifies gatekeepers.
+//! The control process: tracks machines and workers, replicates the operator's configuration and publishes changes to
+//! gatekeepers.
 //!
-//! Its state is divided into [`shards`], each a replicated group of its own. The state machines
-//! ([`configuration_shard`], [`sessions`], [`store_map`]) read no clock and do no I/O; [`process`] joins them with the
-//! replicated host, the HTTP interface ([`api`]) and the change feed ([`feed`]).
+//! Its state is divided into [`shards`], each replicated by a Raft group of its own. The state machines
+//! ([`configuration_shard`], [`sessions`], [`store_map`]) read no clock and do no I/O; [`process`] connects them to
+//! the replicated host ([`host`]), the HTTP interface ([`api`]) and the change feed ([`feed`]).
 #![forbid(unsafe_code)]
 
 pub mod api;
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of a control process for scrapers: all are read when a scraper asks.
+//! Metrics of a control process. All values are read at the time of the scrape.
 
 use crate::{process::ControlProcess, shards::all_shards};
 use opalrun_metrics::Scrape;
@@ -24,7 +24,7 @@
     scrape.gauge("disk_bytes", "Bytes of the journal", process.host().journal_bytes() as f64);
 }
 
-/// The configuration and the store map, as far as this process has applied shard 0.
+/// Adds the metrics of the configuration and the store map, as of the last entry of shard 0 that is applied here.
 fn scrape_configuration_shard(process: &ControlProcess, scrape: &mut Scrape) {
     process.shards().with_configuration(|shard| {
         let generation = shard.generation().0 as f64;
@@ -37,7 +37,7 @@
     });
 }
 
-/// One replicated group, and the sessions of workers that its shard holds.
+/// Adds the metrics of one replicated group, and the number of worker sessions in its shard.
 fn scrape_group(process: &ControlProcess, shard: Shard, scrape: &mut Scrape) {
     let host = process.host();
     let labels = [("shard", shard.to_string())];
--- a/crates/control/src/process/call_handler.rs
+++ b/crates/control/src/process/call_handler.rs
@@ -1,4 +1,4 @@
-//! Answers to the calls of other control processes: each call goes to the concern that it is about.
+//! Dispatches the remote calls of other control processes to the services that carry them out.
 
 use super::{
     client::{ControlClient, NotOwner, ProposalResult},
@@ -20,7 +20,7 @@
 };
 use std::{rc::Rc, time::Duration};
 
-/// Answers calls.
+/// Answers the remote calls of other control processes.
 pub(super) struct CallHandler {
     pub(super) client: Rc<ControlClient>,
     pub(super) worker_sessions: Rc<WorkerSessions>,
@@ -33,7 +33,7 @@
 }
 
 impl CallHandler {
-    /// Answers an encoded call with an encoded answer.
+    /// Decodes a call, carries it out and returns the encoded answer.
     pub(super) async fn answer_bytes(&self, bytes: &[u8]) -> Vec<u8> {
         let answer = match decode::<ControlCall>(bytes) {
             Ok(call) => self.answer(call).await,
--- a/crates/control/src/process/client.rs
+++ b/crates/control/src/process/client.rs
@@ -1,4 +1,4 @@
-//! How the parts of a control process reach the owners of shards and the other control processes.
+//! Client for the owners of shards and for the other control processes, used by all services of a control process.
 
 use crate::{
     calls::{ControlAnswer, ControlCall},
@@ -18,50 +18,51 @@
     time::{Instant, sleep, timeout, timeout_at},
 };
 
-/// An operation that takes longer is answered as unavailable. Callers go to another process after a second.
+/// Time limit of a commit or of a synchronization; afterwards it fails as unavailable. Callers time out after a
+/// second and retry at another process.
 const OPERATION_TIMEOUT: Duration = Duration::from_millis(750);
-/// Delay before an operation looks up the owner of a shard again.
+/// Delay before an operation is retried at the then current owner of the shard.
 const OWNER_RETRY_DELAY: Duration = Duration::from_millis(40);
 
-/// How long a periodic report to the owner of a shard may take.
+/// Time limit of a periodic report to the owner of a shard.
 pub(super) const REPORT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The operation is not possible now, or its outcome is unknown: the caller should retry at another process.
+/// The operation is not possible now, or its outcome is unknown. The caller should retry at another process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Unavailable;
 
-/// This process does not own the shard that a call is meant for.
+/// This process does not own the shard that a call addresses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct NotOwner;
 
-/// A command that is committed.
+/// The result of a committed command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct CommittedCommand {
-    /// Its index in the log of the shard.
+    /// Index of the command in the shard's log.
     pub(crate) index: LogIndex,
-    /// Its encoded outcome.
+    /// Encoded outcome, as the state machine returned it.
     pub(crate) outcome: Vec<u8>,
 }
 
-/// The result of one attempt to have a command committed.
+/// The result of one attempt to commit a command.
 pub(super) enum ProposalResult {
-    /// It is committed.
+    /// The command is committed.
     Committed(CommittedCommand),
-    /// Another process owns the shard, or none that is known.
+    /// The process asked does not own the shard, or no owner is known.
     NotOwner,
-    /// It may be committed later.
+    /// The outcome is unknown: the command may still be committed.
     Unknown,
 }
 
-/// The owner of a shard, as far as this process knows.
+/// The owner of a shard, as known to this process.
 pub(super) enum ShardOwner {
-    /// This process itself.
+    /// This process owns the shard.
     ThisProcess,
-    /// The control process of this identity.
+    /// The control process with this identity owns the shard.
     Peer(NodeIdentity),
 }
 
-/// Access to the replicated shards, at whichever control process their owners are.
+/// Gives access to the replicated shards, independent of which control process owns them.
 pub(crate) struct ControlClient {
     host: Rc<Host>,
     shards: Shards,
@@ -72,53 +73,53 @@
         Rc::new(Self { host, shards })
     }
 
-    /// The replicated host.
+    /// Returns the replicated host.
     pub(super) fn host(&self) -> &Rc<Host> {
         &self.host
     }
 
-    /// The state of all shards, as far as this process has applied it.
+    /// Returns the state of all shards, as applied at this process.
     pub(super) fn shards(&self) -> &Shards {
         &self.shards
     }
 
-    /// The identity of this process.
+    /// Returns the identity of this process.
     pub(super) fn identity(&self) -> NodeIdentity {
         self.host.identity()
     }
 
-    /// All control processes that are members.
+    /// Returns all control processes in the directory.
     pub(super) fn members(&self) -> Vec<ControlNode> {
         self.shards.with_configuration(|shard| shard.directory().nodes().to_vec())
     }
 
-    /// The identities of the other control processes that are members.
+    /// Returns the identities of the other control processes in the directory.
     pub(super) fn peers(&self) -> Vec<NodeIdentity> {
         let own = self.identity();
         let identities = self.members().into_iter().map(|node| node.identity);
         identities.filter(|identity| *identity != own).collect()
     }
 
-    /// The owner of a shard; `None` where none is known.
+    /// Returns the owner of a shard; `None` if it is not known.
     pub(super) fn owner(&self, shard: Shard) -> Option<ShardOwner> {
         let owner = self.host.owner(shard)?;
         Some(if owner == self.identity() { ShardOwner::ThisProcess } else { ShardOwner::Peer(owner) })
     }
 
-    /// Succeeds where this process owns a shard.
+    /// Checks that this process owns a shard.
     ///
     /// # Errors
-    /// [`NotOwner`] where it does not.
+    /// [`NotOwner`] if it does not.
     pub(super) fn require_ownership(&self, shard: Shard) -> Result<(), NotOwner> {
         if self.host.is_owner(shard) { Ok(()) } else { Err(NotOwner) }
     }
 
-    /// Whether this process owns a shard and is in contact with its quorum.
+    /// Returns whether this process owns a shard and is in contact with its quorum.
     pub(super) fn is_confirmed_owner(&self, shard: Shard) -> bool {
         self.host.is_owner(shard) && self.host.is_fresh(shard)
     }
 
-    /// Calls another control process; `None` where it does not answer in time.
+    /// Calls another control process; returns `None` if it does not answer within `limit`.
     pub(super) async fn call(
         &self,
         identity: NodeIdentity,
@@ -129,8 +130,8 @@
         decode(&answer).ok()
     }
 
-    /// Calls all other control processes while `local` does the same here, and waits for all of them, but not longer than
-    /// `limit`.
+    /// Calls all other control processes and concurrently runs `local` as this process's part, and waits for all of
+    /// them, but at most for `limit`.
     pub(super) async fn broadcast(
         self: &Rc<Self>,
         call: ControlCall,
@@ -150,10 +151,10 @@
         let _ = timeout(limit, all).await;
     }
 
-    /// Has a command committed by the owner of a shard.
+    /// Commits a command through the owner of a shard.
     ///
     /// # Errors
-    /// Where that was not possible in time. The command may still be committed later.
+    /// [`Unavailable`] if the commit is not confirmed in time. The command may still be committed later.
     pub(crate) async fn commit(
         &self,
         shard: Shard,
@@ -189,13 +190,14 @@
             Some(ControlAnswer::Proposed { index, outcome }) => {
                 ProposalResult::Committed(CommittedCommand { index, outcome })
             }
-            // A call that was not answered may have been carried out. Every command is idempotent.
+            // A call that was not answered may have been carried out; the retry is safe because every command is
+            // idempotent.
             Some(ControlAnswer::NotOwner) | None => ProposalResult::NotOwner,
             Some(_) => ProposalResult::Unknown,
         }
     }
 
-    /// Proposes a command to a shard that this process owns.
+    /// Proposes a command to the local replica of a shard, which must be the owner.
     pub(super) async fn propose_here(&self, shard: Shard, command: Vec<u8>) -> ProposalResult {
         match self.host.propose(shard, command).await {
             Ok(Committed { index, reply }) => {
@@ -206,10 +208,10 @@
         }
     }
 
-    /// Has a command to shard 0 committed.
+    /// Commits a command through the owner of shard 0.
     ///
     /// # Errors
-    /// As [`Self::commit`].
+    /// As [`Self::commit`], or if the outcome can't be decoded.
     pub(crate) async fn commit_configuration(
         &self,
         command: &ConfigurationCommand,
@@ -218,10 +220,10 @@
         decode(&committed.outcome).map_err(|_| Unavailable)
     }
 
-    /// Waits until this process has applied everything of a shard that was committed before the call.
+    /// Waits until this process has applied all entries of a shard that were committed before the call.
     ///
     /// # Errors
-    /// Where no majority confirms that in time.
+    /// [`Unavailable`] if no majority confirms the commit index in time.
     pub(super) async fn synchronize(&self, shard: Shard) -> Result<(), Unavailable> {
         let deadline = Instant::now() + OPERATION_TIMEOUT;
         timeout_at(deadline, self.synchronize_until(shard, deadline)).await.unwrap_or(Err(Unavailable))
@@ -240,7 +242,8 @@
         }
     }
 
-    /// The offset that a read of a shard must have seen, as the owner of the shard confirms it.
+    /// Returns the log index up to which a linearizable read of a shard must have applied, as confirmed by the
+    /// shard's owner.
     async fn read_index(&self, shard: Shard, limit: Duration) -> Option<LogIndex> {
         match self.owner(shard)? {
             ShardOwner::ThisProcess => self.read_index_here(shard).await.ok(),
@@ -252,16 +255,17 @@
         }
     }
 
-    /// The offset that a read of a shard must have seen, where this process owns the shard.
+    /// Returns the log index up to which a linearizable read of a shard must have applied. This process must own the
+    /// shard.
     ///
     /// # Errors
-    /// Where no majority confirms that this process still owns the shard.
+    /// [`Unavailable`] if no majority confirms that this process still owns the shard.
     pub(super) async fn read_index_here(&self, shard: Shard) -> Result<LogIndex, Unavailable> {
         self.host.read_index(shard).await.map_err(|_| Unavailable)?;
         Ok(log_index(self.shards.offset(shard)))
     }
 
-    /// Waits until this process has applied a shard up to `index`, but not longer than `limit`.
+    /// Waits until this process has applied a shard's log up to `index`, but at most for `limit`.
     pub(super) async fn wait_until_applied(&self, shard: Shard, index: LogIndex, limit: Duration) {
         let _ = timeout(limit, self.shards.wait_for(shard, index)).await;
     }
--- a/crates/control/src/process/clock.rs
+++ b/crates/control/src/process/clock.rs
@@ -1,20 +1,20 @@
-//! The steady clock of a control process.
+//! The monotonic clock of a control process.
 
 use std::time::{Duration, Instant};
 
-/// A clock that starts at zero with the process and never goes back.
+/// A monotonic clock that starts at zero with the process.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct SteadyClock {
+pub(super) struct MonotonicClock {
     started: Instant,
 }
 
-impl SteadyClock {
-    /// A clock that starts now.
+impl MonotonicClock {
+    /// Starts a clock at zero.
     pub(super) fn start() -> Self {
         Self { started: Instant::now() }
     }
 
-    /// The time since the start.
+    /// Returns the time since the start.
     pub(super) fn now(&self) -> Duration {
         self.started.elapsed()
     }
--- a/crates/control/src/process/configuration.rs
+++ b/crates/control/src/process/configuration.rs
@@ -1,9 +1,9 @@
-//! Changes and reads of the operator's configuration.
+//! Writes and reads of the operator's configuration.
 
 use super::{
     answer_deadline::AnswerDeadline,
     client::{ControlClient, Unavailable},
-    clock::SteadyClock,
+    clock::MonotonicClock,
 };
 use crate::{
     calls::ControlCall,
@@ -16,54 +16,54 @@
 use std::{cell::RefCell, rc::Rc, time::Duration};
 use tokio::time::timeout;
 
-/// How long the acknowledgement of a configuration waits for the gatekeepers to have it in force.
+/// Maximum time for which the acknowledgement of a configuration waits for the gatekeepers to put it in force.
 const IN_FORCE_LIMIT: Duration = Duration::from_millis(400);
 
-/// The result of a change of the configuration.
+/// The result of a write of the configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ConfigurationAnswer {
-    /// It is, or was, in force.
+    /// The configuration is committed, by this write or by an earlier one with the same content.
     Accepted,
-    /// Another generation is current.
+    /// The current generation is not the one that the write was conditional on.
     Conflict {
-        /// The current generation.
+        /// Current generation.
         current: Generation,
     },
-    /// Its generation is not above the current one.
+    /// The generation of the new configuration is not higher than the current one.
     NotAbove {
-        /// Its generation.
+        /// Generation of the rejected configuration.
         generation: Generation,
-        /// The current generation.
+        /// Current generation.
         current: Generation,
     },
-    /// It is invalid.
+    /// The configuration is invalid.
     Invalid {
-        /// Why; at least one problem.
+        /// Problems found; at least one.
         problems: Vec<Problem>,
     },
 }
 
-/// The operator's configuration, which shard 0 holds.
+/// Writes and reads the operator's configuration, which is stored in shard 0.
 pub(crate) struct ConfigurationService {
     client: Rc<ControlClient>,
-    /// The connections of the feed write it, this service reads it; both run on one thread.
+    /// Written by the connections of the change feed and read by this service, on the same thread.
     subscribers: Rc<RefCell<Subscribers>>,
-    clock: SteadyClock,
+    clock: MonotonicClock,
 }
 
 impl ConfigurationService {
     pub(super) fn new(
         client: Rc<ControlClient>,
         subscribers: Rc<RefCell<Subscribers>>,
-        clock: SteadyClock,
+        clock: MonotonicClock,
     ) -> Rc<Self> {
         Rc::new(Self { client, subscribers, clock })
     }
 
-    /// Puts a configuration in force, as a compare-and-set on the generation `if_match`.
+    /// Replaces the configuration if `if_match` is the current generation (compare-and-set).
     ///
     /// # Errors
-    /// Where it is not clear in time whether it is in force.
+    /// [`Unavailable`] if the outcome is not known in time.
     pub(crate) async fn put(
         self: &Rc<Self>,
         if_match: Generation,
@@ -94,11 +94,11 @@
         }
     }
 
-    /// The newest configuration's body, which is at least as new as any that was acknowledged before the call; `None` where
-    /// there is no configuration yet.
+    /// Returns the body of the newest configuration, at least as new as any that was acknowledged before the call;
+    /// `None` if there is no configuration yet.
     ///
     /// # Errors
-    /// Where no majority confirms it in time.
+    /// [`Unavailable`] if no majority confirms the read in time.
     pub(crate) async fn read(&self) -> Result<Option<Vec<u8>>, Unavailable> {
         self.client.synchronize(CONFIGURATION_SHARD).await?;
         let shards = self.client.shards();
@@ -107,7 +107,8 @@
         }))
     }
 
-    /// Waits a while until the gatekeepers of all control processes have a configuration in force.
+    /// Waits until the gatekeepers that subscribe at any control process have a configuration in force, but at most
+    /// for [`IN_FORCE_LIMIT`] or until the deadline.
     async fn await_in_force(self: &Rc<Self>, generation: Generation, deadline: AnswerDeadline) {
         let limit = deadline.time_left(IN_FORCE_LIMIT);
         let limit_ms = limit.as_millis() as u64;
@@ -120,7 +121,8 @@
             .await;
     }
 
-    /// Waits until the gatekeepers that subscribe here have a configuration in force, but not longer than `limit`.
+    /// Waits until the gatekeepers that subscribe at this process have a configuration in force, but at most for
+    /// `limit`.
     pub(super) async fn wait_until_in_force_here(&self, generation: Generation, limit: Duration) {
         let mut changed = self.subscribers.borrow().changed();
         let wait = async {
--- a/crates/control/src/process/gatekeeper_count.rs
+++ b/crates/control/src/process/gatekeeper_count.rs
@@ -1,9 +1,9 @@
-//! The number of gatekeepers over the whole tier: each control process counts its subscribers, the owner of shard 0 adds
-//! up.
+//! Number of gatekeepers in the whole tier: each control process reports how many subscribe there, and the owner of
+//! shard 0 computes the total.
 
 use super::{
     client::{ControlClient, NotOwner, REPORT_TIMEOUT, ShardOwner},
-    clock::SteadyClock,
+    clock::MonotonicClock,
 };
 use crate::{
     calls::{ControlAnswer, ControlCall},
@@ -17,23 +17,24 @@
     time::Duration,
 };
 
-/// A count that was not renewed for longer is left out.
+/// Time after which a count that was not reported again expires.
 const COUNT_LIFETIME: Duration = Duration::from_secs(3);
 
-/// What one control process counted.
+/// Number of gatekeepers that one control process reported.
 struct ProcessCount {
     gatekeepers: u32,
     counted_at: Duration,
 }
 
-/// The count of gatekeepers. Calls of other processes, the feed and the background tasks share it; all run on one thread.
+/// Counts the gatekeepers. Remote calls, the change feed and the background tasks share it, all on one thread.
 pub(crate) struct GatekeeperCount {
     client: Rc<ControlClient>,
-    /// The connections of the feed write it, this type reads it; both run on one thread.
+    /// Written by the connections of the change feed and read by this type, on the same thread.
     subscribers: Rc<RefCell<Subscribers>>,
-    clock: SteadyClock,
-    /// By the identity of the control process that counted; used while this process owns shard 0.
+    clock: MonotonicClock,
+    /// Latest counts by the identity of the reporting control process; used while this process owns shard 0.
     counts: RefCell<HashMap<NodeIdentity, ProcessCount>>,
+    /// Total that the owner of shard 0 last reported.
     total: Cell<u32>,
 }
 
@@ -41,21 +42,23 @@
     pub(super) fn new(
         client: Rc<ControlClient>,
         subscribers: Rc<RefCell<Subscribers>>,
-        clock: SteadyClock,
+        clock: MonotonicClock,
     ) -> Rc<Self> {
         let (counts, total) = (RefCell::default(), Cell::new(0));
         Rc::new(Self { client, subscribers, clock, counts, total })
     }
 
-    /// Gatekeepers over the whole tier, as last reported by the owner of shard 0.
+    /// Returns the number of gatekeepers in the whole tier, as last reported by the owner of shard 0; 0 before the
+    /// first report.
     pub(crate) fn total(&self) -> u32 {
         self.total.get()
     }
 
-    /// Records what a control process counted, and returns the total. For the owner of shard 0.
+    /// Records the count of one control process and returns the total of all unexpired counts. Called at the owner of
+    /// shard 0.
     ///
     /// # Errors
-    /// [`NotOwner`] where this process does not own shard 0.
+    /// [`NotOwner`] if this process does not own shard 0.
     pub(super) fn record(&self, counted_by: NodeIdentity, gatekeepers: u32) -> Result<u32, NotOwner> {
         self.client.require_ownership(CONFIGURATION_SHARD)?;
         let now = self.clock.now();
@@ -65,7 +68,7 @@
         Ok(counts.values().map(|count| count.gatekeepers).sum())
     }
 
-    /// Reports this process's count to the owner of shard 0 and takes over the total.
+    /// Reports this process's count to the owner of shard 0 and stores the total that it returns.
     pub(super) async fn report(&self) {
         let count = self.subscribers.borrow().gatekeeper_count(self.clock.now());
         if let Some(total) = self.record_at_owner(count).await {
--- a/crates/control/src/process/heartbeat_target.rs
+++ b/crates/control/src/process/heartbeat_target.rs
@@ -1,4 +1,4 @@
-//! Which control process a worker should send its heartbeats to, so that they are spread evenly.
+//! Chooses the control process to which a worker should send its heartbeats, so that they are spread evenly.
 
 use opalrun_wire::{
     feed::{ControlNode, stable_hash},
@@ -6,12 +6,12 @@
 };
 use std::time::Duration;
 
-/// A process that was not heard from for so long is no target.
+/// A process without contact for this long is not chosen.
 const TARGET_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The control process that a worker should send its heartbeats to: of those that were heard from recently, the first in
-/// an order of the worker's own (rendezvous hashing). So each is the target of about as many workers, and when one fails
-/// only its own workers move.
+/// Returns the control process to which a worker should send its heartbeats, by rendezvous hashing over the processes
+/// with recent contact; `None` if there is none. Each process is the target of about the same number of workers, and
+/// when one fails only its workers move.
 pub(super) fn heartbeat_target<'a>(
     worker_id: &str,
     nodes: &'a [ControlNode],
--- a/crates/control/src/process/member_failure_detector.rs
+++ b/crates/control/src/process/member_failure_detector.rs
@@ -1,8 +1,8 @@
-//! Failure detector of the control processes, for the owner of shard 0: which member has failed for so long that it is
-//! dropped. Sans I/O.
+//! Failure detector of the control processes, run by the owner of shard 0: selects the failed member to remove from
+//! the membership. Sans I/O.
 //!
-//! An owner must not judge members by its own absence: when it has just become the owner, was out of contact with the
-//! quorum or did not run for a while, each member gets the full time-out anew.
+//! An owner that was itself unavailable must not conclude that others have failed: after it has become the owner, was
+//! out of contact with the quorum or did not run for a while, the time-out of every member starts again.
 
 use opalrun_wire::{feed::ControlNode, ids::NodeIdentity};
 use std::{collections::HashMap, time::Duration};
@@ -10,39 +10,43 @@
 #[cfg(test)]
 mod tests;
 
-/// A member that was not heard from for longer is dropped if enough others are left.
+/// A member without contact for longer than this is removed if enough others remain.
 const MEMBER_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Longest gap between two evaluations after which this process counts as having run all the while.
+/// Maximum time between two evaluations. After a longer gap this process was suspended, and all time-outs start
+/// again.
 const MAX_EVALUATION_GAP: Duration = Duration::from_secs(1);
 
 /// Detects failed members on behalf of the owner of shard 0.
 #[derive(Debug)]
 pub struct MemberFailureDetector {
     min_members: usize,
+    /// When this owner first observed each member since the last reset.
     first_seen: HashMap<NodeIdentity, Duration>,
     last_evaluation: Option<Duration>,
 }
 
 impl MemberFailureDetector {
-    /// A detector that never lets the membership fall below `min_members`.
+    /// Creates a detector that never reduces the membership below `min_members`.
     #[must_use]
     pub fn new(min_members: usize) -> Self {
         Self { min_members, first_seen: HashMap::new(), last_evaluation: None }
     }
 
-    /// The number of members that always remain.
+    /// Returns the number of members that always remain.
     #[must_use]
     pub fn min_members(&self) -> u16 {
         self.min_members as u16
     }
 
-    /// This process does not own shard 0 or is out of contact with its quorum: everything observed is forgotten.
+    /// Discards all observations. Called while this process does not own shard 0 or is out of contact with its
+    /// quorum.
     pub fn reset(&mut self) {
         self.first_seen.clear();
         self.last_evaluation = None;
     }
 
-    /// The identity of the member to drop, if any. `since_last_contact` gives the time since each identity was last heard from.
+    /// Returns the identity of the member to remove, if any: of several the one without contact for longest.
+    /// `since_last_contact` returns the time since the last message of a member.
     pub fn evaluate(
         &mut self,
         members: &[ControlNode],
@@ -66,7 +70,7 @@
             .map(|(_, identity)| identity)
     }
 
-    /// Records when each member was first seen by this owner, without a gap.
+    /// Records when this owner first observed each member; starts again after a gap between evaluations.
     fn observe(&mut self, members: &[ControlNode], now: Duration) {
         if self.last_evaluation.is_some_and(|at| now.saturating_sub(at) > MAX_EVALUATION_GAP) {
             self.first_seen.clear();
@@ -78,7 +82,8 @@
         }
     }
 
-    /// The time since the last contact with a member, counted at most from when this owner first saw it.
+    /// Returns the time since the last contact with a member, limited to the time for which this owner has observed
+    /// it.
     fn observed_since_contact(
         &self,
         identity: NodeIdentity,
--- a/crates/control/src/process/membership.rs
+++ b/crates/control/src/process/membership.rs
@@ -1,10 +1,10 @@
-//! Membership of control: how a process joins the replica groups, is dropped from them after a failure, and leaves them
-//! before it ends.
+//! Membership of the control processes: a process joins the replicated groups, is removed from them after a failure,
+//! and leaves them before it shuts down.
 //!
-//! A member that just ends counts in every majority until the others drop it after a time-out. If another one loses its
-//! disk in that time, too few are left to agree on anything, for good. So a process that is asked to end, while there are
-//! more members than the tier needs, has itself dropped and stays until every group goes on without it. If it was only to
-//! be restarted, it joins again then, with its disk.
+//! A member that terminates without leaving counts in every majority until the others remove it after a time-out. If
+//! another member loses its disk in that time, the quorum may be lost permanently. So a process that is asked to shut
+//! down while there are more members than the tier requires removes itself from the directory and keeps running until
+//! it is no longer a voter of any group. If it was only restarted, it joins again with the state on its disk.
 
 use super::{
     client::{ControlClient, Unavailable},
@@ -28,31 +28,31 @@
 };
 use tokio::time::{MissedTickBehavior, interval, sleep, timeout};
 
-/// How often a process that is no member, or out of contact with its quorum, sends a join request.
+/// Interval at which a process that is not a member, or is out of contact with its quorum, sends a join request.
 const JOIN_PERIOD: Duration = Duration::from_millis(400);
-/// A process that has been out of contact with its quorum for longer may have been dropped as a member.
+/// A process that has been out of contact with its quorum for longer may have been removed from the membership.
 const MAX_CONTACT_GAP: Duration = Duration::from_secs(2);
-/// How long another control process may take to answer a join request.
+/// Time limit for the answer of another control process to a join request.
 const JOIN_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long another control process may take to report the voters of a group.
+/// Time limit for the answer of another control process to a request for the voters of a group.
 const VOTERS_TIMEOUT: Duration = Duration::from_millis(300);
-/// Interval at which a leaving process checks whether the groups go on without it.
+/// Interval at which a leaving process checks whether it is still a voter of a group.
 const VOTERS_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Delay before a leaving process asks again to be dropped.
+/// Delay before a leaving process retries its removal from the directory.
 const DROP_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The part of this process in the membership of control. The background tasks and the shutdown share it; both run on one
-/// thread.
+/// Manages the membership of this process and, at the owner of shard 0, of the others. The background tasks and the
+/// shutdown share it on one thread.
 pub(crate) struct ControlMembership {
     client: Rc<ControlClient>,
     quorum_contact: Rc<QuorumContact>,
-    /// This process, as the directory should name it.
+    /// Directory entry of this process.
     node: ControlNode,
-    /// Number of control processes that the tier began with.
+    /// Number of control processes with which the tier was bootstrapped.
     seed_count: usize,
     /// Used while this process owns shard 0.
     failure_detector: RefCell<MemberFailureDetector>,
-    /// This process is about to end and is no member any more.
+    /// Set while this process leaves the groups before its shutdown; it then sends no join requests.
     is_leaving: Cell<bool>,
 }
 
@@ -74,7 +74,8 @@
         })
     }
 
-    /// Lets the replica groups follow the directory, once it names all processes that the tier began with.
+    /// Keeps the desired members of the replicated groups equal to the directory, once it contains as many processes
+    /// as the tier was bootstrapped with.
     pub(super) async fn follow_directory(self: Rc<Self>) {
         let mut changed = self.client.shards().changed();
         let mut applied: Vec<ControlNode> = Vec::new();
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Sends join requests until the directory names this process, and whenever it may have been dropped.
+    /// Sends join requests until the directory contains this process, and whenever it may have been removed.
     pub(super) async fn keep_joined(self: Rc<Self>) {
         let mut ticks = interval(JOIN_PERIOD);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Asks the processes that this one has a link to, until one has carried out the request.
+    /// Sends a join request to the linked processes in turn, until one has admitted this process.
     async fn request_join(&self) {
         for identity in self.client.host().linked_peers() {
             let call = ControlCall::Join(self.node.clone());
@@ -117,16 +118,16 @@
         }
     }
 
-    /// Has a control process taken into the directory.
+    /// Adds a control process to the directory.
     ///
     /// # Errors
-    /// Where that could not be committed in time.
+    /// [`Unavailable`] if the command is not committed in time.
     pub(super) async fn admit(&self, node: ControlNode) -> Result<(), Unavailable> {
         let command = ConfigurationCommand::AdmitControl { node };
         self.client.commit_configuration(&command).await.map(|_| ())
     }
 
-    /// The command that drops a failed member, if there is one. For the owner of shard 0.
+    /// Returns the command that removes a failed member, if there is one. Called at the owner of shard 0.
     pub(super) fn drop_failed_member(&self, now: Duration) -> Option<ConfigurationCommand> {
         let host = self.client.host();
         let mut failure_detector = self.failure_detector.borrow_mut();
@@ -140,15 +141,17 @@
         Some(ConfigurationCommand::DropControl { identity, min_members })
     }
 
-    /// This process does not own shard 0, or is out of contact with its quorum.
+    /// Resets the failure detector. Called while this process does not own shard 0 or is out of contact with its
+    /// quorum.
     pub(super) fn reset_failure_detector(&self) {
         self.failure_detector.borrow_mut().reset();
     }
 
-    /// Leaves the groups, if there are more members than the tier needs. Returns when that is done, or after `limit`.
+    /// Leaves the groups if there are more members than the tier requires. Returns when that is done, or after
+    /// `limit`.
     pub(crate) async fn leave(&self, limit: Duration) {
         if timeout(limit, self.leave_groups()).await.is_err() {
-            tracing::warn!(?limit, "leaving the groups timed out");
+            tracing::warn!(?limit, "leaving the replicated groups timed out");
         }
     }
 
@@ -156,13 +159,15 @@
         let min_members = self.failure_detector.borrow().min_members();
         self.set_leaving(true);
         while !self.drop_itself(min_members).await {
-            // The outcome may have been unknown, or another one may just have left.
+            // The outcome may be unknown, or another process may have left concurrently.
             if self.client.members().len() <= usize::from(min_members) {
                 return self.set_leaving(false);
             }
             sleep(DROP_RETRY_DELAY).await;
         }
-        tracing::info!("dropped from the membership, waiting until all groups go on without this process");
+        tracing::info!(
+            "removed from the directory; waiting until this process is no longer a voter of any group"
+        );
         for shard in all_shards() {
             while self.has_vote(shard).await {
                 sleep(VOTERS_POLL_INTERVAL).await;
@@ -175,7 +180,7 @@
         self.client.host().set_leaving(is_leaving);
     }
 
-    /// Returns whether the directory no longer names this process.
+    /// Removes this process from the directory. Returns whether the directory no longer contains it.
     async fn drop_itself(&self, min_members: u16) -> bool {
         if self.client.members().len() <= usize::from(min_members) {
             return false;
@@ -190,7 +195,7 @@
         shards.with_configuration(|shard| shard.directory().node(identity).is_none())
     }
 
-    /// Whether a group still counts this process; also where no process can report it.
+    /// Returns whether this process is still a voter of a group; `true` also if no process could report the voters.
     async fn has_vote(&self, shard: Shard) -> bool {
         let identity = self.client.identity();
         for peer in self.client.peers() {
--- a/crates/control/src/process/mod.rs
+++ b/crates/control/src/process/mod.rs
@@ -1,16 +1,17 @@
-//! The control process. Each concern has a type that owns its state:
+//! The control process. Each of its services is a type that owns its state:
 //!
-//! - sessions of workers: `worker_sessions`, with the choice of a process for a worker's heartbeats in
+//! - sessions of workers: `worker_sessions`, with the choice of the process that receives a worker's heartbeats in
 //!   `heartbeat_target`;
 //! - the operator's configuration: `configuration`;
 //! - retirement of store machines: `store_retirement`;
-//! - membership of control: `membership`, with the failure detector in [`member_failure_detector`];
+//! - membership of the control processes: `membership`, with the failure detector in [`member_failure_detector`];
 //! - liveness of stores: `store_liveness`, with the failure detector in [`store_failure_detector`];
 //! - health of workers: `worker_health`;
-//! - number of gatekeepers: `gatekeeper_count`.
+//! - number of gatekeepers: `gatekeeper_count`;
+//! - reports of the subscribed gatekeepers: `subscriber_reports`.
 //!
-//! [`ControlProcess`] wires them up. All of them reach the replicated shards through `client`; calls of other control
-//! processes come in at `call_handler`, and `owner_tasks` and `periodic_reports` run in the background.
+//! [`ControlProcess`] connects them. All of them access the replicated shards through `client`. `call_handler`
+//! receives the remote calls of other control processes; `owner_tasks` and `periodic_reports` run in the background.
 
 mod answer_deadline;
 mod call_handler;
@@ -44,7 +45,7 @@
 };
 use call_handler::CallHandler;
 use client::ControlClient;
-use clock::SteadyClock;
+use clock::MonotonicClock;
 use configuration::ConfigurationService;
 use gatekeeper_count::GatekeeperCount;
 use membership::ControlMembership;
@@ -65,27 +66,27 @@
 use worker_health::WorkerHealth;
 use worker_sessions::WorkerSessions;
 
-/// What a process takes from its settings.
+/// Options of a control process, derived from its settings.
 #[derive(Debug, Clone)]
 pub struct ProcessOptions {
-    /// This process.
+    /// Directory entry of this process.
     pub node: ControlNode,
-    /// Machines that may be lost at a time.
+    /// Number of machines that may be lost simultaneously.
     pub hosts_lost: usize,
-    /// Number of control processes that the tier began with, as far as is known.
+    /// Number of control processes with which the tier was bootstrapped, by the seed nodes in the settings.
     pub seed_count: usize,
-    /// How the partitions of the stores' data are laid out.
+    /// Replication and placement of the stores' partitions.
     pub store_layout: StoreLayout,
-    /// How often workers send a heartbeat.
+    /// Interval at which workers send heartbeats.
     pub heartbeat: Duration,
 }
 
-/// A control process. Everything in it runs on one thread.
+/// A control process. All of its services and tasks run on one thread.
 pub struct ControlProcess {
-    clock: SteadyClock,
+    clock: MonotonicClock,
     client: Rc<ControlClient>,
     quorum_contact: Rc<QuorumContact>,
-    /// The connections of the feed write it, the concerns read it; all run on one thread.
+    /// Written by the connections of the change feed and read by the services, all on one thread.
     subscribers: Rc<RefCell<Subscribers>>,
     worker_sessions: Rc<WorkerSessions>,
     configuration: Rc<ConfigurationService>,
@@ -100,11 +101,11 @@
 }
 
 impl ControlProcess {
-    /// A process over a host that runs `shards`.
+    /// Creates a process on top of a host whose state machines are `shards`.
     #[must_use]
     pub fn new(options: ProcessOptions, host: Rc<Host>, shards: Shards) -> Rc<Self> {
         let min_members = options.seed_count.max(2 * options.hosts_lost + 1);
-        let clock = SteadyClock::start();
+        let clock = MonotonicClock::start();
         let subscribers: Rc<RefCell<Subscribers>> = Rc::default();
         let client = ControlClient::new(Rc::clone(&host), shards);
         let quorum_contact = QuorumContact::new(host, clock);
@@ -152,7 +153,7 @@
         })
     }
 
-    /// Lets the host bring the calls of other control processes.
+    /// Registers the handlers for remote calls and join requests at the host.
     pub fn register_handlers(self: &Rc<Self>) {
         let process = Rc::downgrade(self);
         self.host().set_call_handler(move |bytes| {
@@ -168,14 +169,14 @@
         self.host().set_join_handler(move |node| {
             if let Some(process) = process.upgrade() {
                 tokio::task::spawn_local(async move {
-                    // A process that is not admitted sends its join request again.
+                    // A process that was not admitted repeats its join request.
                     let _ = process.membership.admit(node).await;
                 });
             }
         });
     }
 
-    /// Starts the background tasks of the process, which run until `tasks` is dropped.
+    /// Starts the background tasks of the process, which run until `tasks` is dropped or shut down.
     pub fn start_background_tasks(&self, tasks: &mut JoinSet<()>) {
         let owner_tasks = OwnerTasks {
             client: Rc::clone(&self.client),
@@ -197,83 +198,84 @@
         tasks.spawn_local(Rc::clone(&self.membership).keep_joined());
     }
 
-    /// The state of all shards.
+    /// Returns the state of all shards, as applied at this process.
     #[must_use]
     pub fn shards(&self) -> &Shards {
         self.client.shards()
     }
 
-    /// The replicated host.
+    /// Returns the replicated host.
     #[must_use]
     pub fn host(&self) -> &Rc<Host> {
         self.client.host()
     }
 
-    /// The subscribers of the feed at this process.
+    /// Returns the subscribers of the change feed at this process.
     #[must_use]
     pub fn subscribers(&self) -> &RefCell<Subscribers> {
         &self.subscribers
     }
 
-    /// Access to the replicated shards.
+    /// Returns the client for the replicated shards.
     pub(crate) fn client(&self) -> &ControlClient {
         &self.client
     }
 
-    /// The sessions of workers.
+    /// Returns the service for sessions of workers.
     pub(crate) fn worker_sessions(&self) -> &WorkerSessions {
         &self.worker_sessions
     }
 
-    /// The operator's configuration.
+    /// Returns the service for the operator's configuration.
     pub(crate) fn configuration(&self) -> &Rc<ConfigurationService> {
         &self.configuration
     }
 
-    /// The retirement of store machines.
+    /// Returns the service for the retirement of store machines.
     pub(crate) fn store_retirement(&self) -> &StoreRetirement {
         &self.store_retirement
     }
 
-    /// The membership of control.
+    /// Returns the service for the membership of the control processes.
     pub(crate) fn membership(&self) -> &ControlMembership {
         &self.membership
     }
 
-    /// The health of workers.
+    /// Returns the service for the health of workers.
     pub(crate) fn worker_health(&self) -> &WorkerHealth {
         &self.worker_health
     }
 
-    /// The number of gatekeepers over the whole tier.
+    /// Returns the service that counts the gatekeepers in the whole tier.
     pub(crate) fn gatekeeper_count(&self) -> &GatekeeperCount {
         &self.gatekeeper_count
     }
 
-    /// The reports of all control processes on their subscribers.
+    /// Returns the service that collects reports of subscribed gatekeepers from all control processes.
     pub(crate) fn subscriber_reports(&self) -> &SubscriberReports {
         &self.subscriber_reports
     }
 
-    /// The steady clock: the time since the start of the process.
+    /// Returns the time of the monotonic clock, since the start of the process.
     #[must_use]
     pub fn now(&self) -> Duration {
         self.clock.now()
     }
 
-    /// Whether what this process knows of every shard is fresh.
+    /// Returns whether the applied state of every shard is fresh, see [`Host::is_fresh`]; `false` during the
+    /// shutdown.
     #[must_use]
     pub fn is_fresh(&self) -> bool {
         !self.is_stopping.get() && all_shards().all(|shard| self.host().is_fresh(shard))
     }
 
-    /// Whether the process is about to end.
+    /// Returns whether the process is shutting down.
     #[must_use]
     pub fn is_stopping(&self) -> bool {
         self.is_stopping.get()
     }
 
-    /// From now on subscribers are sent to other control processes.
+    /// Marks the process as stopping, so that subscribers are redirected to other control processes.
     pub fn stop(&self) {
         self.is_stopping.set(true);
         self.shards().notify_waiters();
--- a/crates/control/src/process/owner_tasks.rs
+++ b/crates/control/src/process/owner_tasks.rs
@@ -1,26 +1,26 @@
-//! What the owner of a shard does periodically: it detects failed members and stores and ends the sessions of silent
-//! workers.
+//! Periodic tasks of the owner of a shard: detects failed members and stores, and expires the sessions of workers
+//! without heartbeats.
 
 use super::{
-    client::ControlClient, clock::SteadyClock, membership::ControlMembership, quorum_contact::QuorumContact,
-    store_liveness::StoreLiveness, worker_sessions::WorkerSessions,
+    client::ControlClient, clock::MonotonicClock, membership::ControlMembership,
+    quorum_contact::QuorumContact, store_liveness::StoreLiveness, worker_sessions::WorkerSessions,
 };
 use crate::{configuration_shard::ConfigurationCommand, shards::session_shards};
 use opalrun_wire::{feed::CONFIGURATION_SHARD, frame::encode};
 use std::{rc::Rc, time::Duration};
 use tokio::time::{MissedTickBehavior, interval};
 
-/// How often the owner of a shard evaluates the time that has passed.
+/// Interval at which the owner of a shard evaluates its failure detectors.
 const EVALUATION_PERIOD: Duration = Duration::from_millis(250);
 
-/// Message of the log line that names a command to the membership or to the store map which the owner of shard 0 decided
-/// on, with the command in the field `command`.
+/// Message of the log line that the owner of shard 0 writes when it proposes a change of the membership or of the
+/// store map. The field `command` has the command.
 pub const OWNER_DECISION_MESSAGE: &str = "proposing a command as the owner of shard 0";
 
-/// The periodic task of owners.
+/// The periodic task that runs the owner's evaluations.
 pub(super) struct OwnerTasks {
     pub(super) client: Rc<ControlClient>,
-    pub(super) clock: SteadyClock,
+    pub(super) clock: MonotonicClock,
     pub(super) quorum_contact: Rc<QuorumContact>,
     pub(super) membership: Rc<ControlMembership>,
     pub(super) store_liveness: Rc<StoreLiveness>,
@@ -28,7 +28,7 @@
 }
 
 impl OwnerTasks {
-    /// Runs until it is aborted.
+    /// Runs until the task is aborted.
     pub(super) async fn run(self) {
         let mut ticks = interval(EVALUATION_PERIOD);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
--- a/crates/control/src/process/periodic_reports.rs
+++ b/crates/control/src/process/periodic_reports.rs
@@ -1,4 +1,4 @@
-//! What every control process reports to the owners of shards, periodically.
+//! Periodic reports of every control process to the owners of shards.
 
 use super::{
     gatekeeper_count::GatekeeperCount, store_liveness::StoreLiveness, worker_health::WorkerHealth,
@@ -7,10 +7,10 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::{MissedTickBehavior, interval};
 
-/// How often reports are sent.
+/// Interval at which reports are sent.
 const REPORT_PERIOD: Duration = Duration::from_millis(500);
 
-/// The periodic task of reports.
+/// The periodic task that sends the reports.
 pub(super) struct PeriodicReports {
     pub(super) worker_sessions: Rc<WorkerSessions>,
     pub(super) store_liveness: Rc<StoreLiveness>,
@@ -19,7 +19,7 @@
 }
 
 impl PeriodicReports {
-    /// Runs until it is aborted.
+    /// Runs until the task is aborted.
     pub(super) async fn run(self) {
         let mut ticks = interval(REPORT_PERIOD);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
--- a/crates/control/src/process/store_failure_detector.rs
+++ b/crates/control/src/process/store_failure_detector.rs
@@ -1,7 +1,8 @@
-//! Failure detector of the stores, for the owner of shard 0: which changes of the store map follow from hearing from
-//! stores, or from not hearing from them. Sans I/O.
+//! Failure detector of the stores, run by the owner of shard 0: derives changes of the store map from the stores'
+//! last contacts. Sans I/O.
 //!
-//! As with members, an owner does not judge stores by its own absence.
+//! As with members, an owner that was itself unavailable must not conclude that stores have failed: after a gap all
+//! observations are discarded.
 
 use crate::store_map::{Liveness, Spread, StoreCommand, StoreTable};
 use opalrun_wire::{feed::StoreState, ids::NodeIdentity};
@@ -10,51 +11,56 @@
 #[cfg(test)]
 mod tests;
 
-/// A store that was not heard from for so long is unavailable: a store without replicas may take over its own.
+/// A store without contact for this long is unavailable: a store without replicas may replace it.
 const UNAVAILABLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A store that was not heard from for so long is dead: any other store may take over its replicas.
+/// A store without contact for this long is dead: any other store may take over its replicas.
 const DEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// A new store is given replicas of healthy stores only after this time: until then it may be needed as the replacement
-/// of one that is just failing.
+/// A new store receives replicas from live stores only after this time: until then it may be needed as the
+/// replacement of a store whose failure has not been detected yet.
 const ESTABLISHMENT_PERIOD: Duration = Duration::from_millis(2800);
-/// The first map is formed when no new store has joined for so long and there are enough.
+/// The first map is formed once no new store has joined for this long, if there are enough stores for the configured
+/// number of replicas.
 const FORMING_DELAY: Duration = Duration::from_secs(1);
-/// The first map is formed when no new store has joined for so long, even if there are too few.
+/// The first map is formed once no new store has joined for this long, even if there are fewer stores than replicas.
 const MAX_FORMING_DELAY: Duration = Duration::from_secs(4);
-/// Longest gap between two evaluations after which this process counts as having run all the while.
+/// Maximum time between two evaluations. After a longer gap this process was suspended, and all observations are
+/// discarded.
 const MAX_EVALUATION_GAP: Duration = Duration::from_secs(1);
 
-/// How the partitions of the stores' data are laid out.
+/// Replication and placement of the stores' partitions.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreLayout {
-    /// Replicas of each partition.
+    /// Number of replicas of each partition.
     pub replicas: u16,
-    /// How they are spread over failure domains.
+    /// Constraint on the spread of the replicas over failure domains.
     pub spread: Spread,
 }
 
-/// When each store was first seen and last heard from, as this owner observed it.
+/// Detects failed and recovered stores from the contacts that this owner has observed.
 #[derive(Debug, Default)]
 pub struct StoreFailureDetector {
+    /// When this owner first observed each store since the last reset.
     first_seen: HashMap<NodeIdentity, Duration>,
-    last_heard: HashMap<NodeIdentity, Duration>,
+    last_contact: HashMap<NodeIdentity, Duration>,
+    /// When this owner last observed a store that it did not know yet.
     last_joined: Option<Duration>,
     last_evaluation: Option<Duration>,
 }
 
 impl StoreFailureDetector {
-    /// A store was heard from at that moment.
+    /// Records that a store was in contact with any control process at a time.
     pub fn record_contact(&mut self, identity: NodeIdentity, at: Duration) {
-        let latest = self.last_heard.entry(identity).or_insert(at);
+        let latest = self.last_contact.entry(identity).or_insert(at);
         *latest = at.max(*latest);
     }
 
-    /// This process does not own shard 0 or is out of contact with its quorum: everything observed is forgotten.
+    /// Discards all observations. Called while this process does not own shard 0 or is out of contact with its
+    /// quorum.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
 
-    /// The commands that follow from the time that has passed.
+    /// Returns the commands that change the store map according to the contacts observed up to `now`.
     pub fn evaluate(&mut self, table: &StoreTable, layout: &StoreLayout, now: Duration) -> Vec<StoreCommand> {
         if self.last_evaluation.is_some_and(|at| now.saturating_sub(at) > MAX_EVALUATION_GAP) {
             self.reset();
@@ -97,9 +103,9 @@
         let mut commands = Vec::new();
         for entry in table.stores().iter().filter(|entry| entry.node.state != StoreState::Retired) {
             let identity = entry.node.identity;
-            let has_contact = self.last_heard.contains_key(&identity);
+            let has_contact = self.last_contact.contains_key(&identity);
             let since =
-                self.last_heard.get(&identity).or(self.first_seen.get(&identity)).copied().unwrap_or(now);
+                self.last_contact.get(&identity).or(self.first_seen.get(&identity)).copied().unwrap_or(now);
             let liveness = classify(now.saturating_sub(since));
             let is_certain = has_contact || liveness == Liveness::Dead || entry.liveness == Liveness::Live;
             if liveness != entry.liveness && is_certain {
--- a/crates/control/src/process/store_liveness.rs
+++ b/crates/control/src/process/store_liveness.rs
@@ -1,8 +1,9 @@
-//! Liveness of stores: which stores were heard from here, and what the owner of shard 0 concludes from all reports.
+//! Liveness of stores: each control process reports the stores that were in contact with it, and the owner of shard 0
+//! evaluates all reports.
 
 use super::{
     client::{ControlClient, NotOwner, REPORT_TIMEOUT, ShardOwner},
-    clock::SteadyClock,
+    clock::MonotonicClock,
     store_failure_detector::{StoreFailureDetector, StoreLayout},
 };
 use crate::{
@@ -13,12 +14,12 @@
 use opalrun_wire::feed::CONFIGURATION_SHARD;
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
-/// Liveness of the stores. Calls of other processes and the background tasks share it; both run on one thread.
+/// Reports and evaluates the contacts of stores. Remote calls and the background tasks share it on one thread.
 pub(super) struct StoreLiveness {
     client: Rc<ControlClient>,
-    /// The connections of the feed write it, this type reads it; both run on one thread.
+    /// Written by the connections of the change feed and read by this type, on the same thread.
     subscribers: Rc<RefCell<Subscribers>>,
-    clock: SteadyClock,
+    clock: MonotonicClock,
     layout: StoreLayout,
     /// Used while this process owns shard 0.
     failure_detector: RefCell<StoreFailureDetector>,
@@ -28,16 +29,16 @@
     pub(super) fn new(
         client: Rc<ControlClient>,
         subscribers: Rc<RefCell<Subscribers>>,
-        clock: SteadyClock,
+        clock: MonotonicClock,
         layout: StoreLayout,
     ) -> Rc<Self> {
         Rc::new(Self { client, subscribers, clock, layout, failure_detector: RefCell::default() })
     }
 
-    /// Records which stores other processes heard from. For the owner of shard 0.
+    /// Records the contacts of stores that a control process reports. Called at the owner of shard 0.
     ///
     /// # Errors
-    /// [`NotOwner`] where this process does not own shard 0.
+    /// [`NotOwner`] if this process does not own shard 0.
     pub(super) fn record_contacts(&self, contacts: &[StoreContact]) -> Result<(), NotOwner> {
         self.client.require_ownership(CONFIGURATION_SHARD)?;
         let now = self.clock.now();
@@ -49,13 +50,13 @@
         Ok(())
     }
 
-    /// Reports to the owner of shard 0 which stores were heard from here.
+    /// Reports the contacts of stores with this process to the owner of shard 0.
     pub(super) async fn report_contacts(&self) {
         let contacts = self.contacts_here();
         if contacts.is_empty() {
             return;
         }
-        // A report that is lost is followed by the next one.
+        // A lost report is not retried: the next periodic report supersedes it.
         match self.client.owner(CONFIGURATION_SHARD) {
             Some(ShardOwner::ThisProcess) => {
                 let _ = self.record_contacts(&contacts);
@@ -68,12 +69,13 @@
         }
     }
 
-    /// The stores that were heard from here.
+    /// Returns the last contacts of the stores that subscribe at this process.
     fn contacts_here(&self) -> Vec<StoreContact> {
         self.subscribers.borrow().store_contacts(self.clock.now())
     }
 
-    /// The commands that follow from the time that has passed. For the owner of shard 0.
+    /// Returns the commands that change the store map according to the failure detector. Called at the owner of shard
+    /// 0.
     pub(super) fn evaluate(&self, now: Duration) -> Vec<ConfigurationCommand> {
         let commands = self.client.shards().with_configuration(|shard| {
             self.failure_detector.borrow_mut().evaluate(shard.stores(), &self.layout, now)
@@ -81,7 +83,8 @@
         commands.into_iter().map(ConfigurationCommand::Store).collect()
     }
 
-    /// This process does not own shard 0, or is out of contact with its quorum.
+    /// Resets the failure detector. Called while this process does not own shard 0 or is out of contact with its
+    /// quorum.
     pub(super) fn reset_failure_detector(&self) {
         self.failure_detector.borrow_mut().reset();
     }
--- a/crates/control/src/process/store_retirement.rs
+++ b/crates/control/src/process/store_retirement.rs
@@ -1,4 +1,4 @@
-//! Retirement of store machines by the operator: a machine is emptied before it may be switched off.
+//! Retirement of store machines by the operator: all replicas are moved off a machine before it is switched off.
 
 use super::client::{ControlClient, Unavailable};
 use crate::{
@@ -8,18 +8,18 @@
 use opalrun_wire::feed::CONFIGURATION_SHARD;
 use std::rc::Rc;
 
-/// The result of an order to retire a store machine, or its progress.
+/// The answer to a request to retire a store machine, or to a request for the progress of a retirement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetireAnswer {
-    /// Its progress.
+    /// Progress of the retirement.
     State(RetireState),
-    /// No such machine is known.
+    /// No store machine with this name is known.
     UnknownNode,
-    /// Too few would be left.
+    /// Too few stores would remain for the number of replicas.
     TooFewStores,
 }
 
-/// The retirement of store machines, which the store map of shard 0 records.
+/// Starts retirements and reports their progress. The store map in shard 0 records them.
 pub(crate) struct StoreRetirement {
     client: Rc<ControlClient>,
 }
@@ -29,10 +29,10 @@
         Self { client }
     }
 
-    /// Orders that a store machine is emptied.
+    /// Starts the retirement of a store machine.
     ///
     /// # Errors
-    /// Where the order could not be committed in time.
+    /// [`Unavailable`] if the command is not committed in time.
     pub(crate) async fn order(&self, node_name: &str) -> Result<RetireAnswer, Unavailable> {
         let command = StoreCommand::Retire { node_name: node_name.to_owned() };
         match self.client.commit_configuration(&ConfigurationCommand::Store(command)).await? {
@@ -45,10 +45,10 @@
         }
     }
 
-    /// The progress of a retirement.
+    /// Returns the progress of a retirement.
     ///
     /// # Errors
-    /// Where no majority confirms it in time.
+    /// [`Unavailable`] if no majority confirms the read in time.
     pub(crate) async fn progress(&self, node_name: &str) -> Result<RetireAnswer, Unavailable> {
         self.client.synchronize(CONFIGURATION_SHARD).await?;
         Ok(self.state(node_name).map_or(RetireAnswer::UnknownNode, RetireAnswer::State))
--- a/crates/control/src/process/subscriber_reports.rs
+++ b/crates/control/src/process/subscriber_reports.rs
@@ -1,6 +1,6 @@
-//! Reports of all control processes on their subscribers, for people who look at the tier.
+//! Reports of all control processes on the gatekeepers that subscribe there, for the operator's view of the tier.
 
-use super::{client::ControlClient, clock::SteadyClock};
+use super::{client::ControlClient, clock::MonotonicClock};
 use crate::{
     calls::{ControlAnswer, ControlCall, SubscribedGatekeeper},
     feed::subscribers::Subscribers,
@@ -9,41 +9,42 @@
 use std::{cell::RefCell, rc::Rc, time::Duration};
 use tokio::task::JoinSet;
 
-/// How long another control process may take to answer.
+/// Time limit for the answer of another control process.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The gatekeepers that subscribe at a control process.
+/// The gatekeepers that subscribe at one control process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SubscriberReport {
-    /// The identity of the control process.
+    /// Identity of the reporting control process.
     pub from: NodeIdentity,
-    /// The gatekeepers.
+    /// Gatekeepers that subscribe there, each with the generation of the configuration in force.
     pub gatekeepers: Vec<SubscribedGatekeeper>,
 }
 
-/// Collects the reports.
+/// Collects the reports from all control processes.
 pub(crate) struct SubscriberReports {
     client: Rc<ControlClient>,
-    /// The connections of the feed write it, this type reads it; both run on one thread.
+    /// Written by the connections of the change feed and read by this type, on the same thread.
     subscribers: Rc<RefCell<Subscribers>>,
-    clock: SteadyClock,
+    clock: MonotonicClock,
 }
 
 impl SubscriberReports {
     pub(super) fn new(
         client: Rc<ControlClient>,
         subscribers: Rc<RefCell<Subscribers>>,
-        clock: SteadyClock,
+        clock: MonotonicClock,
     ) -> Self {
         Self { client, subscribers, clock }
     }
 
-    /// The gatekeepers that subscribe here.
+    /// Returns the gatekeepers that subscribe at this process.
     pub(super) fn gatekeepers_here(&self) -> Vec<SubscribedGatekeeper> {
         self.subscribers.borrow().gatekeeper_generations(self.clock.now())
     }
 
-    /// The reports of all control processes, this one included. Those that don't answer in time are left out.
+    /// Returns the reports of all control processes, including this one, except those that don't answer within
+    /// [`REPORT_TIMEOUT`].
     pub(crate) async fn collect(&self) -> Vec<SubscriberReport> {
         let mut tasks = JoinSet::new();
         for identity in self.client.peers() {
--- a/crates/control/src/process/worker_health.rs
+++ b/crates/control/src/process/worker_health.rs
@@ -1,8 +1,9 @@
-//! Health of workers: gatekeepers report failed requests here, the owner of shard 0 concludes which workers are suspected.
+//! Health of workers: gatekeepers report failed requests to the control process at which they subscribe, and the
+//! owner of shard 0 determines from all reports which workers are suspected to have failed.
 
 use super::{
     client::{ControlClient, NotOwner, REPORT_TIMEOUT, ShardOwner},
-    clock::SteadyClock,
+    clock::MonotonicClock,
 };
 use crate::{
     calls::{ControlAnswer, ControlCall, GatekeeperReport},
@@ -11,22 +12,24 @@
 use opalrun_wire::feed::{CONFIGURATION_SHARD, WorkerFailures, stable_hash};
 use std::{cell::RefCell, mem, rc::Rc};
 
-/// Most reports that are kept until the owner of shard 0 is notified.
+/// Maximum number of reports queued until the next periodic report to the owner of shard 0; further ones are dropped.
 const MAX_PENDING_REPORTS: usize = 1024;
 
-/// Health of the workers. The feed, calls of other processes and the background tasks share it; all run on one thread.
+/// Forwards and evaluates the reports of failed requests. The change feed, remote calls and the background tasks
+/// share it, all on one thread.
 pub(crate) struct WorkerHealth {
     client: Rc<ControlClient>,
-    clock: SteadyClock,
-    /// Reported here, and the owner of shard 0 is still to be notified.
+    clock: MonotonicClock,
+    /// Reports received here that are not yet forwarded to the owner of shard 0.
     pending_reports: RefCell<Vec<GatekeeperReport>>,
-    /// What all reported; used while this process owns shard 0.
+    /// Reports of all control processes; used while this process owns shard 0.
     reports: RefCell<WorkerHealthReports>,
+    /// Ids of the suspected workers, as last reported by the owner of shard 0.
     suspects: RefCell<Vec<String>>,
 }
 
 impl WorkerHealth {
-    pub(super) fn new(client: Rc<ControlClient>, clock: SteadyClock) -> Rc<Self> {
+    pub(super) fn new(client: Rc<ControlClient>, clock: MonotonicClock) -> Rc<Self> {
         Rc::new(Self {
             client,
             clock,
@@ -36,12 +39,13 @@
         })
     }
 
-    /// The ids of the workers that are suspected, as last reported by the owner of shard 0.
+    /// Returns the ids of the suspected workers, as last reported by the owner of shard 0; none while it is not
+    /// reached.
     pub(crate) fn suspects(&self) -> Vec<String> {
         self.suspects.borrow().clone()
     }
 
-    /// Takes the report of a gatekeeper that subscribes here. Too many reports at a time are dropped.
+    /// Queues the report of a gatekeeper that subscribes here; drops it while the queue is full.
     pub(crate) fn record_failures(&self, node_name: &str, failures: Vec<WorkerFailures>) {
         let mut pending_reports = self.pending_reports.borrow_mut();
         if pending_reports.len() < MAX_PENDING_REPORTS {
@@ -49,10 +53,10 @@
         }
     }
 
-    /// Records reports of all control processes, and returns the suspects. For the owner of shard 0.
+    /// Records reports and returns the ids of the suspected workers. Called at the owner of shard 0.
     ///
     /// # Errors
-    /// [`NotOwner`] where this process does not own shard 0.
+    /// [`NotOwner`] if this process does not own shard 0.
     pub(super) fn record_reports(
         &self,
         gatekeeper_reports: impl IntoIterator<Item = GatekeeperReport>,
@@ -66,10 +70,10 @@
         Ok(reports.suspects(now))
     }
 
-    /// Notifies the owner of shard 0 of failures that were reported here, and takes over its suspects.
+    /// Forwards the queued reports to the owner of shard 0 and stores the suspects that it returns.
     pub(super) async fn report(&self) {
         let reports = mem::take(&mut *self.pending_reports.borrow_mut());
-        // A report that was lost is out of date later; without an owner nobody is suspected.
+        // Lost reports are not retried, as they expire soon. Without an answer of the owner no worker is suspected.
         let suspects = self.record_reports_at_owner(reports).await.unwrap_or_default();
         self.suspects.replace(suspects);
     }
--- a/crates/control/src/process/worker_sessions.rs
+++ b/crates/control/src/process/worker_sessions.rs
@@ -1,9 +1,9 @@
-//! Sessions of workers: heartbeats, removal, renewal at the owner of the session's shard, and expiry.
+//! Sessions of workers: heartbeats, removal, renewal at the owner of the session's shard, and expiration.
 
 use super::{
     answer_deadline::AnswerDeadline,
     client::{ControlClient, NotOwner, REPORT_TIMEOUT, ShardOwner, Unavailable},
-    clock::SteadyClock,
+    clock::MonotonicClock,
     heartbeat_target::heartbeat_target,
     quorum_contact::QuorumContact,
 };
@@ -27,29 +27,31 @@
 };
 use tokio::task::JoinSet;
 
-/// How long the acknowledgement of a worker's change waits for the other control processes to apply it.
+/// Maximum time for which the acknowledgement of a session's change waits for the other control processes to apply
+/// it.
 const PROPAGATION_LIMIT: Duration = Duration::from_millis(300);
-/// A process that has been out of contact with the quorum for no longer still acknowledges heartbeats without a change.
+/// Maximum time without contact with the shard's quorum during which a process still acknowledges heartbeats that
+/// change nothing.
 const MAX_CONTACT_GAP: Duration = Duration::from_millis(1500);
 
-/// The sessions of workers, as far as this process takes part in them. The server's calls and the background tasks share
-/// it; both run on one thread.
+/// Handles heartbeats and, for the shards that this process owns, expires sessions. The HTTP server, remote calls and
+/// the background tasks share it, all on one thread.
 pub(crate) struct WorkerSessions {
     client: Rc<ControlClient>,
     quorum_contact: Rc<QuorumContact>,
-    clock: SteadyClock,
-    /// Workers that were heard from here and of which the owner is still to be notified, by shard.
+    clock: MonotonicClock,
+    /// Ids of workers whose heartbeats were received here and not yet reported to the shard's owner, by shard.
     pending_renewals: RefCell<BTreeMap<Shard, BTreeSet<String>>>,
-    /// By shard, when its workers were heard from; used while this process owns the shard.
+    /// Times of the last heartbeats of the workers, indexed by shard; used while this process owns the shard.
     heartbeat_monitors: RefCell<Vec<HeartbeatMonitor>>,
 }
 
 impl WorkerSessions {
-    /// Sessions of workers that send a heartbeat once in `heartbeat`.
+    /// Creates the service for workers that send a heartbeat at the interval `heartbeat`.
     pub(super) fn new(
         client: Rc<ControlClient>,
         quorum_contact: Rc<QuorumContact>,
-        clock: SteadyClock,
+        clock: MonotonicClock,
         heartbeat: Duration,
     ) -> Rc<Self> {
         let heartbeat_monitors = all_shards().map(|_| HeartbeatMonitor::new(heartbeat)).collect();
@@ -62,12 +64,13 @@
         })
     }
 
-    /// Handles a worker's heartbeat. Returns the address to which it should send later ones, where that is another
-    /// process's: a worker learns it with a heartbeat that brings a change, and not again, so that one whose calls fail
-    /// there stays where they don't.
+    /// Handles a worker's heartbeat. Returns the address of another control process if the worker should send its
+    /// further heartbeats there. Only a heartbeat that changes the session is redirected, so that a worker whose
+    /// requests fail at the other process is not sent back to it.
     ///
     /// # Errors
-    /// Where the change could not be committed in time.
+    /// [`Unavailable`] if a change is not committed in time, or this process has been out of contact with the quorum
+    /// for too long.
     pub(crate) async fn heartbeat(&self, worker: Worker) -> Result<Option<String>, Unavailable> {
         let deadline = AnswerDeadline::of_new_call();
         let shard = shard_of_service(&worker.service);
@@ -93,7 +96,7 @@
         Ok(())
     }
 
-    /// The address to which a worker should send its heartbeats, if not to this process.
+    /// Returns the address to which a worker should send its heartbeats, if that is not this process.
     fn other_heartbeat_target(&self, worker_id: &str) -> Option<String> {
         let members = self.client.members();
         let host = self.client.host();
@@ -101,10 +104,10 @@
         (target.identity != self.client.identity()).then(|| target.control_address.clone())
     }
 
-    /// Ends the session of a worker that has left.
+    /// Removes the session of a worker that has deregistered.
     ///
     /// # Errors
-    /// Where that could not be committed in time.
+    /// [`Unavailable`] if the removal is not committed in time.
     pub(crate) async fn remove(&self, id: &str) -> Result<(), Unavailable> {
         let deadline = AnswerDeadline::of_new_call();
         let mut tasks = JoinSet::new();
@@ -121,7 +124,7 @@
         results.into_iter().collect()
     }
 
-    /// The shards that know a worker, or all of them where none is known to do.
+    /// Returns the shards that hold a session of a worker, or all session shards if none is known to.
     fn shards_to_remove_from(&self, id: &str) -> Vec<Shard> {
         let knows_worker = |shard: &Shard| {
             let shards = self.client.shards();
@@ -139,10 +142,10 @@
         self.pending_renewals.borrow_mut().entry(shard).or_default().insert(id.to_owned());
     }
 
-    /// Renews sessions of a shard that this process owns.
+    /// Renews sessions of a shard. Called at the shard's owner.
     ///
     /// # Errors
-    /// [`NotOwner`] where it does not own the shard.
+    /// [`NotOwner`] if this process does not own the shard.
     pub(super) fn renew<'a>(
         &self,
         shard: Shard,
@@ -158,7 +161,8 @@
         Ok(())
     }
 
-    /// Notifies the owners of shards which workers were heard from here.
+    /// Reports the heartbeats received here to the owners of the workers' shards. What an owner does not acknowledge
+    /// is reported again next time.
     pub(super) async fn report_renewals(&self) {
         let renewals = mem::take(&mut *self.pending_renewals.borrow_mut());
         for (shard, ids) in renewals {
@@ -168,7 +172,7 @@
         }
     }
 
-    /// Returns whether the owner of the shard has acknowledged.
+    /// Reports heartbeats to the owner of a shard and returns whether it has acknowledged them.
     async fn renew_at_owner(&self, shard: Shard, ids: &BTreeSet<String>) -> bool {
         match self.client.owner(shard) {
             Some(ShardOwner::ThisProcess) => self.renew(shard, ids).is_ok(),
@@ -180,7 +184,7 @@
         }
     }
 
-    /// Ends the sessions of workers that were not heard from for too long, in a shard that this process owns.
+    /// Expires the sessions of workers without a recent heartbeat, in a shard that this process owns.
     pub(super) fn expire(&self, shard: Shard) {
         let Some(command) = self.expiry_command(shard) else { return };
         let client = Rc::clone(&self.client);
@@ -208,12 +212,17 @@
         if workers.is_empty() {
             return None;
         }
-        tracing::info!(shard = shard.0, count = workers.len(), "sessions expired");
+        tracing::info!(
+            shard = shard.0,
+            count = workers.len(),
+            "worker sessions expired: no heartbeat in time"
+        );
         Some(SessionCommand::Expire { workers })
     }
 }
 
-/// Gives the other control processes, and so the gatekeepers that subscribe there, the time to apply a change.
+/// Waits until all control processes have applied a change and can publish it to their subscribers, but at most for
+/// [`PROPAGATION_LIMIT`] or until the deadline.
 async fn propagate(client: &Rc<ControlClient>, shard: Shard, index: LogIndex, deadline: AnswerDeadline) {
     let limit = deadline.time_left(PROPAGATION_LIMIT);
     let limit_ms = limit.as_millis() as u64;
--- a/crates/control/src/replaced_identities.rs
+++ b/crates/control/src/replaced_identities.rs
@@ -1,35 +1,36 @@
-//! Identities of machines that lost their disk (data loss), so that a late join request of one is not taken for its
-//! successor's.
+//! Identities that were replaced because their machine lost its disk, so that a delayed join request of an old
+//! identity does not replace the new one.
 
 use opalrun_wire::ids::NodeIdentity;
 use rkyv::{Archive, Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Most identities that are remembered; the oldest is forgotten first.
+/// Maximum number of remembered identities; the oldest is evicted first.
 const MAX_REMEMBERED_IDENTITIES: usize = 256;
-/// A process that sends so many join requests is alive: of one whose disk is gone a few late ones arrive at most.
+/// An identity that has sent this many join requests since its replacement is alive: after the loss of the disk at
+/// most a few delayed requests arrive.
 const JOIN_REQUESTS_OF_LIVE_PROCESS: u32 = 8;
 
-/// An identity whose place another one of the same machine has taken.
+/// An identity that was replaced by a newer one of the same machine.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, Eq)]
 struct ReplacedIdentity {
     identity: NodeIdentity,
-    /// Join requests of it since it was replaced.
+    /// Number of join requests received from this identity since it was replaced.
     join_requests: u32,
 }
 
-/// Identities whose disks are gone.
+/// The replaced identities.
 ///
-/// Of two identities of one machine the one whose join request comes later counts as the newer. Where the join requests of
-/// a process that lost its disk right after its start arrive in the other order, that is wrong; then the live one goes on
-/// with its join requests, and is believed in the end.
+/// Of two identities of one machine, the one whose join request arrives later is taken for the newer. If a process
+/// lost its disk right after its start, the join requests may arrive in the opposite order and the live identity is
+/// rejected. It repeats its join request, and is admitted once it has sent `JOIN_REQUESTS_OF_LIVE_PROCESS`.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, Eq, Default)]
 pub struct ReplacedIdentities {
     replaced: VecDeque<ReplacedIdentity>,
 }
 
 impl ReplacedIdentities {
-    /// An identity was replaced by another one of the same machine.
+    /// Records that an identity was replaced by another one of the same machine.
     pub fn remember(&mut self, identity: NodeIdentity) {
         if self.replaced.len() == MAX_REMEMBERED_IDENTITIES {
             self.replaced.pop_front();
@@ -37,7 +38,8 @@
         self.replaced.push_back(ReplacedIdentity { identity, join_requests: 0 });
     }
 
-    /// Counts a join request. Returns whether it is to be rejected, as of an identity whose disk is gone.
+    /// Counts a join request. Returns whether to reject it because the identity was replaced and is not known to be
+    /// alive.
     pub fn rejects_join(&mut self, identity: NodeIdentity) -> bool {
         let Some(index) = self.replaced.iter().position(|replaced| replaced.identity == identity) else {
             return false;
--- a/crates/control/src/run.rs
+++ b/crates/control/src/run.rs
@@ -1,4 +1,4 @@
-//! The role `control`: starts the parts of a control process, connects them, and ends them in order.
+//! The `control` role: starts the parts of a control process, connects them, and shuts them down in order.
 
 use crate::{
     api,
@@ -20,39 +20,40 @@
     time::{sleep, timeout},
 };
 
-/// How long the transfer of owned shards to other processes may take at shutdown.
+/// Time limit at shutdown for transferring the owned shards to other processes.
 const TRANSFER_TIMEOUT: Duration = Duration::from_millis(1500);
-/// The fraction of the time between SIGTERM and SIGKILL in which a process may leave its groups.
+/// Fraction of the grace period between SIGTERM and SIGKILL that a process may spend on leaving its groups.
 const LEAVE_FRACTION: f64 = 0.6;
-/// How long calls in flight may take at shutdown.
+/// Time at shutdown during which calls in flight are still answered.
 const DRAIN_TIME: Duration = Duration::from_millis(800);
 
 /// Runs the role until SIGTERM.
 ///
 /// # Errors
-/// Where the settings lack something, an address can't be listened on, the replicated state can't be opened or the disk
-/// fails.
+/// Where the settings lack a required key, an address can't be bound, the replicated state can't be opened or the
+/// host fails at runtime.
 pub async fn run(settings: Settings) -> Result<(), ControlError> {
     let control = Control::start(&settings).await?;
     tokio::select! {
         () = signals::terminated() => {}
-        // What is on disk is read again at the next start.
+        // The next start reads the state from the disk again.
         source = control.process().host().failure() => return Err(ControlError::Disk { source }),
     }
     control.shut_down().await;
     Ok(())
 }
 
-/// A control process that serves.
+/// A running control process.
 pub struct Control {
     process: Rc<ControlProcess>,
-    /// Everything that runs by itself; it ends with this value.
+    /// Background tasks and servers; dropping this value aborts them.
     tasks: JoinSet<()>,
+    /// Time between SIGTERM and SIGKILL.
     grace: Duration,
 }
 
 impl Control {
-    /// Starts a control process, inside a `LocalSet`. When this returns, it listens at all its addresses.
+    /// Starts a control process, inside a `LocalSet`. When this returns, the process listens on all its addresses.
     ///
     /// # Errors
     /// As [`run`].
@@ -65,7 +66,7 @@
         let process = start_process(settings, api_address).await?;
         let scraped = Rc::clone(&process);
         opalrun_metrics::start(settings.metrics, move |scrape| metrics::scrape(&scraped, scrape));
-        tracing::info!(identity = process.host().identity().0, "the control process serves");
+        tracing::info!(identity = process.host().identity().0, "control process started");
         let mut tasks = JoinSet::new();
         process.start_background_tasks(&mut tasks);
         tasks.spawn_local(feed::serve(Rc::clone(&process), feed_listener));
@@ -73,14 +74,14 @@
         Ok(Self { process, tasks, grace: settings.bounds.grace })
     }
 
-    /// The process that serves.
+    /// Returns the state of the process, which its servers and tasks share.
     #[must_use]
     pub fn process(&self) -> &Rc<ControlProcess> {
         &self.process
     }
 
-    /// Leaves the groups if there are more members than needed, transfers the owned shards, sends subscribers to other
-    /// processes and lets calls in flight end.
+    /// Shuts the process down: leaves the groups if there are more members than the tier requires, transfers the
+    /// owned shards, redirects subscribers to other processes and waits for calls in flight.
     pub async fn shut_down(mut self) {
         self.process.membership().leave(self.grace.mul_f64(LEAVE_FRACTION)).await;
         let _ = timeout(TRANSFER_TIMEOUT, self.process.host().transfer_leadership()).await;
@@ -90,10 +91,10 @@
     }
 }
 
-/// Starts the replicated host and the process over it.
+/// Starts the replicated host and creates the process on top of it.
 ///
 /// # Errors
-/// Where the settings lack something or the replicated state can't be opened.
+/// Where the settings lack a required key or the replicated state can't be opened.
 async fn start_process(
     settings: &Settings,
     api_address: SocketAddr,
@@ -115,11 +116,12 @@
     Ok(process)
 }
 
-/// The most replicas of anything that may be lost at a time.
+/// Returns the maximum number of replicas that the configured fault tolerance allows to be lost simultaneously.
 ///
-/// Of the stores' data no more replicas than these lie in the zones, or regions, that may be lost. Of the control processes
-/// more may lie there: commits and elections need a majority of them, so the processes that are left decide only if they
-/// are a majority, and then one of them has what was committed (`docs/control-safety.md` has the argument).
+/// Replicas of the stores' data are placed so that no more than this number is in the zones or regions that may be
+/// lost. More control processes than this may be there: commits and elections need a majority, so the remaining
+/// processes decide only if they are a majority, and then at least one of them has every committed entry (see
+/// `docs/control-safety.md`).
 fn max_simultaneous_losses(settings: &Settings) -> usize {
     let tolerance = &settings.fault_tolerance;
     tolerance.hosts_lost.max(tolerance.zones).max(tolerance.regions)
--- a/crates/control/src/tier_view.rs
+++ b/crates/control/src/tier_view.rs
@@ -1,5 +1,5 @@
-//! The complete tier as a control process sees it, for people and programs that watch it. Where a field has another name
-//! in the JSON, that is the one of the operators' pages.
+//! State of the whole tier as one control process sees it, for operators and monitoring programs. Where a field has
+//! another name in the JSON, it is the name in the operators' documentation.
 
 use crate::{
     host::members::node_identity,
@@ -15,30 +15,30 @@
 };
 use std::rc::Rc;
 
-/// The tier as one control process sees it.
+/// State of the tier as one control process sees it.
 #[derive(Facet, Debug, Clone, PartialEq)]
 pub struct TierView {
-    /// The identity of the control process that reports this.
+    /// Identity of the control process that produced this view.
     #[facet(rename = "told_by")]
     pub reported_by: NodeIdentity,
-    /// It has contact with the owner of every group, so what it reports is fresh.
+    /// Whether that process is in contact with the owner of every group, so that the view is up to date.
     #[facet(rename = "fresh")]
     pub is_fresh: bool,
-    /// The generation of the configuration; 0 before the first.
+    /// Generation of the configuration; 0 before the first one.
     pub generation: Generation,
-    /// The epoch of the store map; 0 before the first.
+    /// Epoch of the store map; 0 before the first map.
     pub store_epoch: Epoch,
-    /// The replicated groups of control.
+    /// Replicated groups of the control processes.
     pub groups: Vec<GroupView>,
-    /// The control processes.
+    /// Control processes in the directory.
     pub control: Vec<ControlView>,
-    /// The gatekeepers that subscribe to the change feed.
+    /// Gatekeepers that subscribe to the change feed of any control process that answered.
     pub gatekeepers: Vec<GatekeeperView>,
-    /// The sessions of workers.
+    /// Sessions of workers.
     pub workers: Vec<WorkerView>,
-    /// The stores.
+    /// Stores that have joined.
     pub stores: Vec<StoreView>,
-    /// Partitions with a replica that is catching up.
+    /// Partitions with at least one replica that is catching up.
     #[facet(rename = "partitions_not_whole")]
     pub incomplete_partitions: Vec<PartitionView>,
 }
@@ -46,32 +46,32 @@
 /// One replicated group.
 #[derive(Facet, Debug, Clone, PartialEq)]
 pub struct GroupView {
-    /// The shard's number; 0 holds the configuration, the others sessions.
+    /// Number of the shard: 0 holds the configuration, the others hold worker sessions.
     pub shard: Shard,
-    /// The identity of its owner, if known.
+    /// Identity of the shard's owner, the leader of the group, if known.
     pub owner: Option<NodeIdentity>,
-    /// The term.
+    /// Current Raft term of the group.
     pub term: Term,
-    /// The last entry that is applied here.
+    /// Index of the last log entry applied at the reporting process.
     pub applied: LogIndex,
-    /// Identities of its voters.
+    /// Identities of the group's voters.
     pub voters: Vec<NodeIdentity>,
-    /// Identities of members without a vote, which are catching up.
+    /// Identities of the group's learners: members without a vote that are catching up.
     pub learners: Vec<NodeIdentity>,
 }
 
 /// A control process.
 #[derive(Facet, Debug, Clone, PartialEq)]
 pub struct ControlView {
-    /// Its identity.
+    /// Identity of the control process.
     pub identity: NodeIdentity,
-    /// Its machine's name.
+    /// Name of its machine.
     pub node_name: String,
-    /// Its zone.
+    /// Zone of its machine.
     pub zone: String,
-    /// Where workers and the operator reach it.
+    /// Address of its HTTP interface for workers and the operator.
     pub control_address: String,
-    /// It has answered just now.
+    /// Whether it answered the call that collected this view.
     #[facet(rename = "answers")]
     pub is_reachable: bool,
 }
@@ -79,30 +79,30 @@
 /// A gatekeeper.
 #[derive(Facet, Debug, Clone, PartialEq)]
 pub struct GatekeeperView {
-    /// Its machine's name.
+    /// Name of its machine.
     pub node_name: String,
-    /// The generation in force there; 0 for none.
+    /// Generation of the configuration in force at the gatekeeper; 0 for none.
     pub generation: Generation,
-    /// The identity of the control process where it subscribes.
+    /// Identity of the control process at which it subscribes.
     pub subscribed_at: NodeIdentity,
 }
 
 /// A worker's session.
 #[derive(Facet, Debug, Clone, PartialEq)]
 pub struct WorkerView {
-    /// Its id.
+    /// Id of the worker.
     pub id: String,
-    /// Its service.
+    /// Service that the worker belongs to.
     pub service: String,
-    /// Where it accepts requests.
+    /// Address at which it accepts requests.
     pub address: String,
-    /// Its zone.
+    /// Zone of its machine.
     pub zone: String,
-    /// The generation of its software.
+    /// Generation of its software.
     pub generation: String,
-    /// Requests that it works on at a time.
+    /// Maximum number of concurrent requests.
     pub capacity: u32,
-    /// It completes its requests and accepts no new ones.
+    /// Whether it is draining: it completes requests in flight and accepts no new ones.
     #[facet(rename = "draining")]
     pub is_draining: bool,
 }
@@ -110,42 +110,42 @@
 /// A store.
 #[derive(Facet, Debug, Clone, PartialEq)]
 pub struct StoreView {
-    /// Its identity.
+    /// Identity of the store.
     pub identity: NodeIdentity,
-    /// Its machine's name.
+    /// Name of its machine.
     pub node_name: String,
-    /// Its zone.
+    /// Zone of its machine.
     pub zone: String,
-    /// Where gatekeepers reach it.
+    /// Address at which gatekeepers reach the store.
     pub address: String,
-    /// Active, Retiring or Retired.
+    /// `Active`, `Retiring` or `Retired`.
     pub state: String,
-    /// It was heard recently.
+    /// Whether the failure detector considers the store live.
     #[facet(rename = "heard")]
     pub is_live: bool,
-    /// Number of its replicas.
+    /// Number of partition replicas placed on the store.
     pub replicas: u64,
-    /// How many of them are complete.
+    /// Number of those replicas that are complete.
     #[facet(rename = "whole")]
     pub complete_replicas: u64,
 }
 
-/// The placement of a partition.
+/// Placement of a partition.
 #[derive(Facet, Debug, Clone, PartialEq)]
 pub struct PartitionView {
-    /// Its number.
+    /// Number of the partition.
     pub partition: Partition,
     /// Identities of the stores with a complete replica.
     #[facet(rename = "whole")]
     pub complete: Vec<NodeIdentity>,
-    /// Identities of the stores that are catching up.
+    /// Identities of the stores whose replica is catching up.
     #[facet(rename = "copying")]
     pub catching_up: Vec<NodeIdentity>,
-    /// Identities of former replicas that are kept to catch up from.
+    /// Identities of stores with a former replica that is retained as a source for catching up.
     pub sources: Vec<NodeIdentity>,
 }
 
-/// What a control process knows, and what the others report of their subscribers.
+/// Builds the view from this process's applied state and from all control processes' reports of their subscribers.
 pub async fn view(process: &Rc<ControlProcess>) -> TierView {
     let reports = process.subscriber_reports().collect().await;
     let shards = process.shards();
--- a/crates/control/src/worker_health_reports.rs
+++ b/crates/control/src/worker_health_reports.rs
@@ -1,7 +1,8 @@
-//! Which workers are suspected, from the failures that gatekeepers report.
+//! Failure detector of workers, based on the failed requests that gatekeepers report. Sans I/O.
 //!
-//! No health check is made: a worker is suspected while several requests of more than one gatekeeper have failed there
-//! within a short time. What follows from it is up to the gatekeepers, which bound how many suspects they believe in.
+//! There are no active health checks: a worker is suspected while at least `MIN_FAILURES_OF_SUSPECT` failed
+//! requests were reported by at least `MIN_REPORTERS` gatekeepers within `REPORT_LIFETIME`. The gatekeepers
+//! decide what to do about suspects, and limit how many of them they act on.
 
 use opalrun_wire::feed::WorkerFailures;
 use std::{
@@ -9,25 +10,25 @@
     time::Duration,
 };
 
-/// How long a report counts.
+/// Time after which a report expires.
 const REPORT_LIFETIME: Duration = Duration::from_secs(3);
-/// Failures within that time from which on a worker is suspected.
+/// Minimum number of unexpired failures for a worker to be suspected.
 const MIN_FAILURES_OF_SUSPECT: u32 = 4;
-/// Gatekeepers that must have reported them.
+/// Minimum number of gatekeepers that must have reported those failures.
 const MIN_REPORTERS: usize = 2;
-/// Most reports that are kept at a time.
+/// Maximum number of unexpired reports; further ones are dropped.
 const MAX_REPORTS: usize = 4096;
 
-/// Failures at one worker, as one gatekeeper reported them.
+/// Failed requests at one worker, as one gatekeeper reported them.
 #[derive(Debug)]
 struct Report {
     reported_at: Duration,
-    /// Distinguishes gatekeepers.
+    /// Identifies the gatekeeper.
     reporter: u64,
     failures: WorkerFailures,
 }
 
-/// Everything that was reported of one worker.
+/// Sum of the unexpired reports on one worker.
 #[derive(Debug, Default)]
 struct FailureTotal {
     failures: u32,
@@ -40,19 +41,19 @@
         self.reporters.insert(report.reporter);
     }
 
-    fn is_of_suspect(&self) -> bool {
+    fn is_suspected(&self) -> bool {
         self.failures >= MIN_FAILURES_OF_SUSPECT && self.reporters.len() >= MIN_REPORTERS
     }
 }
 
-/// The reports of the last few seconds.
+/// The unexpired reports. Times are those of the process's monotonic clock.
 #[derive(Debug, Default)]
 pub struct WorkerHealthReports {
     reports: Vec<Report>,
 }
 
 impl WorkerHealthReports {
-    /// A gatekeeper reports failures.
+    /// Records the failures that a gatekeeper reports.
     pub fn record(&mut self, now: Duration, reporter: u64, failures: Vec<WorkerFailures>) {
         self.remove_expired(now);
         let capacity = MAX_REPORTS.saturating_sub(self.reports.len());
@@ -60,14 +61,14 @@
         self.reports.extend(reports.map(|failures| Report { reported_at: now, reporter, failures }));
     }
 
-    /// The ids of the workers that are suspected now, in order.
+    /// Returns the ids of the workers that are suspected now, in ascending order.
     pub fn suspects(&mut self, now: Duration) -> Vec<String> {
         self.remove_expired(now);
         let mut workers: BTreeMap<&str, FailureTotal> = BTreeMap::new();
         for report in &self.reports {
             workers.entry(&report.failures.worker).or_default().add(report);
         }
-        let suspected = workers.into_iter().filter(|(_, total)| total.is_of_suspect());
+        let suspected = workers.into_iter().filter(|(_, total)| total.is_suspected());
         suspected.map(|(worker, _)| worker.to_owned()).collect()
     }
 
