--- a/crates/control/src/host/disk.rs
+++ b/crates/control/src/host/disk.rs
@@ -1,4 +1,5 @@
-//! The thread that writes to the disk and syncs it: its calls block, so no other task waits for the disk.
+//! The thread that writes and syncs the journal. Its system calls block, so they run outside of the asynchronous
+//! tasks.
 
 use super::journal::{Journal, Step};
 use opalrun_storage::StorageError;
@@ -14,18 +15,18 @@
 };
 use tokio::sync::mpsc as async_mpsc;
 
-/// How long the thread waits before it writes again to a full disk.
+/// Delay before a write that failed because the disk was full is retried.
 const DISK_FULL_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// The result of a job.
+/// The result of a job of the disk thread.
 pub(super) enum JobResult {
-    /// All steps are durable. The journal has this many bytes now.
+    /// All steps are durable. Has the size of the journal in bytes.
     Synced { journal_bytes: u64 },
-    /// The disk has failed; nothing more is written.
+    /// A write has failed; the thread ends and writes nothing more.
     Failed { error: StorageError },
 }
 
-/// Hands jobs to the thread. Dropping this ends the thread after its current job, and waits for that.
+/// Handle of the disk thread. Dropping it ends the thread after its current job, and waits for that.
 pub(super) struct DiskThread {
     jobs: Option<mpsc::Sender<Vec<Step>>>,
     stopping: Arc<AtomicBool>,
@@ -33,7 +34,7 @@
 }
 
 impl DiskThread {
-    /// Starts the thread. The receiver gets a result for each job.
+    /// Starts the thread. The receiver yields one result for each job, in order.
     pub fn start(mut journal: Journal) -> io::Result<(Self, async_mpsc::UnboundedReceiver<JobResult>)> {
         let (jobs, incoming) = mpsc::channel::<Vec<Step>>();
         let (outgoing, results) = async_mpsc::unbounded_channel();
@@ -52,7 +53,7 @@
         Ok((Self { jobs: Some(jobs), stopping, thread: Some(thread) }, results))
     }
 
-    /// Hands over a job; false after a failure, which has been reported already.
+    /// Submits a job. Returns `false` after a failure, which has already been reported as a result.
     pub fn submit(&self, steps: Vec<Step>) -> bool {
         self.jobs.as_ref().is_some_and(|jobs| jobs.send(steps).is_ok())
     }
@@ -63,13 +64,13 @@
         self.stopping.store(true, Ordering::Relaxed);
         self.jobs.take();
         if let Some(thread) = self.thread.take() {
-            // The files must be free when this process opens them again.
+            // The files must be closed before this process opens them again.
             let _ = thread.join();
         }
     }
 }
 
-/// Carries out a job, on a full disk again until there is space. Until then nothing in it is acknowledged.
+/// Carries out a job. While the disk is full the job is retried, and nothing of it is acknowledged.
 fn carry_out(journal: &mut Journal, steps: &[Step], stopping: &AtomicBool) -> JobResult {
     let mut is_logged = false;
     loop {
@@ -77,7 +78,7 @@
             Ok(()) => return JobResult::Synced { journal_bytes: journal.bytes() },
             Err(error) if error.is_full() && !stopping.load(Ordering::Relaxed) => {
                 if !is_logged {
-                    tracing::warn!(%error, "disk full: waiting for space");
+                    tracing::warn!(%error, "disk full; retrying the write until there is space");
                 }
                 is_logged = true;
                 thread::sleep(DISK_FULL_RETRY_DELAY);
--- a/crates/control/src/host/driver.rs
+++ b/crates/control/src/host/driver.rs
@@ -1,4 +1,5 @@
-//! The tasks that drive the groups: each input wakes the driver, which does at once what all groups ask for.
+//! The tasks that drive the groups. Each input wakes the driver, which carries out the pending work of all groups in
+//! one batch.
 
 use super::{
     Host, HostFailure,
@@ -18,12 +19,12 @@
     time::{MissedTickBehavior, interval},
 };
 
-/// Ticks between two updates of the links to the members.
+/// Number of ticks between two updates of the links to the members.
 const LINK_UPDATE_TICKS: u64 = 4;
-/// Ticks between two join requests of a process that is no member.
+/// Number of ticks between two join requests of a process that is not a member.
 const JOIN_REQUEST_TICKS: u64 = 10;
 
-/// Starts the tasks that drive the host. They end when the host is dropped.
+/// Spawns the tasks that drive the host. They end when the host is dropped.
 pub(super) fn spawn(host: &Rc<Host>, results: async_mpsc::UnboundedReceiver<JobResult>) {
     tokio::task::spawn_local(drive(Rc::downgrade(host)));
     tokio::task::spawn_local(tick(Rc::downgrade(host)));
@@ -68,7 +69,7 @@
         match result {
             JobResult::Synced { journal_bytes } => host.synced(journal_bytes),
             JobResult::Failed { error } => {
-                tracing::error!(%error, "the disk has failed");
+                tracing::error!(%error, "writing to the data directory failed; the control process can't continue");
                 host.failed.send_replace(Some(Arc::new(HostFailure::Write { source: error })));
             }
         }
@@ -76,7 +77,8 @@
 }
 
 impl Host {
-    /// Logs the votes of this process when they have changed since the last line.
+    /// Logs in how many groups this process is a voter, and the number of voters, if they have changed since the last
+    /// log line.
     fn log_votes(&self, logged: &mut VoteCount) {
         let votes = self.groups.borrow().votes_of(self.node.identity);
         if std::mem::replace(logged, votes) != votes {
@@ -84,12 +86,12 @@
                 votes = votes.own,
                 groups = votes.groups,
                 voters = votes.voters,
-                "votes in groups"
+                "the voters of the replicated groups have changed"
             );
         }
     }
 
-    /// Hands messages of other replicas to their groups.
+    /// Passes messages of other replicas to their groups.
     pub(super) fn receive(&self, messages: Vec<GroupMessage>) {
         let now = self.now();
         for message in messages {
@@ -101,14 +103,14 @@
         self.work.notify_one();
     }
 
-    /// Does what all groups ask for.
+    /// Carries out the pending work of all groups.
     fn do_work(&self) {
         let work = self.groups.borrow_mut().take_work();
         for (shard, write) in &work.writes {
             self.journal.borrow_mut().queue_write(*shard, write);
         }
         if let Some(UnreadableSnapshot { shard, error }) = work.unreadable_snapshot {
-            tracing::error!(shard = shard.0, %error, "a snapshot of another process can't be read");
+            tracing::error!(shard = shard.0, %error, "a snapshot received from another process can't be decoded");
             self.failed.send_replace(Some(Arc::new(HostFailure::Snapshot { source: error })));
         }
         for (identity, messages) in work.messages {
@@ -121,7 +123,7 @@
         }
     }
 
-    /// A job is synced: notifies the groups.
+    /// Notifies the groups that a job is durable, and compacts their logs after a checkpoint.
     fn synced(&self, journal_bytes: u64) {
         let job = self.journal.borrow_mut().synced(journal_bytes);
         let mut groups = self.groups.borrow_mut();
@@ -134,7 +136,7 @@
         self.work.notify_one();
     }
 
-    /// Replaces the journal by snapshots when it, or the log of a group, has grown enough.
+    /// Queues a checkpoint when the journal, or the log of a group, has grown enough and none is queued or in flight.
     fn checkpoint_when_due(&self) {
         let mut journal = self.journal.borrow_mut();
         let mut groups = self.groups.borrow_mut();
--- a/crates/control/src/host/error.rs
+++ b/crates/control/src/host/error.rs
@@ -1,4 +1,4 @@
-//! The errors of the replicated host.
+//! Errors of the replicated host.
 
 use opalrun_net::NetError;
 use opalrun_replication::LogIndex;
@@ -11,83 +11,83 @@
 use snafu::Snafu;
 use std::{fmt, io};
 
-/// Why the host can't start.
+/// Why a host can't start.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum HostError {
-    /// The disk failed, or what is on it can't be read.
+    /// The disk has failed, or its content is corrupt.
     #[snafu(display("{source}"))]
     Storage {
-        /// Why.
+        /// Error of the storage.
         source: StorageError,
     },
-    /// A file without damage can't be decoded.
-    #[snafu(display("{}: {what} can't be read: {source}", ResultCode::DISK_CORRUPT))]
+    /// An undamaged file or record can't be decoded.
+    #[snafu(display("{}: {what} can't be decoded: {source}", ResultCode::DISK_CORRUPT))]
     Unreadable {
-        /// What can't be decoded.
+        /// Description of the file or record, for the error message.
         what: &'static str,
-        /// Why.
+        /// Error of the decoder.
         source: FrameError,
     },
-    /// Entries are missing between a snapshot and the journal.
-    #[snafu(display("{}: shard {shard} lacks entry {index}", ResultCode::DISK_CORRUPT))]
+    /// Log entries are missing after a snapshot, or within the journal.
+    #[snafu(display("{}: log entry {index} of shard {shard} is missing", ResultCode::DISK_CORRUPT))]
     Gap {
-        /// The shard.
+        /// Shard of the log.
         shard: Shard,
-        /// The first entry that is missing.
+        /// Index of the first missing entry.
         index: LogIndex,
     },
     /// An address in the settings can't be parsed.
-    #[snafu(display("{}: {address:?} is no address", ResultCode::SETTINGS_INVALID))]
+    #[snafu(display("{}: {address:?} is not an IP address with a port", ResultCode::SETTINGS_INVALID))]
     Address {
-        /// The address.
+        /// Address as given in the settings.
         address: String,
     },
-    /// The address for other control processes can't be listened on.
+    /// The host can't listen on its address for other control processes.
     #[snafu(display("{source}"))]
     Net {
-        /// Why.
+        /// Error of the listener.
         source: NetError,
     },
-    /// The thread for the disk can't be started.
-    #[snafu(display("the disk's thread can't be started: {source}"))]
+    /// The disk thread can't be started.
+    #[snafu(display("can't start the disk thread: {source}"))]
     Thread {
-        /// Why.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
 
-/// Why a host that ran can't go on: only opening what is on disk again can help.
+/// Why a running host can't continue. The process has to be restarted, which reads the state from the disk again.
 #[derive(Debug, Snafu)]
 pub enum HostFailure {
-    /// A write to the disk has failed.
+    /// A write to the data directory has failed.
     #[snafu(display("{source}"))]
     Write {
-        /// Why.
+        /// Error of the storage.
         source: StorageError,
     },
-    /// A snapshot that another process sent was committed and can't be decoded.
+    /// A committed snapshot received from another process can't be decoded.
     #[snafu(display("{source}"))]
     Snapshot {
-        /// Why.
+        /// Error of the decoder.
         source: FrameError,
     },
 }
 
-/// Why a proposal or a read was not carried out.
+/// Why a proposal or a read has failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProposeError {
-    /// This process does not own the shard, or lost it before the command was committed: it never will be. Names the
-    /// owner, if known.
+    /// This process does not own the shard, or lost the ownership before the command was committed; the command will
+    /// never be committed. Has the identity of the owner, if known.
     NotOwner(Option<NodeIdentity>),
-    /// No majority answers.
+    /// No majority has answered, or too many requests are in flight.
     NoQuorum,
-    /// It took too long. What was proposed may be applied all the same.
+    /// The time-out has expired. The command may still be committed and applied.
     TimedOut,
 }
 
 impl ProposeError {
-    /// The numbered result code.
+    /// Returns the result code for the caller.
     #[must_use]
     pub fn code(self) -> ResultCode {
         match self {
@@ -101,8 +101,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let what = match self {
             Self::NotOwner(_) => "another process owns the shard",
-            Self::NoQuorum => "no majority answers",
-            Self::TimedOut => "not committed in time",
+            Self::NoQuorum => "no majority has answered",
+            Self::TimedOut => "not committed before the time-out",
         };
         write!(f, "{}: {what}", self.code())
     }
@@ -110,13 +110,14 @@
 
 impl std::error::Error for ProposeError {}
 
-/// Why a call of another process brought no answer.
+/// Why a remote call to another process got no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum CallError {
-    /// There is no link: the call was not sent.
-    #[snafu(display("there is no link to the process"))]
+    /// The call was not carried out: there is no connection to the process, it has another identity than the one
+    /// called, or it has no handler yet.
+    #[snafu(display("no connection to the process, or it has another identity"))]
     Unreachable,
-    /// No answer came in time, or the link broke.
-    #[snafu(display("the process did not answer"))]
+    /// No answer was received in time, or the connection was lost. The call may have been carried out.
+    #[snafu(display("the process did not answer in time"))]
     TimedOut,
 }
--- a/crates/control/src/host/frame_handler.rs
+++ b/crates/control/src/host/frame_handler.rs
@@ -1,4 +1,4 @@
-//! What a host does with a frame from another control process.
+//! Handling of the frames received from other control processes.
 
 use super::{Host, peer_frame::PeerFrame};
 use opalrun_net::FrameWriter;
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 impl Host {
-    /// Handles a frame; what it answers is written to the frame's connection.
+    /// Handles a frame. An answer is written to `writer`, the connection that the frame came from.
     pub(super) fn receive_frame(self: &Rc<Self>, frame: PeerFrame, writer: &FrameWriter) {
         match frame {
             PeerFrame::Handshake(node) => self.record_peer(&node),
@@ -20,7 +20,8 @@
         }
     }
 
-    /// Records that a process is up, and its address.
+    /// Records the contact with a process and its address, and reconnects to it immediately if there is no
+    /// connection.
     fn record_peer(self: &Rc<Self>, node: &ControlNode) {
         self.contacts.borrow_mut().record(node.identity);
         if let Ok(address) = node.peer_address.parse() {
--- a/crates/control/src/host/freshness.rs
+++ b/crates/control/src/host/freshness.rs
@@ -1,18 +1,21 @@
-//! Whether what a process knows of a shard is fresh. Sans I/O; times are milliseconds of the steady clock.
+//! Freshness of a shard's state at this process. Sans I/O; times are milliseconds of the monotonic clock.
 
 use opalrun_replication::Replica;
 
-/// A shard is fresh while its leader, or for a leader a majority, was heard within this time.
+/// Maximum time since the last message of the leader, or at the leader since the last contact with a majority, for
+/// which a shard is fresh.
 const MAX_LEADER_CONTACT_AGE_MS: u64 = 500;
-/// A follower is fresh only while its leader heard it within this time, too: otherwise what subscribers report here
-/// reaches nobody.
+/// Maximum time since the leader last received a message of this follower, for which a shard is fresh. Without this
+/// condition a process that can only receive would count as fresh, and the reports of its subscribers would be lost.
 const MAX_CONTACT_AGE_AT_LEADER_MS: u64 = 1000;
-/// A process that did not run for this long has been suspended: what it receives next may be old.
+/// Gap between two ticks after which the process counts as suspended: messages that were queued meanwhile may be
+/// outdated.
 const MAX_TICK_GAP_MS: u64 = 250;
-/// How long a process that was suspended does not trust what it receives.
-const DISTRUST_AFTER_SUSPENSION_MS: u64 = 250;
+/// Time after the end of a suspension during which no shard is fresh, so that queued messages are processed first.
+const HOLD_DOWN_AFTER_SUSPENSION_MS: u64 = 250;
 
-/// Whether a replica has heard its leader, was heard by it, and has handed over all that is committed.
+/// Returns whether a replica is in recent contact with its leader, in both directions, and has released all committed
+/// entries for application.
 #[must_use]
 pub fn is_fresh(replica: &Replica, now: u64) -> bool {
     replica.has_recent_contact(now, MAX_LEADER_CONTACT_AGE_MS)
@@ -20,33 +23,34 @@
         && replica.is_up_to_date()
 }
 
-/// Detects that this process did not run for a while, by the gap between two ticks. What was queued for it in the
-/// meantime must not pass for fresh.
+/// Detects by the gap between two ticks that this process was suspended. Messages that were queued meanwhile must not
+/// count as recent contact.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct SuspensionDetector {
-    ticked_at: u64,
-    trusted_from: u64,
+    last_tick: u64,
+    /// End of the hold-down time after the last suspension.
+    hold_down_until: u64,
 }
 
 impl SuspensionDetector {
-    /// A detector for a process that starts now.
+    /// Creates a detector for a process that starts at `now`.
     #[must_use]
     pub fn new(now: u64) -> Self {
-        Self { ticked_at: now, trusted_from: now }
+        Self { last_tick: now, hold_down_until: now }
     }
 
-    /// The process runs.
+    /// Records that the process runs at `now`.
     pub fn tick(&mut self, now: u64) {
-        if now > self.ticked_at + MAX_TICK_GAP_MS {
-            self.trusted_from = now + DISTRUST_AFTER_SUSPENSION_MS;
+        if now > self.last_tick + MAX_TICK_GAP_MS {
+            self.hold_down_until = now + HOLD_DOWN_AFTER_SUSPENSION_MS;
         }
-        self.ticked_at = now;
+        self.last_tick = now;
     }
 
-    /// Whether the process has run without a gap for long enough that what it receives is recent.
+    /// Returns whether the process is not suspended and the hold-down time after the last suspension has passed.
     #[must_use]
     pub fn is_running(&self, now: u64) -> bool {
-        now >= self.trusted_from && now <= self.ticked_at + MAX_TICK_GAP_MS
+        now >= self.hold_down_until && now <= self.last_tick + MAX_TICK_GAP_MS
     }
 }
 
--- a/crates/control/src/host/freshness/tests.rs
+++ b/crates/control/src/host/freshness/tests.rs
@@ -1,6 +1,6 @@
-//! Suspensions of the process.
+//! Tests of the detection of suspensions.
 
-use super::{DISTRUST_AFTER_SUSPENSION_MS, MAX_TICK_GAP_MS, SuspensionDetector};
+use super::{HOLD_DOWN_AFTER_SUSPENSION_MS, MAX_TICK_GAP_MS, SuspensionDetector};
 
 #[test]
 fn a_process_that_ticks_is_running() {
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_process_that_has_not_ticked_is_not_running_even_before_it_detects_that() {
+fn a_process_without_a_recent_tick_is_not_running() {
     let mut detector = SuspensionDetector::new(1_000);
     detector.tick(1_050);
     assert!(detector.is_running(1_050 + MAX_TICK_GAP_MS));
@@ -20,13 +20,13 @@
 }
 
 #[test]
-fn after_a_suspension_what_is_received_first_is_not_trusted() {
+fn a_resumed_process_is_not_running_until_the_hold_down_time_has_passed() {
     let mut detector = SuspensionDetector::new(1_000);
     let resumed_at = 1_001 + MAX_TICK_GAP_MS;
-    for now in resumed_at..resumed_at + DISTRUST_AFTER_SUSPENSION_MS {
+    for now in resumed_at..resumed_at + HOLD_DOWN_AFTER_SUSPENSION_MS {
         detector.tick(now);
         assert!(!detector.is_running(now));
     }
-    detector.tick(resumed_at + DISTRUST_AFTER_SUSPENSION_MS);
-    assert!(detector.is_running(resumed_at + DISTRUST_AFTER_SUSPENSION_MS));
+    detector.tick(resumed_at + HOLD_DOWN_AFTER_SUSPENSION_MS);
+    assert!(detector.is_running(resumed_at + HOLD_DOWN_AFTER_SUSPENSION_MS));
 }
--- a/crates/control/src/host/golden_tests.rs
+++ b/crates/control/src/host/golden_tests.rs
@@ -1,4 +1,5 @@
-//! What a control process keeps on its disk, and sends to others, keeps the bytes that earlier builds wrote.
+//! Golden tests: the files of a control process and the frames between control processes have the same encoding as in
+//! earlier builds.
 
 #[path = "../../tests/golden_storage/golden_file.rs"]
 mod golden_file;
@@ -30,18 +31,18 @@
 use std::{fs, path::Path, rc::Rc, time::Duration};
 use tokio::{task::LocalSet, time::timeout};
 
-/// The folder that an earlier build wrote.
+/// Name of the golden data directory, written by an earlier build.
 const DATA_DIRECTORY: &str = "data_directory";
-/// Where the process of [`DATA_DIRECTORY`] was reached.
+/// Control address of the process that wrote [`DATA_DIRECTORY`].
 const CONTROL_ADDRESS: &str = "127.0.0.1:8144";
 const PEER_PORT: u16 = 7380;
-/// The term of everything in [`DATA_DIRECTORY`].
+/// Term of all entries, votes and snapshots in [`DATA_DIRECTORY`].
 const TERM: u64 = 3;
-/// Entries of each shard that the snapshots in [`DATA_DIRECTORY`] cover; the others are in the journal.
+/// Number of entries of each shard that the snapshots in [`DATA_DIRECTORY`] cover; the others are in the journal.
 const ENTRIES_IN_SNAPSHOT: usize = 3;
-/// The shard whose snapshot came from another process.
+/// Shard whose snapshot was received from another process.
 const INSTALLED_SHARD: u16 = 2;
-/// How long a process may take to become the leader of all groups and apply what it found.
+/// Time limit for a started process to become the leader of all groups and apply the stored entries.
 const START_LIMIT: Duration = Duration::from_secs(20);
 
 fn node() -> ControlNode {
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn records_of_the_journal() {
+fn journal_records_keep_their_encoding() {
     let check = |name: &str, content: Content| {
         golden_file::check(&format!("journal_record/{name}"), &Record { shard: Shard(2), content });
     };
@@ -95,12 +96,12 @@
 }
 
 #[test]
-fn the_content_of_a_snapshot_file() {
+fn the_content_of_a_snapshot_file_keeps_its_encoding() {
     golden_file::check("snapshot/file_content", &Snapshot { metadata: header(), state: b"state".to_vec() });
 }
 
 #[test]
-fn the_content_of_the_identity_file() {
+fn the_content_of_the_identity_file_keeps_its_encoding() {
     golden_file::check(
         "identity/first_member",
         &Identity { identity: NodeIdentity(11), genesis: membership() },
@@ -112,7 +113,7 @@
 }
 
 #[test]
-fn frames_between_control_processes() {
+fn frames_between_control_processes_keep_their_encoding() {
     golden_file::check("peer_frame/hello", &PeerFrame::Handshake(node()));
     golden_file::check("peer_frame/join", &PeerFrame::Join(node()));
     golden_file::check(
@@ -128,7 +129,7 @@
 }
 
 #[test]
-fn messages_of_replicas_between_control_processes() {
+fn replication_messages_between_control_processes_keep_their_encoding() {
     let check = |name: &str, body: MessageBody| {
         let message = |shard| GroupMessage {
             shard,
@@ -227,7 +228,7 @@
     })
 }
 
-/// The commands of a shard in [`DATA_DIRECTORY`], in the order of its log.
+/// Returns the encoded commands of a shard in [`DATA_DIRECTORY`], in the order of its log.
 fn commands(shard: u16) -> Vec<Vec<u8>> {
     if shard == 0 {
         let form = StoreCommand::FormMap { replicas: 3, spread: Spread::over_zones(1, 1) };
@@ -261,7 +262,7 @@
     numbered.map(entry).collect()
 }
 
-/// A shard's state after its first commands.
+/// Returns shards in which the first `count` commands of one shard are applied.
 fn state_after(shard: u16, count: usize) -> Shards {
     let shards = Shards::new();
     for entry in log(shard).iter().take(count) {
@@ -297,12 +298,12 @@
     }
 }
 
-/// Writes the folder as a process does that has taken a checkpoint of all shards but one, got the snapshot of that one
-/// from another process, and has appended entries since.
+/// Writes the data directory of a process that has taken a checkpoint of all shards but one, has received the
+/// snapshot of that one from another process, and has appended entries since.
 fn write_data_directory(path: &Path) {
-    let directory = DataDirectory::open(path).expect("the folder can be opened");
+    let directory = DataDirectory::open(path).expect("the data directory can be opened");
     let options = options(path, format!("127.0.0.1:{PEER_PORT}"));
-    let identity = Identity::load_or_create(&directory, &options).expect("an identity is stored");
+    let identity = Identity::load_or_create(&directory, &options).expect("the identity can be stored");
     let (mut journal, _) =
         Journal::open(&directory, usize::from(SHARDS), &identity.genesis).expect("the journal can be opened");
     let hard_state = HardState { term: Term(TERM), voted_for: Some(member_id(identity.identity)) };
@@ -319,30 +320,32 @@
         entries: log(INSTALLED_SHARD)[ENTRIES_IN_SNAPSHOT..].to_vec(),
     };
     let steps = [vec![Step::Checkpoint { snapshots, records }], steps_of(Shard(INSTALLED_SHARD), &installed)];
-    journal.carry_out(&steps.concat()).expect("everything is written");
+    journal.carry_out(&steps.concat()).expect("the steps can be carried out");
 }
 
-/// A copy of the golden folder, so that a test may open it for writing.
+/// Copies the golden data directory, so that a test may open it for writing.
 fn copy_of_data_directory() -> tempfile::TempDir {
     let golden = golden_file::path(DATA_DIRECTORY);
     if !golden.exists() {
         assert!(golden_file::may_write(), "{} is missing", golden.display());
         write_data_directory(&golden);
     }
-    let copy = tempfile::tempdir().expect("a folder");
+    let copy = tempfile::tempdir().expect("a temporary folder can be created");
     for file in fs::read_dir(golden).expect("the golden folder can be read") {
-        let file = file.expect("a file");
+        let file = file.expect("the folder can be listed");
         fs::copy(file.path(), copy.path().join(file.file_name())).expect("the file can be copied");
     }
     copy
 }
 
 #[test]
-fn a_data_directory_of_an_earlier_build_is_read_with_snapshots_and_log() {
+fn the_snapshots_and_logs_of_an_earlier_build_are_read() {
     let folder = copy_of_data_directory();
-    let directory = DataDirectory::open(folder.path()).expect("the folder can be opened");
-    let found = stored_state::read(&directory, SHARDS).expect("it can be read").expect("it holds a state");
-    let genesis = Identity::load(&directory).expect("it can be read").expect("it is there").genesis;
+    let directory = DataDirectory::open(folder.path()).expect("the data directory can be opened");
+    let found =
+        stored_state::read(&directory, SHARDS).expect("the state can be read").expect("the state exists");
+    let genesis =
+        Identity::load(&directory).expect("the identity can be read").expect("the identity exists").genesis;
     assert_eq!(found.first_members, 1);
     assert_eq!(member_id(found.identity), genesis.members[0].identity);
     for (shard, restored) in (0..).zip(found.shards) {
@@ -359,15 +362,15 @@
 }
 
 #[test]
-fn a_data_directory_is_written_to_the_same_bytes() {
+fn a_data_directory_is_written_with_the_same_bytes_as_by_an_earlier_build() {
     let golden = copy_of_data_directory();
-    let written = tempfile::tempdir().expect("a folder");
+    let written = tempfile::tempdir().expect("a temporary folder can be created");
     write_data_directory(written.path());
     let contents = |path: &Path| {
         let files = fs::read_dir(path).expect("the folder can be read");
         let mut files: Vec<_> = files
-            .map(|file| file.expect("a file"))
-            .map(|file| (file.file_name(), fs::read(file.path()).expect("it can be read")))
+            .map(|file| file.expect("the folder can be listed"))
+            .map(|file| (file.file_name(), fs::read(file.path()).expect("the file can be read")))
             .collect();
         files.sort();
         files
@@ -379,30 +382,34 @@
 fn a_snapshot_file_of_an_earlier_build_is_read_and_written_in_the_same_format() {
     const FORMAT: u32 = 2;
     let folder = copy_of_data_directory();
-    let directory = DataDirectory::open(folder.path()).expect("the folder can be opened");
+    let directory = DataDirectory::open(folder.path()).expect("the data directory can be opened");
     let file = VersionedFile::new(&directory, "shard-0.snapshot", FORMAT);
-    let VersionedContent { format, content } = file.read().expect("it can be read").expect("it is there");
-    let genesis = Identity::load(&directory).expect("it can be read").expect("it is there").genesis;
+    let VersionedContent { format, content } =
+        file.read().expect("the file can be read").expect("the file exists");
+    let genesis =
+        Identity::load(&directory).expect("the identity can be read").expect("the identity exists").genesis;
     assert_eq!(format, FORMAT);
     assert_eq!(decode::<Snapshot>(&content), Ok(snapshot_of(0, &genesis)));
 }
 
 #[test]
-fn a_process_that_starts_on_a_data_directory_of_an_earlier_build_finds_the_same_state() {
+fn a_process_started_on_a_data_directory_of_an_earlier_build_has_the_same_state() {
     let folder = copy_of_data_directory();
     let own_process = std::process::id().to_le_bytes();
     let peer_address = format!("127.17.{}.{}:{PEER_PORT}", own_process[0], own_process[1].max(1));
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime can be built");
     let test = async {
         let shards = Shards::new();
         let machine = |shard| Box::new(ShardMachine::new(shards.clone(), shard)) as Box<dyn StateMachine>;
         let machines = all_shards().map(machine).collect();
-        let host = Host::start(options(folder.path(), peer_address), machines).await.expect("it starts");
+        let host =
+            Host::start(options(folder.path(), peer_address), machines).await.expect("the host starts");
         for shard in 0..SHARDS {
             let last = log(shard).len() as u64;
             timeout(START_LIMIT, shards.wait_for(Shard(shard), LogIndex(last)))
                 .await
-                .expect("the log is applied");
+                .expect("the log is applied in time");
         }
         for shard in 0..SHARDS {
             let expected = state_after(shard, usize::MAX);
--- a/crates/control/src/host/group.rs
+++ b/crates/control/src/host/group.rs
@@ -1,4 +1,4 @@
-//! One replicated group in this process: its replica, its state machine and the callers that wait for it.
+//! The local part of one replicated group: its replica, its state machine and its pending proposals and reads.
 
 use super::{Committed, ProposeError, StateMachine, members::node_identity};
 use opalrun_replication::{Entry, LogIndex, LogPosition, Payload, ReadIndexResult, Replica, Snapshot, Term};
@@ -6,32 +6,33 @@
 use std::collections::{BTreeMap, HashMap};
 use tokio::sync::oneshot;
 
-/// What a caller learns of its proposal.
+/// The result of a proposal for its caller.
 type ProposalResult = Result<Committed, ProposeError>;
 
 /// A proposal in flight.
 struct PendingProposal {
-    /// The term that the entry must have; an entry of another term is another leader's.
+    /// Term of the proposed entry. A committed entry at the same index with another term was proposed by another
+    /// leader.
     term: Term,
     result: oneshot::Sender<ProposalResult>,
 }
 
-/// One replicated group in this process.
+/// The local part of one replicated group.
 pub(super) struct Group {
     pub replica: Replica,
     state_machine: Box<dyn StateMachine>,
-    /// The last entry applied to the state machine.
+    /// Index of the last log entry applied to the state machine.
     pub applied: LogIndex,
-    /// The last entry covered by the snapshot on disk, or by one that is being written.
+    /// Index of the last log entry covered by the snapshot on disk, or by the one that is being written.
     pub snapshot_index: LogIndex,
-    /// Proposals in flight, by index.
+    /// Proposals in flight, by log index.
     proposals: BTreeMap<LogIndex, PendingProposal>,
-    /// Reads in flight, by the number of the request.
+    /// Linearizable reads in flight, by request number.
     reads: HashMap<u64, oneshot::Sender<bool>>,
 }
 
 impl Group {
-    /// A group as it was found on disk: the state machine holds the state of the replica's snapshot.
+    /// Creates a group from its stored state. The state machine must hold the state of the replica's snapshot.
     pub fn new(replica: Replica, state_machine: Box<dyn StateMachine>) -> Self {
         let base = replica.commit_index();
         Self {
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Proposes a command. The receiver gets the result once the entry is applied.
+    /// Proposes a command. The receiver yields the result once the entry is applied.
     pub fn propose(&mut self, command: Vec<u8>) -> Result<oneshot::Receiver<ProposalResult>, ProposeError> {
         let LogPosition { index, term } = self.replica.propose(command).map_err(as_propose_error)?;
         let (result, receiver) = oneshot::channel();
@@ -52,8 +53,8 @@
         Ok(receiver)
     }
 
-    /// Asks for a point at which the state may be read. The receiver gets false if this process is not the leader any
-    /// more.
+    /// Starts a linearizable read. The receiver yields `true` once the state may be read, or `false` if this process
+    /// is no longer the leader.
     pub fn read(&mut self, request: u64) -> Result<oneshot::Receiver<bool>, ProposeError> {
         self.replica.read_index(request).map_err(as_propose_error)?;
         let (sender, receiver) = oneshot::channel();
@@ -61,7 +62,7 @@
         Ok(receiver)
     }
 
-    /// The encoded state as of the last entry applied.
+    /// Returns the encoded state as of the last applied entry.
     pub fn state(&self) -> Vec<u8> {
         self.state_machine.snapshot()
     }
@@ -89,8 +90,8 @@
         let _ = proposal.result.send(result);
     }
 
-    /// Replaces the state by a snapshot of another process. A proposal that the snapshot covers may or may not be part
-    /// of it, so its caller gets no result.
+    /// Replaces the state by a snapshot of another process. Whether the snapshot contains a pending proposal whose
+    /// index it covers is unknown, so the caller of that proposal gets no result.
     ///
     /// # Errors
     /// Where the state can't be decoded.
@@ -103,7 +104,7 @@
         restored
     }
 
-    /// Completes a read.
+    /// Completes a linearizable read.
     pub fn finish_read(&mut self, result: ReadIndexResult) {
         let (request, is_confirmed) = match result {
             ReadIndexResult::Confirmed { request, .. } => (request, true),
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Forgets proposals and reads whose callers have timed out.
+    /// Discards proposals and reads whose callers have timed out.
     pub fn drop_abandoned_requests(&mut self) {
         self.proposals.retain(|_, proposal| !proposal.result.is_closed());
         self.reads.retain(|_, sender| !sender.is_closed());
--- a/crates/control/src/host/groups.rs
+++ b/crates/control/src/host/groups.rs
@@ -1,4 +1,5 @@
-//! The replicated groups of this process, one for each shard. No I/O: what they ask for is gathered in [`GroupWork`].
+//! The replicated groups of this process, one for each shard. Sans I/O: the I/O that they require is collected in
+//! [`GroupWork`].
 
 use super::{
     group::Group,
@@ -13,23 +14,24 @@
 };
 use std::collections::{BTreeMap, HashMap};
 
-/// A checkpoint is due once a group has applied this many entries since its last snapshot.
+/// Number of entries that a group applies after its last snapshot before a checkpoint is due.
 const CHECKPOINT_ENTRIES: u64 = 4096;
-/// Entries that a group keeps in memory although a snapshot covers them, for followers that are a little behind.
+/// Maximum number of entries that a group retains in memory although a snapshot covers them, so that followers
+/// slightly behind don't need the snapshot.
 const MAX_RETAINED_ENTRIES: u64 = 512;
-/// Bytes of such entries.
+/// Maximum size in bytes of the entries retained in this way.
 const MAX_RETAINED_BYTES: usize = 512 << 10;
 
-/// What all groups ask their process to do.
+/// The I/O that all groups require of their process.
 #[derive(Default)]
 pub(super) struct GroupWork {
-    /// Writes for the journal, each with its shard, in order.
+    /// Writes to the journal, each with its shard, in order.
     pub writes: Vec<(Shard, Write)>,
-    /// Messages to other processes, by their identity.
+    /// Messages to other processes, by the receiver's identity.
     pub messages: BTreeMap<NodeIdentity, Vec<GroupMessage>>,
-    /// The state of a shard has changed.
+    /// Whether the state of a shard has changed.
     pub has_applied: bool,
-    /// The state in a snapshot of another process can't be decoded.
+    /// Set if the state in a snapshot of another process can't be decoded.
     pub unreadable_snapshot: Option<UnreadableSnapshot>,
 }
 
@@ -39,25 +41,26 @@
     pub error: FrameError,
 }
 
-/// Snapshots of the groups, and the records that are needed beside them: together they replace the journal.
+/// Snapshots of the groups and the journal records after them. Together they replace the journal.
 pub(super) struct Checkpoint {
-    /// Encoded snapshots of the shards that have changed since the last one.
+    /// Encoded snapshots of the shards that have changed since their last snapshot.
     pub snapshots: Vec<(Shard, Vec<u8>)>,
+    /// Encoded records of the terms, votes and entries that the snapshots don't cover.
     pub records: Vec<Vec<u8>>,
 }
 
-/// How many votes this process has.
+/// Number of groups in which a process is a voter, and number of voters.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct VoteCount {
-    /// Groups in which this process has a vote.
+    /// Number of groups in which the process is a voter.
     pub own: usize,
-    /// Voters of the largest group.
+    /// Number of voters of the group that has the most.
     pub voters: usize,
-    /// All groups.
+    /// Number of groups.
     pub groups: usize,
 }
 
-/// The replicated groups of this process, by the number of their shard.
+/// The replicated groups of this process, indexed by shard number.
 pub(super) struct Groups {
     groups: Vec<Group>,
 }
@@ -67,31 +70,31 @@
         Self { groups }
     }
 
-    /// The group of a shard.
+    /// Returns the group of a shard.
     pub fn of_shard(&mut self, shard: Shard) -> &mut Group {
         &mut self.groups[shard.position()]
     }
 
-    /// The numbers of all shards.
+    /// Returns all shards.
     pub fn shards(&self) -> impl Iterator<Item = Shard> + use<> {
         (0..self.groups.len() as u16).map(Shard)
     }
 
-    /// Advances the clock of all groups to `now`, in milliseconds of the steady clock.
+    /// Advances the clock of all groups to `now`, in milliseconds of the monotonic clock.
     pub fn tick(&mut self, now: u64) {
         for group in &mut self.groups {
             group.replica.tick(now);
         }
     }
 
-    /// Hands a message to its group; one for an unknown shard is dropped.
+    /// Passes a message to its group. A message for an unknown shard is dropped.
     pub fn receive(&mut self, now: u64, GroupMessage { shard, message }: GroupMessage) {
         if let Some(group) = self.groups.get_mut(shard.position()) {
             group.replica.step(now, message);
         }
     }
 
-    /// Applies what is committed and gathers what all groups ask for.
+    /// Applies committed entries and collects the I/O that all groups require.
     pub fn take_work(&mut self) -> GroupWork {
         let mut work = GroupWork::default();
         for (shard, group) in (0..).map(Shard).zip(&mut self.groups) {
@@ -109,17 +112,18 @@
         work
     }
 
-    /// The write with this sequence, and all before it, are synced.
+    /// Notifies a group that the write with this sequence number, and all before it, are durable.
     pub fn persisted(&mut self, shard: Shard, sequence: u64) {
         self.of_shard(shard).replica.on_persisted(sequence);
     }
 
-    /// Whether a group has applied so many entries since its last snapshot that a checkpoint is due.
+    /// Returns whether a group has applied [`CHECKPOINT_ENTRIES`] since its last snapshot.
     pub fn is_checkpoint_due(&self) -> bool {
         self.groups.iter().any(|group| group.applied >= group.snapshot_index + CHECKPOINT_ENTRIES)
     }
 
-    /// Takes snapshots of the groups that have changed since their last one.
+    /// Takes snapshots of the groups that have changed since their last snapshot, and collects the records after the
+    /// snapshots of all groups.
     pub fn checkpoint(&mut self) -> Checkpoint {
         let mut checkpoint = Checkpoint { snapshots: Vec::new(), records: Vec::new() };
         for (shard, group) in (0..).map(Shard).zip(&mut self.groups) {
@@ -136,28 +140,29 @@
         checkpoint
     }
 
-    /// Drops entries from memory that the snapshots on disk cover.
+    /// Discards entries in memory that the snapshots on disk cover, except the retained ones.
     pub fn compact(&mut self) {
         for group in &mut self.groups {
             group.replica.compact(group.snapshot_index, MAX_RETAINED_ENTRIES, MAX_RETAINED_BYTES);
         }
     }
 
-    /// Sets the members that all groups should have; each group that this process leads moves towards them.
+    /// Sets the desired members of all groups. The groups that this process leads change their membership towards
+    /// them.
     pub fn set_desired_members(&mut self, members: &[Member]) {
         for group in &mut self.groups {
             group.replica.set_desired_members(members.to_vec());
         }
     }
 
-    /// Addresses of the members of all groups, by identity.
+    /// Returns the addresses of the members of all groups, by identity.
     pub fn member_addresses(&self) -> HashMap<NodeIdentity, String> {
         let memberships = self.groups.iter().map(|group| group.replica.membership());
         let members = memberships.flat_map(|membership| &membership.members);
         members.map(|member| (node_identity(member.identity), member.address.clone())).collect()
     }
 
-    /// How many votes a process has in the groups.
+    /// Returns in how many groups a process is a voter.
     pub fn votes_of(&self, identity: NodeIdentity) -> VoteCount {
         let memberships = || self.groups.iter().map(|group| group.replica.membership());
         VoteCount {
@@ -167,8 +172,8 @@
         }
     }
 
-    /// Begins to transfer the leadership of all groups that this process leads to other members, as far as there are
-    /// any. Returns whether a transfer is under way.
+    /// Starts to transfer the leadership of all groups that this process leads to other voters, where there are any.
+    /// Returns whether a transfer is in progress.
     pub fn transfer_leadership(&mut self) -> bool {
         let mut is_transferring = false;
         for group in &mut self.groups {
@@ -177,13 +182,13 @@
         is_transferring
     }
 
-    /// Forgets proposals and reads whose callers have timed out.
+    /// Discards proposals and reads whose callers have timed out.
     pub fn drop_abandoned_requests(&mut self) {
         self.groups.iter_mut().for_each(Group::drop_abandoned_requests);
     }
 }
 
-/// Carries out what needs no I/O, and adds the rest to the work.
+/// Carries out the outputs of a replica that need no I/O, and adds the others to the work.
 fn take_ready(shard: Shard, group: &mut Group, ready: Ready, work: &mut GroupWork) {
     work.writes.extend(ready.writes.into_iter().map(|write| (shard, write)));
     for message in ready.messages {
--- a/crates/control/src/host/identity.rs
+++ b/crates/control/src/host/identity.rs
@@ -1,4 +1,4 @@
-//! The identity of this process, stored on its disk.
+//! The identity of this process, stored in its data directory.
 
 use super::{HostError, HostOptions, addresses::peer_address, error, members::member_id};
 use opalrun_replication::{Member, Membership};
@@ -12,21 +12,21 @@
 use snafu::ResultExt;
 use std::hash::{BuildHasher, RandomState};
 
-/// The name of the file in the data directory.
+/// Name of the file in the data directory.
 const FILE_NAME: &str = "identity";
-/// The format of the file.
+/// Format version of the file.
 const FORMAT: u32 = 1;
 
-/// The identity of this process, and the members that its groups began with.
+/// The identity of this process, and the membership with which its groups were bootstrapped.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub(super) struct Identity {
     pub identity: NodeIdentity,
-    /// Empty in a process that joined later.
+    /// Membership with which the groups were bootstrapped; empty in a process that joined later.
     pub genesis: Membership,
 }
 
 impl Identity {
-    /// Reads the identity; `None` on an empty disk.
+    /// Reads the identity; returns `None` if none is stored.
     pub fn load(directory: &DataDirectory) -> Result<Option<Self>, HostError> {
         let file = VersionedFile::new(directory, FILE_NAME, FORMAT);
         match file.read().context(error::StorageSnafu)? {
@@ -37,8 +37,9 @@
         }
     }
 
-    /// Reads the identity, or draws one on an empty disk and stores it. At the first start of the whole system the
-    /// identity of a seed is a hash of its address, so that all seeds know the first members.
+    /// Reads the identity, or creates and stores one if none is stored. At the first start of the whole system a
+    /// seed's identity is a hash of its control address, so that all seeds agree on the first members. Otherwise the
+    /// identity is random.
     pub fn load_or_create(directory: &DataDirectory, options: &HostOptions) -> Result<Self, HostError> {
         if let Some(known) = Self::load(directory)? {
             return Ok(known);
@@ -68,7 +69,7 @@
     Ok(Membership::new(members))
 }
 
-/// A random number from the operating system.
+/// Returns a random number, seeded by the operating system.
 pub(super) fn random_number() -> u64 {
     RandomState::new().hash_one(std::process::id())
 }
--- a/crates/control/src/host/journal.rs
+++ b/crates/control/src/host/journal.rs
@@ -1,10 +1,10 @@
-//! The files of the groups of this process: one journal for all of them, so that one sync serves all pending writes,
+//! The files of this process's groups: one journal that all groups share, so that one sync covers all pending writes,
 //! and a snapshot file for each shard.
 //!
-//! The logs of the shards are independent: each record names its shard, and each shard has its own terms, indexes and
-//! snapshots. A snapshot that came from another process is written in two steps: first an [`Content::Installing`] record
-//! in the journal, then the file. The record takes effect, and clears the shard's earlier entries, once the file holds
-//! that snapshot or a later one.
+//! The logs of the shards are independent: each record has the number of its shard, and each shard has its own terms,
+//! indexes and snapshots. A snapshot received from another process is written in two steps: first an
+//! [`Content::Installing`] record in the journal, then the snapshot file. On replay the record clears the shard's
+//! earlier entries only if the file holds that snapshot or a later one.
 
 use super::{HostError, error};
 use opalrun_replication::{
@@ -19,9 +19,9 @@
 use snafu::ResultExt;
 use std::{collections::BTreeMap, rc::Rc};
 
-/// The name of the journal in the data directory.
+/// Name of the journal in the data directory.
 const JOURNAL_NAME: &str = "journal";
-/// The format of the snapshot files.
+/// Format version of the snapshot files.
 const SNAPSHOT_FORMAT: u32 = 2;
 
 /// A record of the journal.
@@ -31,37 +31,37 @@
     pub content: Content,
 }
 
-/// What a record says about its shard.
+/// The content of a journal record.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub(super) enum Content {
-    /// A new term or vote.
+    /// A new current term or vote.
     HardState(HardState),
-    /// An entry; it replaces the entry of its index and all after it.
+    /// A log entry; it replaces the entry at its index and removes all after it.
     Entry(Rc<Entry>),
-    /// A snapshot as of this entry replaces all entries, once its file is there.
+    /// A snapshot up to this log index replaces all entries, once its file is written.
     Installing(LogIndex),
 }
 
-/// A shard as it was found on disk.
+/// A shard's state as read from the disk.
 #[derive(Debug, Default)]
 pub(super) struct RestoredShard {
     pub log: RestoredState,
-    /// The state machine's state as of the log's base.
+    /// Encoded state of the state machine as of the log's base; `None` without a snapshot.
     pub state: Option<Vec<u8>>,
 }
 
-/// One step for the disk. It holds bytes only, as it is sent to another thread.
+/// One write operation for the disk thread. Holds only encoded bytes, so that it can be sent to that thread.
 #[derive(Debug, Clone)]
 pub(super) enum Step {
-    /// Records to append.
+    /// Appends encoded records to the journal.
     Append(Vec<Vec<u8>>),
-    /// A snapshot from another process, with the record that announces it.
+    /// Writes a snapshot received from another process, after the record that announces it.
     Install { shard: Shard, installing: Vec<u8>, snapshot: Vec<u8> },
-    /// Snapshots of this process's state, and the records that are still needed beside them: they replace the journal.
+    /// Writes snapshots of this process's state, and replaces the journal by the records that they don't cover.
     Checkpoint { snapshots: Vec<(Shard, Vec<u8>)>, records: Vec<Vec<u8>> },
 }
 
-/// The steps for what a replica asks to be written.
+/// Returns the steps that carry out a write of a replica.
 pub(super) fn steps_of(shard: Shard, write: &Write) -> Vec<Step> {
     let mut steps = Vec::new();
     if let Some(snapshot) = &write.snapshot {
@@ -72,7 +72,7 @@
     steps
 }
 
-/// Records of a term and vote and of entries.
+/// Returns the encoded records of a term and vote and of log entries.
 pub(super) fn records_of(shard: Shard, hard_state: Option<HardState>, entries: &[Rc<Entry>]) -> Vec<Vec<u8>> {
     let hard_state = hard_state.map(|hard_state| encode_record(shard, Content::HardState(hard_state)));
     let entries = entries.iter().map(|entry| encode_record(shard, Content::Entry(entry.clone())));
@@ -83,14 +83,15 @@
     encode(&Record { shard, content }).to_vec()
 }
 
-/// The files of all groups of this process.
+/// The journal and the snapshot files of all groups of this process.
 pub(super) struct Journal {
     log: RecordLog,
     snapshots: Vec<VersionedFile>,
 }
 
 impl Journal {
-    /// Opens the files and reads what they hold. A shard without a snapshot begins with the members `genesis`.
+    /// Opens the files and reads the state of all shards. A shard without a snapshot starts with the membership
+    /// `genesis`.
     pub fn open(
         directory: &DataDirectory,
         shards: usize,
@@ -130,7 +131,7 @@
         Ok((journal, restored))
     }
 
-    /// Carries out steps, all of which are durable when this returns.
+    /// Carries out steps. All of them are durable when this returns.
     pub fn carry_out(&mut self, steps: &[Step]) -> Result<(), StorageError> {
         for step in steps {
             match step {
@@ -152,7 +153,7 @@
         self.log.sync()
     }
 
-    /// Bytes of the journal.
+    /// Returns the size of the journal in bytes.
     pub fn bytes(&self) -> u64 {
         self.log.bytes()
     }
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Replaces the journal by these records.
+    /// Replaces the journal by the given records.
     fn replace(&mut self, records: &[Vec<u8>]) -> Result<(), StorageError> {
         let first = self.log.next_record();
         self.log.roll();
@@ -172,7 +173,8 @@
         self.log.drop_before(first)
     }
 
-    /// An [`Content::Installing`] record without effect must not take effect later: everything is written again after it.
+    /// Rewrites the journal without the [`Content::Installing`] records whose snapshot file was not written.
+    /// Otherwise such a record would clear entries at a later replay, once a later snapshot has been written.
     fn rewrite(&mut self, shards: &[RestoredShard]) -> Result<(), StorageError> {
         let mut records = Vec::new();
         for (shard, restored) in shards.iter().enumerate() {
@@ -192,11 +194,12 @@
     }
 }
 
-/// Replays the records of a shard.
+/// Rebuilds the state of a shard from its snapshot and its journal records.
 struct ShardReader {
     snapshot: Option<Snapshot>,
     hard_state: HardState,
     entries: BTreeMap<LogIndex, Rc<Entry>>,
+    /// Whether the journal has an [`Content::Installing`] record whose snapshot file was not written.
     has_pending_install: bool,
 }
 
--- a/crates/control/src/host/journal_tests.rs
+++ b/crates/control/src/host/journal_tests.rs
@@ -1,4 +1,4 @@
-//! The journal under losses of power at every operation.
+//! Tests of the journal with a loss of power at every disk operation, and with a full disk.
 
 use super::journal::{Journal, RestoredShard, Step, records_of, steps_of};
 use opalrun_replication::{
@@ -10,7 +10,7 @@
 
 const SHARDS: usize = 2;
 
-/// What a shard must be found as.
+/// Expected state of a shard after opening the journal.
 #[derive(Debug, Clone, Default, PartialEq)]
 struct Model {
     hard_state: HardState,
@@ -50,7 +50,7 @@
     }
 }
 
-/// A random job on one shard: the steps, and the shard after them.
+/// Returns the steps of a random job on one shard, and the expected state of the shard after them.
 fn random_job(shard: u16, model: &Model, random: &mut fastrand::Rng) -> (Vec<Step>, Model) {
     let mut after = model.clone();
     let mut write = Write { sequence: 1, hard_state: None, snapshot: None, entries: Vec::new() };
@@ -68,7 +68,7 @@
     } else if random.u8(0..4) == 0 {
         let kept = random.usize(0..=after.entries.len());
         after.entries.truncate(kept);
-        // Without an entry in their place the others stay.
+        // Only an entry at an index removes the entries from that index on, so one has to be written.
         add_entry(&mut after, &mut write, random);
     }
     for _ in 0..random.usize(0..4) {
@@ -103,13 +103,14 @@
     (vec![Step::Checkpoint { snapshots, records }], after)
 }
 
-/// What was acknowledged must be found; of a job that failed any part may be, as long as nothing older is lost.
-fn check(found: &Model, before: &Model, after: &Model, what: &str) {
+/// Checks the state read after a failed job. All acknowledged state must be there, except entries that the job
+/// replaces. Of the failed job any part may be there.
+fn check(found: &Model, before: &Model, after: &Model, context: &str) {
     if found == before || found == after {
         return;
     }
-    assert!([before.hard_state, after.hard_state].contains(&found.hard_state), "{what}: {found:?}");
-    assert!(found.base() == before.base() || found.base() == after.base(), "{what}: {found:?}");
+    assert!([before.hard_state, after.hard_state].contains(&found.hard_state), "{context}: {found:?}");
+    assert!(found.base() == before.base() || found.base() == after.base(), "{context}: {found:?}");
     let at = |model: &Model, index: u64| {
         let position = index.checked_sub(model.base() + 1)?;
         model.entries.get(position as usize).cloned()
@@ -117,45 +118,47 @@
     for entry in &found.entries {
         let is_known = at(before, entry.index.0).as_ref() == Some(entry)
             || at(after, entry.index.0).as_ref() == Some(entry);
-        assert!(is_known, "{what}: entry {} is of nowhere", entry.index);
+        assert!(is_known, "{context}: entry {} was never written", entry.index);
     }
     let is_kept = |entry: &Entry| {
         at(found, entry.index.0).as_ref() == Some(entry) || entry.index <= LogIndex(found.base())
     };
     let stays = |entry: &&Entry| at(after, entry.index.0).as_ref() == Some(*entry);
-    assert!(before.entries.iter().filter(stays).all(is_kept), "{what}: an acknowledged entry is lost");
+    assert!(before.entries.iter().filter(stays).all(is_kept), "{context}: an acknowledged entry is lost");
 }
 
-/// Several lives of a process, each ended by a loss of power.
-fn lose_power_again_and_again(seed: u64, operations: u64, loss: impl Fn(u64) -> PowerLoss) {
+/// Runs a process several times. Each run loses power after `operations` disk operations, and the first start after
+/// it loses power as well.
+fn run_with_repeated_power_losses(seed: u64, operations: u64, loss: impl Fn(u64) -> PowerLoss) {
     let disk = MemoryDisk::new();
     let mut random = fastrand::Rng::with_seed(seed);
     let (mut journal, mut models) = open(&disk);
-    for life in 0..4 {
-        let what = format!("seed {seed}, {operations} operations, life {life}");
+    for run in 0..4 {
+        let context = format!("seed {seed}, {operations} operations, run {run}");
         disk.fail_after(Some(operations));
-        let after = work_until_failure(&mut journal, &mut models, &mut random);
+        let after = run_jobs_until_failure(&mut journal, &mut models, &mut random);
         drop(journal);
-        disk.lose_power(loss(life));
-        // Opening may be cut short as well.
+        disk.lose_power(loss(run));
+        // The start after it may also lose power.
         disk.fail_after(Some(seed % 5));
         let directory = DataDirectory::open_on(Arc::new(disk.clone()), "/data");
         let _ =
             directory.map(|directory| Journal::open(&directory, SHARDS, &Membership::default()).map(drop));
-        disk.lose_power(loss(life + 100));
+        disk.lose_power(loss(run + 100));
         let (opened, found) = open(&disk);
         for shard in 0..SHARDS {
-            check(&found[shard], &models[shard], &after[shard], &what);
+            check(&found[shard], &models[shard], &after[shard], &context);
         }
         drop(opened);
         let (opened, again) = open(&disk);
-        assert_eq!(found, again, "{what}");
+        assert_eq!(found, again, "{context}");
         (journal, models) = (opened, found);
     }
 }
 
-/// Carries out random jobs. `models` becomes what was acknowledged; what the last job would have made is returned.
-fn work_until_failure(
+/// Carries out random jobs until one fails, but at most 40. Sets `models` to the acknowledged state, and returns the
+/// state that the last job would have produced.
+fn run_jobs_until_failure(
     journal: &mut Journal,
     models: &mut Vec<Model>,
     random: &mut fastrand::Rng,
@@ -163,13 +166,13 @@
     let mut after = models.clone();
     for _ in 0..40 {
         let steps = if random.u8(0..8) == 0 {
-            let (steps, then) = checkpoint(models, random);
-            after = then;
+            let (steps, expected) = checkpoint(models, random);
+            after = expected;
             steps
         } else {
             let shard = random.usize(0..SHARDS);
-            let (steps, then) = random_job(shard as u16, &models[shard], random);
-            after[shard] = then;
+            let (steps, expected) = random_job(shard as u16, &models[shard], random);
+            after[shard] = expected;
             steps
         };
         if journal.carry_out(&steps).is_err() {
@@ -181,19 +184,19 @@
 }
 
 #[test]
-fn power_lost_at_every_operation() {
+fn no_acknowledged_entry_is_lost_with_a_power_loss_at_any_operation() {
     for seed in 0..40 {
         for operations in 0..60 {
-            let loss = |life| PowerLoss::Random { seed: (seed * 1000 + operations) * 1000 + life };
-            lose_power_again_and_again(seed, operations, loss);
+            let loss = |run| PowerLoss::Random { seed: (seed * 1000 + operations) * 1000 + run };
+            run_with_repeated_power_losses(seed, operations, loss);
         }
-        lose_power_again_and_again(seed, seed, |_| PowerLoss::DropAll);
-        lose_power_again_and_again(seed, seed, |_| PowerLoss::KeepAll);
+        run_with_repeated_power_losses(seed, seed, |_| PowerLoss::DropAll);
+        run_with_repeated_power_losses(seed, seed, |_| PowerLoss::KeepAll);
     }
 }
 
 #[test]
-fn a_full_disk_loses_nothing() {
+fn no_state_is_lost_on_a_full_disk() {
     let disk = MemoryDisk::new();
     let (mut journal, _) = open(&disk);
     let mut random = fastrand::Rng::with_seed(1);
--- a/crates/control/src/host/journal_writer.rs
+++ b/crates/control/src/host/journal_writer.rs
@@ -1,4 +1,5 @@
-//! What is on its way to the journal: one job at a time is with the disk's thread, the rest is queued.
+//! Queue of writes to the journal: the disk thread processes one job at a time, later writes are batched into the
+//! next job.
 
 use super::{
     disk::DiskThread,
@@ -9,33 +10,33 @@
 use opalrun_wire::ids::Shard;
 use std::collections::BTreeMap;
 
-/// A checkpoint is due once the journal has grown by this many bytes since the last one.
+/// Number of bytes by which the journal grows after a checkpoint before the next one is due.
 const CHECKPOINT_BYTES: u64 = 4 << 20;
 
-/// Hands writes to the disk's thread, as one job with one sync for all that came while the job before it ran.
+/// Submits writes to the disk thread. All writes queued while a job runs become one job with one sync.
 pub(super) struct JournalWriter {
     disk: DiskThread,
     queued: Job,
-    /// The job that the disk's thread works on; it has taken the steps.
+    /// The job submitted to the disk thread, without its steps, which were moved there.
     in_flight: Option<Job>,
-    /// Bytes of the journal after the last checkpoint; `None` while one is queued or in flight.
+    /// Size of the journal in bytes after the last checkpoint; `None` while a checkpoint is queued or in flight.
     checkpoint_bytes: Option<u64>,
-    /// Bytes of the journal after the last job.
+    /// Size of the journal in bytes after the last completed job.
     journal_bytes: u64,
 }
 
-/// Steps that are synced together.
+/// Steps that become durable with one sync.
 #[derive(Default)]
 struct Job {
     steps: Vec<Step>,
-    /// The sequence of the newest write of each shard.
+    /// Sequence number of the newest write of each shard.
     writes: BTreeMap<Shard, u64>,
     has_checkpoint: bool,
 }
 
-/// What a job has made durable.
+/// The writes that a completed job has made durable.
 pub(super) struct SyncedJob {
-    /// The sequence of the newest write of each shard.
+    /// Sequence number of the newest write of each shard.
     pub writes: BTreeMap<Shard, u64>,
     pub has_checkpoint: bool,
 }
@@ -45,35 +46,35 @@
         Self { disk, queued: Job::default(), in_flight: None, checkpoint_bytes: Some(0), journal_bytes: 0 }
     }
 
-    /// Bytes of the journal after the last job.
+    /// Returns the size of the journal in bytes after the last completed job.
     pub fn journal_bytes(&self) -> u64 {
         self.journal_bytes
     }
 
-    /// Queues a write of a group.
+    /// Queues a write of a group for the next job.
     pub fn queue_write(&mut self, shard: Shard, write: &Write) {
         self.queued.steps.extend(journal::steps_of(shard, write));
         self.queued.writes.insert(shard, write.sequence);
     }
 
-    /// Whether a checkpoint may be queued: none is queued or in flight.
+    /// Returns whether a checkpoint may be queued, because none is queued or in flight.
     pub fn can_checkpoint(&self) -> bool {
         self.checkpoint_bytes.is_some()
     }
 
-    /// Whether the journal has grown so much since the last checkpoint that another one is due.
+    /// Returns whether the journal has grown by more than [`CHECKPOINT_BYTES`] since the last checkpoint.
     pub fn is_checkpoint_due(&self) -> bool {
         self.checkpoint_bytes.is_some_and(|bytes| self.journal_bytes > bytes + CHECKPOINT_BYTES)
     }
 
-    /// Queues a checkpoint, which replaces the journal.
+    /// Queues a checkpoint, which replaces the journal, for the next job.
     pub fn queue_checkpoint(&mut self, Checkpoint { snapshots, records }: Checkpoint) {
         self.checkpoint_bytes = None;
         self.queued.steps.push(Step::Checkpoint { snapshots, records });
         self.queued.has_checkpoint = true;
     }
 
-    /// Hands what is queued to the disk's thread, if that is idle.
+    /// Submits the queued writes to the disk thread, if it is idle.
     pub fn submit(&mut self) {
         if self.in_flight.is_some() || self.queued.steps.is_empty() {
             return;
@@ -84,7 +85,8 @@
         }
     }
 
-    /// The job in flight is synced; the journal has this many bytes now. Returns what is durable by it.
+    /// Records that the job in flight is durable and the size of the journal in bytes. Returns the writes of that
+    /// job.
     pub fn synced(&mut self, journal_bytes: u64) -> SyncedJob {
         let job = self.in_flight.take().unwrap_or_default();
         if job.has_checkpoint {
--- a/crates/control/src/host/links.rs
+++ b/crates/control/src/host/links.rs
@@ -1,4 +1,5 @@
-//! Links to other control processes: one outgoing connection for each address, over which this process sends.
+//! Links to other control processes: one outgoing connection to each address, over which this process sends its
+//! messages and calls.
 
 use super::{
     Host,
@@ -22,45 +23,45 @@
     time::{Instant, sleep},
 };
 
-/// Another control process, as the log names it.
+/// Name of this kind of peer in log lines.
 pub(super) const CONTROL_PEER: &str = "control";
-/// How long a connection may take to come up.
+/// Time limit for one attempt to connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
-/// Backoff after the first failed connect; it doubles with each further one.
+/// Backoff after the first failed attempt to connect; it doubles with each further one.
 const MIN_CONNECT_BACKOFF: Duration = Duration::from_millis(50);
-/// The longest backoff.
+/// Maximum backoff between two attempts to connect.
 const MAX_CONNECT_BACKOFF: Duration = Duration::from_millis(400);
-/// How long the listener waits after accepting has failed.
+/// Delay before the listener retries after a failure to accept a connection.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Most bytes of messages in one frame; a single message may be longer.
+/// Maximum size in bytes of the messages in one frame; a single longer message is sent in a frame of its own.
 const MAX_FRAME_MESSAGE_BYTES: usize = 1 << 20;
-/// A process that is no member keeps its link for this time after it was last heard.
+/// Time after the last contact for which the link to a process that is not a member is retained.
 const NON_MEMBER_LINK_EXPIRY: Duration = Duration::from_secs(5);
 
 #[cfg(test)]
 mod tests;
 
-/// Links to other control processes. Shared by the tasks of the links and of the host, which all run on one thread; no
-/// borrow lasts across an await.
+/// Links to other control processes. Shared by the tasks of the links and of the host, which all run on one thread;
+/// no borrow is held across an await.
 pub(super) struct Links {
     node: ControlNode,
     by_address: RefCell<HashMap<SocketAddr, Rc<Link>>>,
-    /// Addresses of the processes that have a link, by identity.
+    /// Addresses of the linked processes, by identity.
     routes: RefCell<HashMap<NodeIdentity, SocketAddr>>,
-    /// Addresses of processes that have connected here, by identity; they need not be members.
+    /// Addresses of processes that have connected to this one, by identity; they need not be members.
     connected_peers: RefCell<HashMap<NodeIdentity, SocketAddr>>,
-    /// Addresses of the seeds while this process is no member.
+    /// Addresses of the seeds; empty while this process is a member.
     seeds: RefCell<Vec<SocketAddr>>,
 }
 
-/// A link to one address. Its task ends when the link is dropped.
+/// A link to one address. Its task ends after the link is dropped.
 struct Link {
     address: SocketAddr,
     /// `None` while there is no connection.
     writer: RefCell<Option<FrameWriter>>,
-    /// Whether the process there can be reached; shared with the link's task.
+    /// Records whether the process at the address can be reached; shared with the link's task.
     reachability: Rc<RefCell<Reachability>>,
-    /// Notified when the process there has been heard, so that connecting is attempted at once.
+    /// Notified when a message of the process at the address is received, so that the task connects immediately.
     retry: Rc<Notify>,
 }
 
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Sends messages of replicas; they are lost if there is no connection.
+    /// Sends replication messages; they are dropped if there is no connection.
     pub fn send_messages(&self, identity: NodeIdentity, messages: Vec<GroupMessage>) {
         let Some(writer) = self.writer(identity) else {
             return;
@@ -101,7 +102,7 @@
         let _ = writer.send(&PeerFrame::Replication(batch));
     }
 
-    /// Sends a call; false where there is no connection.
+    /// Sends a remote call. Returns `false` if there is no connection.
     pub fn send_call(&self, identity: NodeIdentity, number: u64, bytes: Vec<u8>) -> bool {
         let call = PeerFrame::Call { to: identity, number, bytes };
         self.writer(identity).is_some_and(|writer| writer.send(&call).is_ok())
@@ -117,24 +118,25 @@
         }
     }
 
-    /// Identities of the processes that have a link.
+    /// Returns the identities of the linked processes.
     pub fn identities(&self) -> Vec<NodeIdentity> {
         self.routes.borrow().keys().copied().collect()
     }
 
-    /// Processes that can't be reached, and attempts that failed at those that have a link.
+    /// Returns the number of linked processes that can't be reached, and of failed attempts to connect to linked
+    /// processes.
     pub fn peer_count(&self) -> PeerCount {
         self.by_address.borrow().values().map(|link| link.reachability.borrow().count()).sum()
     }
 
-    /// Records the address of a process that has connected here, so that it can be answered before it is a member.
-    /// Returns whether the address is a new one.
+    /// Records the address of a process that has connected here, so that messages can be sent to it before it is a
+    /// member. Returns whether the address is new or has changed.
     pub fn record_peer(&self, identity: NodeIdentity, address: SocketAddr) -> bool {
         self.connected_peers.borrow_mut().insert(identity, address) != Some(address)
     }
 
-    /// The process at an address is up: where there is no connection to it, connecting is attempted now. An attempt from
-    /// before it was up may wait for an answer that never comes.
+    /// Starts an attempt to connect to an address now, if there is no connection. Called when the process there is
+    /// known to be up, as an attempt that started before may wait for an answer that never comes.
     pub fn retry(&self, address: SocketAddr) {
         let links = self.by_address.borrow();
         let unconnected = links.get(&address).filter(|link| link.writer.borrow().is_none());
@@ -148,7 +150,7 @@
         self.by_address.borrow().get(&address)?.writer.borrow().clone()
     }
 
-    /// Makes the routes anew and returns the addresses that need a link.
+    /// Rebuilds the routes and returns the addresses that need a link.
     fn update_routes(
         &self,
         contacts: &PeerContacts,
@@ -170,7 +172,8 @@
     }
 }
 
-/// Keeps links to the addresses of these members, of processes that have connected here recently, and of the seeds.
+/// Creates and drops links so that there is one to each of these members, to each process that has connected here
+/// recently, and to each of the seeds.
 pub(super) fn update(host: &Rc<Host>, members: &HashMap<NodeIdentity, String>, seeds: &[SocketAddr]) {
     let addresses = host.links.update_routes(&host.contacts.borrow(), members, seeds);
     let mut links = host.links.by_address.borrow_mut();
@@ -191,7 +194,7 @@
     link
 }
 
-/// Connects again and again until the link is dropped.
+/// Keeps a link connected until it or the host is dropped.
 async fn maintain_link(host: Weak<Host>, link: Weak<Link>, address: SocketAddr) {
     let Some((retry, reachability)) =
         link.upgrade().map(|link| (link.retry.clone(), link.reachability.clone()))
@@ -207,22 +210,22 @@
     }
 }
 
-/// Attempts to connect once, and records whether the process there could be reached.
+/// Attempts to connect once, and records whether the process could be reached.
 async fn attempt_to_connect(
     address: SocketAddr,
     reachability: &RefCell<Reachability>,
 ) -> Result<Connection, NetError> {
-    let began = Instant::now();
+    let started = Instant::now();
     let outcome = connect(address, CONNECT_TIMEOUT).await;
     match &outcome {
         Ok(_) => reachability.borrow_mut().log_reached(address),
-        Err(error) => reachability.borrow_mut().log_failure(address, began, error),
+        Err(error) => reachability.borrow_mut().log_failure(address, started, error),
     }
     outcome
 }
 
-/// Attempts to connect, with growing backoff, until it succeeds or is not wanted any more. When `retry` is notified, the
-/// current attempt or backoff is abandoned for a new attempt.
+/// Attempts to connect with exponential backoff, until an attempt succeeds or `is_wanted` returns `false`. When
+/// `retry` is notified, the current attempt or backoff is abandoned and a new attempt starts immediately.
 pub(super) async fn connect_persistently<C, E, F: Future<Output = Result<C, E>>>(
     attempt: impl Fn() -> F,
     retry: &Notify,
@@ -245,7 +248,7 @@
     None
 }
 
-/// Sends over a connection and receives answers until it ends.
+/// Uses a connection for the link's outgoing frames, and handles received frames, until it ends.
 async fn use_connection(host: &Weak<Host>, link: &Weak<Link>, connection: Connection) {
     let (mut reader, writer) = connection.split();
     {
@@ -263,7 +266,7 @@
     }
 }
 
-/// Accepts connections of other processes until the host is dropped.
+/// Spawns the task that accepts connections of other processes until the host is dropped.
 pub(super) fn spawn_listener(host: &Rc<Host>, listener: Listener) {
     let mut alive = host.alive.subscribe();
     let host = Rc::downgrade(host);
@@ -278,7 +281,7 @@
                     tokio::task::spawn_local(serve_incoming(host.clone(), alive.clone(), connection));
                 }
                 Err(error) => {
-                    tracing::warn!(%error, "can't accept a connection");
+                    tracing::warn!(%error, "can't accept a connection of a control process");
                     sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
@@ -294,14 +297,14 @@
     }
 }
 
-/// Receives frames until the connection ends.
+/// Receives and handles frames until the connection ends.
 async fn receive_frames(host: &Weak<Host>, reader: &mut FrameReader, writer: &FrameWriter) {
     loop {
         let frame = match reader.next::<PeerFrame>().await {
             Ok(Some(frame)) => frame,
             Ok(None) => return,
             Err(error) => {
-                tracing::debug!(%error, "a link ended");
+                tracing::debug!(%error, "connection to a control process failed");
                 return;
             }
         };
--- a/crates/control/src/host/members.rs
+++ b/crates/control/src/host/members.rs
@@ -1,14 +1,15 @@
-//! A control process is a member of every group, under its own identity.
+//! Conversion between identities of control processes and ids of group members: both have the same number, in every
+//! group.
 
 use opalrun_replication::MemberId;
 use opalrun_wire::ids::NodeIdentity;
 
-/// The member that a control process is.
+/// Returns the member id of a control process.
 pub(crate) fn member_id(identity: NodeIdentity) -> MemberId {
     MemberId(identity.0)
 }
 
-/// The control process that a member is.
+/// Returns the identity of the control process with a member id.
 pub(crate) fn node_identity(member: MemberId) -> NodeIdentity {
     NodeIdentity(member.0)
 }
--- a/crates/control/src/host/mod.rs
+++ b/crates/control/src/host/mod.rs
@@ -1,14 +1,15 @@
-//! The replicated host: runs the groups of all shards in one process, over one link to each other process and one
-//! thread for the disk.
+//! The replicated host: runs the Raft groups of all shards in one process, with one link to each other process and
+//! one disk thread.
 //!
-//! Everything but the disk runs on the thread of a `LocalSet`. Inputs (calls, frames, ticks, finished writes) change the
-//! groups and wake the driver, which then does at once what all groups ask for: one frame for each peer, one job for
-//! the disk with one sync, and the entries to apply.
+//! Everything except the disk writes runs on the thread of a `LocalSet`. Inputs (calls, frames, ticks, completed
+//! writes) change the groups and wake the driver. The driver then carries out the pending work of all groups in one
+//! batch: it sends one frame to each peer, submits one job with one sync to the disk thread, and applies committed
+//! entries.
 //!
-//! Each concern has a type that owns its state: `Groups` the replicas, their state machines and pending requests (no
-//! I/O), `JournalWriter` what is on its way to the disk, `Links` the connections to other processes,
-//! `PeerContacts` and [`SuspensionDetector`] what freshness depends on, `PendingCalls` the calls in flight.
-//! [`Host`] wires them up; the tasks are in `driver` and `links`.
+//! Each part has a type that owns its state: `Groups` the replicas, their state machines and pending requests (sans
+//! I/O), `JournalWriter` the queued and unfinished disk writes, `Links` the connections to other processes,
+//! `PeerContacts` the last contact with each process, [`SuspensionDetector`] the suspensions of this process,
+//! `PendingCalls` the remote calls in flight. [`Host`] connects them; the tasks are in `driver` and `links`.
 
 mod addresses;
 mod disk;
@@ -74,36 +75,37 @@
     time::{sleep, timeout},
 };
 
-/// How long a proposal or a read may take. A caller outside goes to another process after a second.
+/// Time limit of a proposal or a linearizable read. External callers time out after a second and retry at another
+/// process.
 const OPERATION_TIMEOUT: Duration = Duration::from_millis(700);
-/// How long the transfers of all leaderships at the end may take.
+/// Time limit for the transfer of all leaderships at the shutdown.
 const LEADERSHIP_TRANSFER_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How often a transfer of leadership is checked, and begun again where it has failed.
+/// Interval at which the transfers of leadership are checked, and restarted where they have failed.
 const LEADERSHIP_TRANSFER_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A command that is committed and applied.
+/// The result of a command that is committed and applied.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Committed {
-    /// Its index in the shard's log.
+    /// Index of the command in the shard's log.
     pub index: LogIndex,
-    /// The reply of the state machine.
+    /// Encoded reply of the state machine.
     pub reply: Vec<u8>,
 }
 
-/// The encoded answer to a call, which may take time.
+/// Future of the encoded answer to a remote call.
 pub type CallFuture = Pin<Box<dyn Future<Output = Vec<u8>>>>;
 type CallHandler = Rc<dyn Fn(Vec<u8>) -> CallFuture>;
 type JoinHandler = Rc<dyn Fn(ControlNode)>;
 
-/// What a process knows of a shard's group, to notice when it changes.
+/// Status of a shard's group at this process, to detect changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct ShardStatus {
-    /// The identity of the owner, if known.
+    /// Identity of the owner, if known.
     owner: Option<NodeIdentity>,
     is_fresh: bool,
 }
 
-/// Runs the groups of all shards of one process. Its tasks share it on one thread; no borrow lasts across an await.
+/// Runs the groups of all shards of one process. Its tasks share it on one thread; no borrow is held across an await.
 pub struct Host {
     node: ControlNode,
     seeds: Vec<SocketAddr>,
@@ -114,19 +116,19 @@
     pending_calls: PendingCalls,
     contacts: RefCell<PeerContacts>,
     suspensions: Cell<SuspensionDetector>,
-    /// Wakes the driver.
+    /// Notified to wake the driver.
     work: Rc<Notify>,
-    /// Ends the tasks that wait for other processes when the host is dropped.
+    /// Its receivers are notified when the host is dropped, so that tasks waiting for other processes end.
     alive: watch::Sender<()>,
-    /// Counts the changes that [`Self::applied_changed`] notifies of.
+    /// Number of changes so far that [`Self::applied_changed`] notifies of.
     applied: watch::Sender<u64>,
-    /// Why this host can't go on, once it can't.
+    /// Why this host can't continue; `None` while it works.
     failed: watch::Sender<Option<Arc<HostFailure>>>,
-    /// The status of each shard as of the last look.
+    /// Status of each shard at the last check for changes.
     shard_statuses: RefCell<Vec<ShardStatus>>,
-    /// The members that all groups should have.
+    /// Desired members of all groups.
     desired_members: RefCell<Vec<ControlNode>>,
-    /// This process is shutting down and does not send join requests any more.
+    /// Set while this process is leaving the groups before its shutdown; it then sends no join requests.
     is_leaving: Cell<bool>,
     call_handler: RefCell<Option<CallHandler>>,
     join_handler: RefCell<Option<JoinHandler>>,
@@ -134,11 +136,12 @@
 }
 
 impl Host {
-    /// Opens the state on disk and starts all groups, one for each state machine, in the order of the shards. Runs inside
-    /// a `LocalSet`. When this returns, the host accepts links from others.
+    /// Reads the stored state and starts all groups, one for each state machine, in the order of the shards. Must be
+    /// called inside a `LocalSet`. When this returns, the host accepts connections of other control processes.
     ///
     /// # Errors
-    /// Where the state can't be read, an address is invalid or can't be listened on.
+    /// Where the stored state can't be read, an address is invalid or can't be bound, or the disk thread can't be
+    /// started.
     pub async fn start(
         options: HostOptions,
         state_machines: Vec<Box<dyn StateMachine>>,
@@ -183,7 +186,8 @@
         Ok(host)
     }
 
-    /// This process's identity: stored on its disk, another one after the loss of the disk.
+    /// Returns this process's identity. It is stored in the data directory; after the loss of the disk the process
+    /// gets a new one.
     #[must_use]
     pub fn identity(&self) -> NodeIdentity {
         self.node.identity
@@ -192,8 +196,8 @@
     /// Proposes a command and waits until it is applied.
     ///
     /// # Errors
-    /// [`ProposeError::NotOwner`]: it is not and will not be applied. [`ProposeError::NoQuorum`]: too much is in flight
-    /// already. [`ProposeError::TimedOut`]: it may be applied, now or later.
+    /// [`ProposeError::NotOwner`]: the command was not applied and never will be. [`ProposeError::NoQuorum`]: too
+    /// many proposals are in flight. [`ProposeError::TimedOut`]: the command may have been applied, or may still be.
     pub async fn propose(&self, shard: Shard, command: Vec<u8>) -> Result<Committed, ProposeError> {
         let result = self.with_group(shard, |group| group.propose(command))?;
         self.work.notify_one();
@@ -203,11 +207,12 @@
         }
     }
 
-    /// Waits until everything committed before the call is applied here, and this process is known to have owned the
-    /// shard after the call began.
+    /// Waits until all entries committed before the call are applied here, and a majority has confirmed that this
+    /// process owned the shard after the start of the call.
     ///
     /// # Errors
-    /// [`ProposeError::NotOwner`], or [`ProposeError::NoQuorum`] where no majority answers in time.
+    /// [`ProposeError::NotOwner`] if this process does not own the shard, [`ProposeError::NoQuorum`] if no majority
+    /// answers in time.
     pub async fn read_index(&self, shard: Shard) -> Result<(), ProposeError> {
         let request = self.next_read_request.replace(self.next_read_request.get() + 1);
         let confirmed = self.with_group(shard, |group| group.read(request))?;
@@ -219,20 +224,22 @@
         }
     }
 
-    /// The identity of the shard's owner, if known.
+    /// Returns the identity of the shard's owner, if known.
     #[must_use]
     pub fn owner(&self, shard: Shard) -> Option<NodeIdentity> {
         self.with_group(shard, |group| group.replica.leader().map(node_identity))
     }
 
-    /// Whether this process owns the shard, as far as it knows.
+    /// Returns whether this process considers itself the owner of the shard. Another process may have replaced it
+    /// meanwhile.
     #[must_use]
     pub fn is_owner(&self, shard: Shard) -> bool {
         self.with_group(shard, |group| group.replica.is_leader())
     }
 
-    /// Whether this process has heard the owner within half a second, was heard by it within a second, and has applied
-    /// what the owner had committed; the owner itself: whether it has heard a majority.
+    /// Returns whether this process received a message of the shard's owner within half a second, the owner received
+    /// one of this process within a second, and all entries known to be committed are applied here. At the owner:
+    /// whether it was in contact with a majority within half a second.
     #[must_use]
     pub fn is_fresh(&self, shard: Shard) -> bool {
         let now = self.now();
@@ -240,23 +247,24 @@
             && self.with_group(shard, |group| freshness::is_fresh(&group.replica, now))
     }
 
-    /// The last entry of the shard that is applied here.
+    /// Returns the index of the shard's last log entry that is applied here.
     #[must_use]
     pub fn applied(&self, shard: Shard) -> LogIndex {
         self.with_group(shard, |group| group.applied)
     }
 
-    /// Changes whenever something was applied, and when an owner or the freshness of a shard changes.
+    /// Returns a receiver that is notified when an entry or a snapshot was applied, and when the owner or the
+    /// freshness of a shard has changed.
     #[must_use]
     pub fn applied_changed(&self) -> watch::Receiver<u64> {
         self.applied.subscribe()
     }
 
-    /// Calls another control process and returns what its call handler answers.
+    /// Calls another control process and returns the answer of its call handler.
     ///
     /// # Errors
-    /// [`CallError::Unreachable`]: there is no link. [`CallError::TimedOut`]: no answer came in time or the link broke;
-    /// the call may have been carried out.
+    /// [`CallError::Unreachable`]: the call was not carried out. [`CallError::TimedOut`]: no answer was received in
+    /// time or the connection was lost; the call may have been carried out.
     pub async fn call(
         &self,
         identity: NodeIdentity,
@@ -273,17 +281,18 @@
         timeout(limit, call.answer()).await.unwrap_or(Err(CallError::TimedOut))
     }
 
-    /// Sets what answers the calls of other control processes.
+    /// Sets the handler that answers the remote calls of other control processes.
     pub fn set_call_handler(&self, handler: impl Fn(Vec<u8>) -> CallFuture + 'static) {
         *self.call_handler.borrow_mut() = Some(Rc::new(handler));
     }
 
-    /// Sets what handles join requests. A process repeats its request until it is a member.
+    /// Sets the handler of join requests. A process repeats its request until it is a member.
     pub fn set_join_handler(&self, handler: impl Fn(ControlNode) + 'static) {
         *self.join_handler.borrow_mut() = Some(Rc::new(handler));
     }
 
-    /// Sets the members that all groups should have; each group that this process leads moves towards them.
+    /// Sets the desired members of all groups. The groups that this process leads change their membership towards
+    /// them.
     pub fn set_desired_members(self: &Rc<Self>, nodes: Vec<ControlNode>) {
         let as_member = |node: &ControlNode| Member {
             identity: member_id(node.identity),
@@ -296,37 +305,37 @@
         self.update_links();
     }
 
-    /// Sets whether this process is leaving: then it does not send join requests.
+    /// Sets whether this process is leaving the groups. A leaving process sends no join requests.
     pub fn set_leaving(&self, is_leaving: bool) {
         self.is_leaving.set(is_leaving);
     }
 
-    /// The voters of a shard that this process owns, if the latest change of them is committed.
+    /// Returns the voters of a shard that this process owns, if the latest membership change is committed.
     #[must_use]
     pub fn committed_voters(&self, shard: Shard) -> Option<Vec<NodeIdentity>> {
         let voters = self.with_group(shard, |group| group.replica.committed_voters())?;
         Some(voters.into_iter().map(node_identity).collect())
     }
 
-    /// Bytes of the journal of all groups.
+    /// Returns the size in bytes of the journal, which all groups share.
     #[must_use]
     pub fn journal_bytes(&self) -> u64 {
         self.journal.borrow().journal_bytes()
     }
 
-    /// The newest term of a shard that is known here.
+    /// Returns the current Raft term of a shard at this process.
     #[must_use]
     pub fn term(&self, shard: Shard) -> Term {
         self.with_group(shard, |group| group.replica.term())
     }
 
-    /// A shard's members, as this process's log says.
+    /// Returns a shard's members by the newest membership in this process's log, committed or not.
     #[must_use]
     pub fn members(&self, shard: Shard) -> Vec<Member> {
         self.with_group(shard, |group| group.replica.membership().members.clone())
     }
 
-    /// The identities of a shard's voters, as this process's log says.
+    /// Returns the identities of a shard's voters by the newest membership in this process's log, committed or not.
     #[must_use]
     pub fn voters(&self, shard: Shard) -> Vec<NodeIdentity> {
         self.with_group(shard, |group| {
@@ -339,20 +348,21 @@
         })
     }
 
-    /// Identities of the processes that this one keeps links to: members as of its log, and those that have connected
-    /// here recently.
+    /// Returns the identities of the processes that this one has links to: current and desired members, and processes
+    /// that have connected here recently.
     #[must_use]
     pub fn linked_peers(&self) -> Vec<NodeIdentity> {
         self.links.identities()
     }
 
-    /// Other control processes that can't be reached, and attempts to connect to them that failed.
+    /// Returns the number of other control processes that can't be reached, and of failed attempts to connect.
     #[must_use]
     pub fn peer_count(&self) -> PeerCount {
         self.links.peer_count()
     }
 
-    /// The time since this process last heard another one; before the first time, since its own start.
+    /// Returns the time since the last message of a control process; before the first message, the time since the
+    /// start of this process. Zero for this process itself.
     #[must_use]
     pub fn since_last_contact(&self, identity: NodeIdentity) -> Duration {
         if identity == self.node.identity {
@@ -361,11 +371,11 @@
         self.contacts.borrow().since_last(identity)
     }
 
-    /// Transfers the leadership of all groups that this process leads to other members, as far as there are any. Returns
-    /// when that is done, or after a time-out.
+    /// Transfers the leadership of all groups that this process leads to other voters, where there are any. Returns
+    /// when that is done, or after `LEADERSHIP_TRANSFER_TIMEOUT`.
     pub async fn transfer_leadership(&self) {
-        let began = Instant::now();
-        while began.elapsed() < LEADERSHIP_TRANSFER_TIMEOUT {
+        let started = Instant::now();
+        while started.elapsed() < LEADERSHIP_TRANSFER_TIMEOUT {
             if !self.groups.borrow_mut().transfer_leadership() {
                 return;
             }
@@ -374,7 +384,7 @@
         }
     }
 
-    /// Waits until the host fails in a way that only a restart can mend, and returns why.
+    /// Waits for a failure that requires a restart of the process, and returns it.
     pub async fn failure(&self) -> Arc<HostFailure> {
         let mut failed = self.failed.subscribe();
         loop {
@@ -388,7 +398,7 @@
         }
     }
 
-    /// Milliseconds of the steady clock since the start.
+    /// Returns the time of the monotonic clock since the start, in milliseconds.
     fn now(&self) -> u64 {
         self.started.elapsed().as_millis() as u64
     }
@@ -399,7 +409,8 @@
         self.suspensions.set(suspensions);
     }
 
-    /// Returns whether the owner or the freshness of a shard has changed since the last call.
+    /// Updates the statuses of all shards. Returns whether the owner or the freshness of a shard has changed since
+    /// the last call.
     fn update_shard_statuses(&self) -> bool {
         let shards = self.groups.borrow().shards();
         let status = |shard| ShardStatus { owner: self.owner(shard), is_fresh: self.is_fresh(shard) };
@@ -413,25 +424,25 @@
         action(self.groups.borrow_mut().of_shard(shard))
     }
 
-    /// The answer of this process to a call; `None` before there is a handler.
+    /// Returns this process's answer to a remote call; `None` while no handler is set.
     async fn answer(&self, bytes: Vec<u8>) -> Option<Vec<u8>> {
         let handler = self.call_handler.borrow().clone()?;
         Some(handler(bytes).await)
     }
 
-    /// Whether this process is to send join requests.
+    /// Returns whether this process should send join requests.
     fn wants_to_join(&self) -> bool {
         !self.is_leaving.get() && !self.is_member()
     }
 
-    /// Whether this process is a member of the first shard's group, as far as it knows.
+    /// Returns whether this process is a member of shard 0's group by the newest membership in its log.
     fn is_member(&self) -> bool {
         self.with_group(CONFIGURATION_SHARD, |group| {
             group.replica.membership().get(member_id(self.node.identity)).is_some()
         })
     }
 
-    /// Keeps links to all members, to those that are to become members, and to the seeds while this process is none.
+    /// Updates the links: to all current and desired members, and to the seeds while this process is not a member.
     fn update_links(self: &Rc<Self>) {
         let mut members = self.groups.borrow().member_addresses();
         for node in self.desired_members.borrow().iter() {
@@ -449,7 +460,7 @@
     }
 }
 
-/// A group as it was found on disk.
+/// Creates a group from its stored state.
 ///
 /// # Errors
 /// Where the state in the snapshot can't be decoded.
--- a/crates/control/src/host/options.rs
+++ b/crates/control/src/host/options.rs
@@ -1,21 +1,22 @@
-//! How a host is run.
+//! Options of a host.
 
 use opalrun_wire::feed::ControlNode;
 use std::path::PathBuf;
 
-/// How a host is run.
+/// Options of a host.
 #[derive(Debug, Clone)]
 pub struct HostOptions {
-    /// This process; the host reads its identity from the disk.
+    /// Directory entry of this process. Its identity is ignored: the host reads it from the data directory.
     pub node: ControlNode,
-    /// The whole system starts for the first time.
+    /// Whether this is the first start of the whole system, which bootstraps the groups.
     pub bootstrap: bool,
-    /// Control addresses of the processes that get join requests; at the first start the first members.
+    /// Control addresses of the seeds: the processes that join requests are sent to, and at the bootstrap the first
+    /// members.
     pub seeds: Vec<String>,
-    /// The port at which every control process accepts links.
+    /// Port at which every control process accepts connections of others.
     pub peer_port: u16,
-    /// Disks that may be lost at one time.
+    /// Number of disks that may be lost simultaneously.
     pub hosts_lost: usize,
-    /// Where the state is stored.
+    /// Path of the data directory.
     pub data_directory: PathBuf,
 }
--- a/crates/control/src/host/peer_contacts.rs
+++ b/crates/control/src/host/peer_contacts.rs
@@ -1,4 +1,4 @@
-//! When other processes were last heard.
+//! Time of the last message of each other control process.
 
 use opalrun_wire::ids::NodeIdentity;
 use std::{
@@ -6,24 +6,25 @@
     time::{Duration, Instant},
 };
 
-/// When other processes were last heard, by identity.
+/// Records the time of the last message of each process, by identity.
 pub(super) struct PeerContacts {
     started: Instant,
     last_contact: HashMap<NodeIdentity, Instant>,
 }
 
 impl PeerContacts {
-    /// No process was heard yet.
+    /// Creates the record without contacts. `started` is the start of this process.
     pub fn new(started: Instant) -> Self {
         Self { started, last_contact: HashMap::new() }
     }
 
-    /// A process was heard just now.
+    /// Records a message of a process, received now.
     pub fn record(&mut self, identity: NodeIdentity) {
         self.last_contact.insert(identity, Instant::now());
     }
 
-    /// The time since a process was last heard; before the first time, since the start of this process.
+    /// Returns the time since the last message of a process; before the first message, the time since the start of
+    /// this process.
     pub fn since_last(&self, identity: NodeIdentity) -> Duration {
         self.last_contact.get(&identity).unwrap_or(&self.started).elapsed()
     }
--- a/crates/control/src/host/peer_frame.rs
+++ b/crates/control/src/host/peer_frame.rs
@@ -1,4 +1,4 @@
-//! The frames that control processes send over the links between them.
+//! The frames that control processes exchange over the links between them.
 
 use opalrun_replication::{Message, MessageBody};
 use opalrun_wire::{
@@ -10,26 +10,27 @@
 /// A frame on a link between two control processes.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub(super) enum PeerFrame {
-    /// The first frame of a connection: who connects.
+    /// First frame of a connection, with the directory entry of the process that connects.
     Handshake(ControlNode),
-    /// The join request of a process that is no member.
+    /// Join request of a process that is not a member.
     Join(ControlNode),
-    /// Messages between replicas, of any number of groups.
+    /// Replication messages of any number of groups.
     Replication(Vec<GroupMessage>),
-    /// A call of the other process.
+    /// Remote call to the receiver.
     Call {
-        /// The identity of the process that is meant.
+        /// Identity of the process that the call is addressed to.
         to: NodeIdentity,
-        /// The number that the answer repeats.
+        /// Number that the answer repeats.
         number: u64,
-        /// The encoded call.
+        /// Encoded call.
         bytes: Vec<u8>,
     },
-    /// The answer to a call.
+    /// Answer to a remote call.
     Answer {
-        /// The call's number.
+        /// Number of the call.
         number: u64,
-        /// The encoded answer; none where the process called is another one than meant.
+        /// Encoded answer; `None` if the receiver of the call has another identity than the one addressed, or no
+        /// handler yet.
         bytes: Option<Vec<u8>>,
     },
 }
@@ -42,7 +43,7 @@
 }
 
 impl GroupMessage {
-    /// About how many bytes the message takes in a frame.
+    /// Returns the approximate size of the message in a frame, in bytes.
     pub fn size(&self) -> usize {
         const FIXED_BYTES: usize = 96;
         match &self.message.body {
--- a/crates/control/src/host/pending_calls.rs
+++ b/crates/control/src/host/pending_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of other processes in flight.
+//! Remote calls to other processes that are in flight.
 
 use super::CallError;
 use std::{
@@ -9,23 +9,23 @@
 
 type AnswerSender = oneshot::Sender<Result<Vec<u8>, CallError>>;
 
-/// Calls in flight, by number. Shared by the callers and by the tasks that receive answers, all on one thread.
+/// Remote calls in flight, by number. Shared by the callers and the tasks that receive answers, all on one thread.
 #[derive(Default)]
 pub(super) struct PendingCalls {
     next_number: Cell<u64>,
     in_flight: RefCell<HashMap<u64, AnswerSender>>,
 }
 
-/// A call in flight; dropping it forgets the call.
+/// A remote call in flight; dropping it discards a later answer.
 pub(super) struct PendingCall<'a> {
     calls: &'a PendingCalls,
-    /// The number that the answer repeats.
+    /// Number that the answer repeats.
     pub number: u64,
     answer: oneshot::Receiver<Result<Vec<u8>, CallError>>,
 }
 
 impl PendingCalls {
-    /// Numbers a call.
+    /// Registers a new call and assigns its number.
     pub fn begin(&self) -> PendingCall<'_> {
         let number = self.next_number.replace(self.next_number.get() + 1);
         let (sender, answer) = oneshot::channel();
@@ -33,7 +33,8 @@
         PendingCall { calls: self, number, answer }
     }
 
-    /// Hands an answer to the caller. Without bytes the process called is another one than meant.
+    /// Passes an answer to the caller. `None` means that the call was not carried out, as the receiver has another
+    /// identity than the one addressed, or no handler yet.
     pub fn complete(&self, number: u64, bytes: Option<Vec<u8>>) {
         if let Some(sender) = self.in_flight.borrow_mut().remove(&number) {
             // A caller that timed out has dropped its receiver.
@@ -43,7 +44,7 @@
 }
 
 impl PendingCall<'_> {
-    /// The answer; [`CallError::TimedOut`] where nobody can give one any more.
+    /// Waits for the answer. Returns [`CallError::TimedOut`] if no answer can be received any more.
     pub async fn answer(&mut self) -> Result<Vec<u8>, CallError> {
         (&mut self.answer).await.unwrap_or(Err(CallError::TimedOut))
     }
--- a/crates/control/src/host/tests.rs
+++ b/crates/control/src/host/tests.rs
@@ -1,4 +1,4 @@
-//! Whole hosts over loopback, each at an address of its own.
+//! Tests with complete hosts that communicate over loopback, each at an address of its own.
 
 use super::{
     Host, HostError, HostOptions, ProposeError, StateMachine, members::member_id, peer_frame::PeerFrame,
@@ -25,7 +25,7 @@
 const LIMIT: Duration = Duration::from_secs(20);
 const SHARDS: u16 = 4;
 
-/// Keeps all commands, and replies with their number.
+/// State machine that stores all commands, and replies with the number of commands so far.
 #[derive(Default)]
 struct Commands(Rc<RefCell<Vec<Vec<u8>>>>);
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// Machines of a test, each with an address and a disk.
+/// The machines of one test, each with an address and a data directory of its own.
 struct Tier {
     test: u8,
     members: u8,
@@ -77,7 +77,7 @@
         self.folder.path().join(machine.to_string())
     }
 
-    fn lose_disk(&self, machine: u8) {
+    fn wipe_disk(&self, machine: u8) {
         std::fs::remove_dir_all(self.disk(machine)).unwrap();
     }
 
@@ -105,7 +105,7 @@
             let machines = machines.into_iter().map(|machine| Box::new(machine) as Box<dyn StateMachine>);
             match Host::start(options.clone(), machines.collect()).await {
                 Ok(host) => return Running { host, states },
-                // The tasks of a host that was dropped end at their next turn.
+                // The tasks of a dropped host, and with them its listener, end only when they are polled again.
                 Err(HostError::Net { .. }) if attempts < 100 => tokio::task::yield_now().await,
                 Err(error) => panic!("{error}"),
             }
@@ -122,8 +122,8 @@
     }
 }
 
-/// Waits until the condition holds, looking whenever something was applied anywhere.
-async fn eventually(running: &[Running], what: &str, condition: impl Fn() -> bool) {
+/// Waits until a condition is true, and evaluates it whenever a host notifies of a change. Panics after [`LIMIT`].
+async fn eventually(running: &[Running], description: &str, condition: impl Fn() -> bool) {
     let mut changes: Vec<watch::Receiver<u64>> =
         running.iter().map(|one| one.host.applied_changed()).collect();
     let wait = async {
@@ -136,25 +136,26 @@
             .await;
         }
     };
-    assert!(timeout(LIMIT, wait).await.is_ok(), "never came about: {what}");
+    assert!(timeout(LIMIT, wait).await.is_ok(), "condition not met within {LIMIT:?}: {description}");
 }
 
+/// Returns the index of the host that owns a shard and is in contact with its quorum.
 fn owner(running: &[Running], shard: u16) -> Option<usize> {
     running.iter().position(|one| one.host.is_owner(Shard(shard)) && one.host.is_fresh(Shard(shard)))
 }
 
-/// Proposes to whoever owns the shard until it is decided.
+/// Proposes a command to the current owner of a shard until it is committed, and returns the reply.
 async fn propose(running: &[Running], shard: u16, command: &[u8]) -> Vec<u8> {
     for _ in 0..100 {
-        eventually(running, "an owner", || owner(running, shard).is_some()).await;
+        eventually(running, "the shard has an owner", || owner(running, shard).is_some()).await;
         let owner = owner(running, shard).unwrap();
         match running[owner].host.propose(Shard(shard), command.to_vec()).await {
             Ok(committed) => return committed.reply,
-            Err(ProposeError::TimedOut) => panic!("a healthy group decides in time"),
+            Err(ProposeError::TimedOut) => panic!("a healthy group did not commit in time"),
             Err(_) => {}
         }
     }
-    panic!("no owner keeps its shard");
+    panic!("not committed after 100 attempts: the owner of the shard kept changing");
 }
 
 fn run(test: impl Future<Output = ()>) {
@@ -163,7 +164,7 @@
 }
 
 #[test]
-fn members_form_groups_and_decide() {
+fn members_form_groups_and_commit_commands() {
     run(async {
         let tier = Tier::new(10, 3);
         let running = tier.start_all().await;
@@ -171,7 +172,7 @@
             assert_eq!(propose(&running, shard, b"first").await, b"1");
             assert_eq!(propose(&running, shard, b"second").await, b"2");
             let expected = vec![b"first".to_vec(), b"second".to_vec()];
-            eventually(&running, "all apply", || running.iter().all(|one| one.commands(shard) == expected))
+            eventually(&running, "all applied", || running.iter().all(|one| one.commands(shard) == expected))
                 .await;
         }
         let leader = owner(&running, 0).unwrap();
@@ -192,7 +193,7 @@
 }
 
 #[test]
-fn a_group_outlives_its_owner_which_catches_up() {
+fn a_group_survives_the_failure_of_its_owner_which_catches_up_after_its_restart() {
     run(async {
         let tier = Tier::new(11, 3);
         let mut running = tier.start_all().await;
@@ -206,12 +207,12 @@
         running.push(back);
         propose(&running, 0, b"after").await;
         let expected = vec![b"before".to_vec(), b"while away".to_vec(), b"after".to_vec()];
-        eventually(&running, "all apply", || running.iter().all(|one| one.commands(0) == expected)).await;
+        eventually(&running, "all applied", || running.iter().all(|one| one.commands(0) == expected)).await;
     });
 }
 
 #[test]
-fn all_members_restart_from_their_disks() {
+fn all_members_recover_their_state_from_disk_after_a_restart() {
     run(async {
         let tier = Tier::new(12, 3);
         let running = tier.start_all().await;
@@ -223,7 +224,7 @@
         }
         assert_eq!(propose(&running, 2, b"next").await, b"2");
         let expected = vec![b"kept".to_vec(), b"next".to_vec()];
-        eventually(&running, "all apply", || running.iter().all(|one| one.commands(2) == expected)).await;
+        eventually(&running, "all applied", || running.iter().all(|one| one.commands(2) == expected)).await;
     });
 }
 
@@ -239,7 +240,7 @@
         let old_identity = lost.host.identity();
         let survivors: Vec<ControlNode> = running.iter().map(|one| one.host.node.clone()).collect();
         drop(lost);
-        tier.lose_disk(1);
+        tier.wipe_disk(1);
         for one in &running {
             let hosts: Vec<_> = running.iter().map(|other| Rc::downgrade(&other.host)).collect();
             let survivors = survivors.clone();
@@ -266,10 +267,10 @@
                 })
             })
         };
-        eventually(&running, "the new member replaces the old one", is_replaced).await;
+        eventually(&running, "the new identity has replaced the old one in all groups", is_replaced).await;
         propose(&running, 3, b"after").await;
         let expected = vec![b"before".to_vec(), b"after".to_vec()];
-        eventually(&running, "it has the state", || running[2].commands(3) == expected).await;
+        eventually(&running, "the new member has the state", || running[2].commands(3) == expected).await;
     });
 }
 
@@ -284,13 +285,13 @@
         let old = owner(&running, 0).unwrap();
         running[old].host.transfer_leadership().await;
         assert!((0..SHARDS).all(|shard| !running[old].host.is_owner(Shard(shard))));
-        eventually(&running, "another owner", || owner(&running, 0).is_some_and(|new| new != old)).await;
+        eventually(&running, "the owner changes", || owner(&running, 0).is_some_and(|new| new != old)).await;
         propose(&running, 0, b"after").await;
     });
 }
 
 #[test]
-fn a_member_that_missed_much_gets_a_snapshot() {
+fn a_member_far_behind_catches_up_from_a_snapshot() {
     run(async {
         let tier = Tier::new(15, 3);
         let mut running = tier.start_all().await;
@@ -309,12 +310,12 @@
                 running[owner].host.with_group(Shard(0), |group| group.snapshot_index > LogIndex(0))
             })
         };
-        eventually(&running, "a checkpoint", is_compacted).await;
+        eventually(&running, "the owner has taken a checkpoint", is_compacted).await;
         running.push(tier.start(lost as u8, false).await);
         propose(&running, 0, b"last").await;
-        eventually(&running, "it catches up", || running[2].commands(0).len() == 614).await;
+        eventually(&running, "the member has caught up", || running[2].commands(0).len() == 614).await;
         drop(running);
-        // Everything is found again on the disks.
+        // All members read the complete state from their disks.
         let mut running = Vec::new();
         for machine in 0..3 {
             running.push(tier.start(machine, false).await);
@@ -323,22 +324,23 @@
     });
 }
 
-/// As after an address has passed from one process to another: a call for the old identity gets an empty answer.
+/// A process may take over the address of another one. A call addressed to the old identity gets an empty answer.
 #[test]
-fn a_call_that_is_meant_for_another_identity_is_not_answered_in_its_name() {
+fn a_call_addressed_to_another_identity_is_not_carried_out() {
     run(async {
         let tier = Tier::new(16, 1);
         let running = tier.start_all().await;
         running[0].host.set_call_handler(|bytes| Box::pin(async move { bytes }));
         let identity = running[0].host.identity();
-        let address = running[0].host.node.peer_address.parse().expect("an address");
-        let connection = opalrun_net::connect(address, LIMIT).await.expect("it listens");
+        let address = running[0].host.node.peer_address.parse().expect("the peer address is valid");
+        let connection = opalrun_net::connect(address, LIMIT).await.expect("the host accepts connections");
         let (mut reader, writer) = connection.split();
         for (number, to, expected) in [(7, NodeIdentity(identity.0 + 1), None), (8, identity, Some(vec![5]))]
         {
-            writer.send(&PeerFrame::Call { to, number, bytes: vec![5] }).expect("it is sent");
+            writer.send(&PeerFrame::Call { to, number, bytes: vec![5] }).expect("the call is sent");
             let answer = loop {
-                let frame = reader.next().await.expect("it goes on").expect("it does not end");
+                let frame =
+                    reader.next().await.expect("the frame is valid").expect("the connection stays open");
                 if let PeerFrame::Answer { number, bytes } = frame {
                     break (number, bytes);
                 }
--- a/crates/control/src/inspect.rs
+++ b/crates/control/src/inspect.rs
@@ -158,7 +158,7 @@
 #[must_use]
 pub fn inspect(directory: &DataDirectory) -> Inspection {
     match stored_state::read(directory, SHARDS) {
-        Ok(Some(found)) => describe(&found),
+        Ok(Some(stored)) => describe(&stored),
         Ok(None) => failed(Problem::NoState { path: directory.path().to_owned() }),
         Err(source) => failed(Problem::Unreadable { source }),
     }
@@ -168,68 +168,68 @@
     Inspection { state: None, problems: vec![problem] }
 }
 
-fn describe(found: &StoredState) -> Inspection {
+fn describe(stored_state: &StoredState) -> Inspection {
     let mut problems = Vec::new();
     let shards = Shards::new();
-    for (shard, stored) in (0..).map(Shard).zip(&found.shards) {
+    for (shard, stored) in (0..).map(Shard).zip(&stored_state.shards) {
         check_order(shard, stored, &mut problems);
         restore(&shards, shard, stored, &mut problems);
     }
     let snapshot_generation = shards.with_configuration(ConfigurationShard::generation);
-    for (shard, stored) in (0..).map(Shard).zip(&found.shards) {
+    for (shard, stored) in (0..).map(Shard).zip(&stored_state.shards) {
         replay(&shards, shard, &stored.log.entries, &mut problems);
     }
     let (log_generation, store_epoch) =
         shards.with_configuration(|shard| (shard.generation(), shard.stores().map().epoch));
     let state = ControlState {
-        identity: found.identity,
-        first_members: found.first_members as u64,
-        journal_bytes: found.journal_bytes,
+        identity: stored_state.identity,
+        first_members: stored_state.first_members as u64,
+        journal_bytes: stored_state.journal_bytes,
         snapshot_generation,
         log_generation,
         store_epoch,
         shards: (0..)
             .map(Shard)
-            .zip(&found.shards)
+            .zip(&stored_state.shards)
             .map(|(shard, stored)| shard_state(&shards, shard, stored))
             .collect(),
     };
     Inspection { state: Some(state), problems }
 }
 
-fn shard_state(shards: &Shards, shard: Shard, found: &StoredShard) -> ShardState {
-    let log = &found.log;
+fn shard_state(shards: &Shards, shard: Shard, stored: &StoredShard) -> ShardState {
+    let log = &stored.log;
     let none = SnapshotMetadata::default();
-    let snapshot = found.snapshot_header().unwrap_or(&none);
-    let last = last_entry(found);
+    let snapshot = stored.snapshot_header().unwrap_or(&none);
+    let last = last_entry(stored);
     ShardState {
         shard,
         term: log.hard_state.term,
         vote: log.hard_state.voted_for.map(node_identity),
         snapshot_index: snapshot.last_included_index,
         snapshot_term: snapshot.last_included_term,
-        snapshot_bytes: found.snapshot.as_ref().map_or(0, Vec::len) as u64,
+        snapshot_bytes: stored.snapshot.as_ref().map_or(0, Vec::len) as u64,
         entries: log.entries.len() as u64,
         entry_bytes: log.entries.iter().map(Entry::size).sum::<usize>() as u64,
         last_index: last.index,
         last_term: last.term,
         workers: shards.with_sessions(shard, |sessions| sessions.workers().len()).unwrap_or(0) as u64,
-        members: newest_members(found),
+        members: newest_members(stored),
     }
 }
 
-fn last_entry(found: &StoredShard) -> LogPosition {
-    let base = &found.log.base;
+fn last_entry(stored: &StoredShard) -> LogPosition {
+    let base = &stored.log.base;
     let at_base = LogPosition { index: base.last_included_index, term: base.last_included_term };
-    found.log.entries.last().map_or(at_base, Entry::position)
+    stored.log.entries.last().map_or(at_base, Entry::position)
 }
 
-fn newest_members(found: &StoredShard) -> Vec<MemberState> {
-    let in_log = found.log.entries.iter().rev().find_map(|entry| match &entry.payload {
+fn newest_members(stored: &StoredShard) -> Vec<MemberState> {
+    let in_log = stored.log.entries.iter().rev().find_map(|entry| match &entry.payload {
         Payload::MembershipChange(membership) => Some(membership),
         _ => None,
     });
-    let members = &in_log.unwrap_or(&found.log.base.membership).members;
+    let members = &in_log.unwrap_or(&stored.log.base.membership).members;
     let describe = |member: &opalrun_replication::Member| MemberState {
         identity: node_identity(member.identity),
         address: member.address.clone(),
@@ -239,23 +239,23 @@
 }
 
 /// Checks that terms never decrease along a log and that none is above the stored current term.
-fn check_order(shard: Shard, found: &StoredShard, problems: &mut Vec<Problem>) {
-    let mut term = found.log.base.last_included_term;
-    for entry in &found.log.entries {
+fn check_order(shard: Shard, stored: &StoredShard, problems: &mut Vec<Problem>) {
+    let mut term = stored.log.base.last_included_term;
+    for entry in &stored.log.entries {
         if entry.term < term {
             problems.push(Problem::DecreasingTerm { shard, index: entry.index });
         }
         term = term.max(entry.term);
     }
-    let current = found.log.hard_state.term;
+    let current = stored.log.hard_state.term;
     // An installed snapshot may have a higher term than the stored current term: the replica adopts it at its start.
-    if !found.log.entries.is_empty() && term > current {
+    if !stored.log.entries.is_empty() && term > current {
         problems.push(Problem::TermAboveCurrent { shard, term, current });
     }
 }
 
-fn restore(shards: &Shards, shard: Shard, found: &StoredShard, problems: &mut Vec<Problem>) {
-    let Some(snapshot) = &found.snapshot else { return };
+fn restore(shards: &Shards, shard: Shard, stored: &StoredShard, problems: &mut Vec<Problem>) {
+    let Some(snapshot) = &stored.snapshot else { return };
     if shards.restore(shard, snapshot).is_err() {
         problems.push(Problem::UnreadableSnapshot { shard });
     }
--- a/crates/control/src/process/heartbeat_target/tests.rs
+++ b/crates/control/src/process/heartbeat_target/tests.rs
@@ -1,4 +1,4 @@
-//! How the targets of heartbeats are spread, and how they move.
+//! Tests of the spread of heartbeat targets, and of their changes after a failure.
 
 use super::*;
 use std::collections::HashMap;
@@ -16,18 +16,19 @@
     (1..=count).map(node).collect()
 }
 
-fn targets(nodes: &[ControlNode], silent: &[u64]) -> HashMap<u64, NodeIdentity> {
+/// Returns the target of each worker while the processes with the identities in `failed` are without contact.
+fn targets(nodes: &[ControlNode], failed: &[u64]) -> HashMap<u64, NodeIdentity> {
     let since_last_contact =
-        |identity: NodeIdentity| if silent.contains(&identity.0) { TARGET_TIMEOUT } else { Duration::ZERO };
-    let of = |worker: u64| {
+        |identity: NodeIdentity| if failed.contains(&identity.0) { TARGET_TIMEOUT } else { Duration::ZERO };
+    let target = |worker: u64| {
         heartbeat_target(&format!("i-{worker:08x}"), nodes, since_last_contact)
             .map(|node| (worker, node.identity))
     };
-    (0..WORKERS).filter_map(of).collect()
+    (0..WORKERS).filter_map(target).collect()
 }
 
 #[test]
-fn each_process_is_the_target_of_about_as_many_workers() {
+fn workers_are_spread_evenly_over_the_processes() {
     let nodes = nodes(5);
     let targets = targets(&nodes, &[]);
     for node in &nodes {
@@ -37,19 +38,19 @@
 }
 
 #[test]
-fn only_the_workers_of_a_silent_process_move() {
+fn only_the_workers_of_an_unreachable_process_get_another_target() {
     let nodes = nodes(5);
     let (before, after) = (targets(&nodes, &[]), targets(&nodes, &[2]));
     for (worker, target) in &before {
-        assert_ne!(after[worker], NodeIdentity(2), "it is silent");
+        assert_ne!(after[worker], NodeIdentity(2), "worker {worker} has an unreachable target");
         assert!(
             *target == NodeIdentity(2) || after[worker] == *target,
-            "worker {worker} had no reason to move"
+            "worker {worker} got another target although its target is reachable"
         );
     }
 }
 
 #[test]
-fn no_worker_has_a_target_where_all_are_silent() {
+fn no_worker_has_a_target_while_all_processes_are_unreachable() {
     assert!(targets(&nodes(3), &[1, 2, 3]).is_empty());
 }
--- a/crates/control/src/process/member_failure_detector.rs
+++ b/crates/control/src/process/member_failure_detector.rs
@@ -16,7 +16,7 @@
 /// again.
 const MAX_EVALUATION_GAP: Duration = Duration::from_secs(1);
 
-/// Detects failed members on behalf of the owner of shard 0.
+/// Detects failed members for the owner of shard 0. Times are those of the process's monotonic clock.
 #[derive(Debug)]
 pub struct MemberFailureDetector {
     min_members: usize,
--- a/crates/control/src/process/member_failure_detector/tests.rs
+++ b/crates/control/src/process/member_failure_detector/tests.rs
@@ -1,4 +1,4 @@
-//! What the owner of shard 0 concludes of members from the passing of time.
+//! Tests of the time-out after which the owner of shard 0 removes a failed member.
 
 use super::MemberFailureDetector;
 use opalrun_wire::{feed::ControlNode, ids::NodeIdentity};
@@ -20,8 +20,9 @@
         .collect()
 }
 
-/// Looks from `from` to `to` with member 4 silent all the while.
-fn first_drop_while_silent(
+/// Evaluates every 250 ms from `from` to `to`, in milliseconds, with member 4 unreachable all the time. Returns the
+/// time of the first removal and the member removed.
+fn first_removal_while_unreachable(
     detector: &mut MemberFailureDetector,
     members: &[ControlNode],
     from: u64,
@@ -35,24 +36,27 @@
 }
 
 #[test]
-fn a_failed_member_is_dropped_if_enough_are_left() {
+fn a_failed_member_is_removed_if_enough_members_remain() {
     let mut detector = MemberFailureDetector::new(3);
-    assert_eq!(first_drop_while_silent(&mut detector, &members(4), 0, 10_000), Some((1750, NodeIdentity(4))));
+    assert_eq!(
+        first_removal_while_unreachable(&mut detector, &members(4), 0, 10_000),
+        Some((1750, NodeIdentity(4)))
+    );
     let mut detector = MemberFailureDetector::new(4);
-    assert_eq!(first_drop_while_silent(&mut detector, &members(4), 0, 10_000), None);
+    assert_eq!(first_removal_while_unreachable(&mut detector, &members(4), 0, 10_000), None);
 }
 
 #[test]
-fn a_new_owner_watches_a_member_for_a_while_before_it_drops_it() {
+fn a_new_owner_waits_for_the_full_timeout_before_it_removes_a_member() {
     let mut detector = MemberFailureDetector::new(3);
-    assert_eq!(first_drop_while_silent(&mut detector, &members(4), 0, 1500), None);
+    assert_eq!(first_removal_while_unreachable(&mut detector, &members(4), 0, 1500), None);
     detector.reset();
-    assert_eq!(first_drop_while_silent(&mut detector, &members(4), 1500, 3000), None);
+    assert_eq!(first_removal_while_unreachable(&mut detector, &members(4), 1500, 3000), None);
 }
 
 #[test]
-fn an_owner_that_did_not_run_drops_no_member() {
+fn an_owner_that_was_suspended_waits_for_the_full_timeout_again() {
     let mut detector = MemberFailureDetector::new(3);
-    assert_eq!(first_drop_while_silent(&mut detector, &members(4), 0, 1000), None);
-    assert_eq!(first_drop_while_silent(&mut detector, &members(4), 6000, 7500), None);
+    assert_eq!(first_removal_while_unreachable(&mut detector, &members(4), 0, 1000), None);
+    assert_eq!(first_removal_while_unreachable(&mut detector, &members(4), 6000, 7500), None);
 }
--- a/crates/control/src/process/membership.rs
+++ b/crates/control/src/process/membership.rs
@@ -128,7 +128,7 @@
     }
 
     /// Returns the command that removes a failed member, if there is one. Called at the owner of shard 0.
-    pub(super) fn drop_failed_member(&self, now: Duration) -> Option<ConfigurationCommand> {
+    pub(super) fn remove_failed_member(&self, now: Duration) -> Option<ConfigurationCommand> {
         let host = self.client.host();
         let mut failure_detector = self.failure_detector.borrow_mut();
         let min_members = failure_detector.min_members();
@@ -158,7 +158,7 @@
     async fn leave_groups(&self) {
         let min_members = self.failure_detector.borrow().min_members();
         self.set_leaving(true);
-        while !self.drop_itself(min_members).await {
+        while !self.remove_self(min_members).await {
             // The outcome may be unknown, or another process may have left concurrently.
             if self.client.members().len() <= usize::from(min_members) {
                 return self.set_leaving(false);
@@ -181,7 +181,7 @@
     }
 
     /// Removes this process from the directory. Returns whether the directory no longer contains it.
-    async fn drop_itself(&self, min_members: u16) -> bool {
+    async fn remove_self(&self, min_members: u16) -> bool {
         if self.client.members().len() <= usize::from(min_members) {
             return false;
         }
--- a/crates/control/src/process/owner_tasks.rs
+++ b/crates/control/src/process/owner_tasks.rs
@@ -50,7 +50,7 @@
         }
         let now = self.clock.now();
         let mut commands: Vec<ConfigurationCommand> =
-            self.membership.drop_failed_member(now).into_iter().collect();
+            self.membership.remove_failed_member(now).into_iter().collect();
         commands.extend(self.store_liveness.evaluate(now));
         if !commands.is_empty() {
             tokio::task::spawn_local(propose_all(Rc::clone(&self.client), commands));
--- a/crates/control/src/process/store_failure_detector.rs
+++ b/crates/control/src/process/store_failure_detector.rs
@@ -36,7 +36,8 @@
     pub spread: Spread,
 }
 
-/// Detects failed and recovered stores from the contacts that this owner has observed.
+/// Detects failed and recovered stores from the contacts that this owner has observed. Times are those of the
+/// process's monotonic clock.
 #[derive(Debug, Default)]
 pub struct StoreFailureDetector {
     /// When this owner first observed each store since the last reset.
--- a/crates/control/src/process/store_failure_detector/tests.rs
+++ b/crates/control/src/process/store_failure_detector/tests.rs
@@ -1,4 +1,4 @@
-//! What the owner of shard 0 concludes of stores from the passing of time.
+//! Tests of the commands that the owner of shard 0 derives from the stores' contacts.
 
 use super::{StoreFailureDetector, StoreLayout};
 use crate::store_map::{Liveness, Spread, StoreCommand, StoreTable};
@@ -33,18 +33,18 @@
     table.apply(&StoreCommand::Join { node });
 }
 
-/// Looks four times a second from `from` to `to`, the stores in `heard` being heard at each look, and applies what
-/// follows; returns it.
+/// Evaluates every 250 ms from `from` to `to`, in milliseconds, with a contact of each store in `reachable` at each
+/// evaluation, and applies the resulting commands. Returns the commands with their times.
 fn evaluate_over(
     detector: &mut StoreFailureDetector,
     table: &mut StoreTable,
-    heard: &[u64],
+    reachable: &[u64],
     from: u64,
     to: u64,
 ) -> Vec<(u64, StoreCommand)> {
     let mut all = Vec::new();
     for at in (from..to).step_by(250) {
-        for identity in heard {
+        for identity in reachable {
             detector.record_contact(NodeIdentity(*identity), millis(at));
         }
         for command in detector.evaluate(table, &layout(), millis(at)) {
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn the_first_map_waits_a_second_for_further_stores() {
+fn the_first_map_is_formed_a_second_after_the_last_store_has_joined() {
     let (mut detector, mut table) = (StoreFailureDetector::default(), StoreTable::default());
     for identity in 1..=3 {
         join(&mut table, identity);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn too_few_stores_are_waited_for_longer() {
+fn with_too_few_stores_the_first_map_is_formed_after_four_seconds() {
     let (mut detector, mut table) = (StoreFailureDetector::default(), StoreTable::default());
     join(&mut table, 1);
     let formed = evaluate_over(&mut detector, &mut table, &[1], 0, 6000);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn no_stores_make_no_map() {
+fn without_stores_no_map_is_formed() {
     let (mut detector, mut table) = (StoreFailureDetector::default(), StoreTable::default());
     assert!(evaluate_over(&mut detector, &mut table, &[], 0, 20_000).is_empty());
 }
@@ -92,26 +92,26 @@
 }
 
 #[test]
-fn a_store_that_fails_becomes_unavailable_then_dead_and_is_live_when_it_is_back() {
+fn a_failed_store_becomes_unavailable_then_dead_and_is_live_after_its_next_contact() {
     let (mut detector, mut table) = three_stores();
     let recorded = evaluate_over(&mut detector, &mut table, &[1, 2], 2000, 14_000);
-    let of = |liveness| StoreCommand::SetLiveness { identity: NodeIdentity(3), liveness };
+    let set_liveness = |liveness| StoreCommand::SetLiveness { identity: NodeIdentity(3), liveness };
     assert_eq!(
         recorded.iter().map(|(_, command)| command.clone()).collect::<Vec<_>>(),
-        [of(Liveness::Unavailable), of(Liveness::Dead)]
+        [set_liveness(Liveness::Unavailable), set_liveness(Liveness::Dead)]
     );
     let back = evaluate_over(&mut detector, &mut table, &[1, 2, 3], 14_000, 15_000);
-    assert_eq!(back, [(14_000, of(Liveness::Live))]);
+    assert_eq!(back, [(14_000, set_liveness(Liveness::Live))]);
 }
 
 #[test]
-fn an_owner_that_did_not_run_blames_no_store() {
+fn an_owner_that_was_suspended_finds_no_store_unavailable() {
     let (mut detector, mut table) = three_stores();
     assert!(evaluate_over(&mut detector, &mut table, &[], 12_000, 14_000).is_empty());
 }
 
 #[test]
-fn a_store_that_a_former_owner_found_unavailable_is_live_once_it_is_heard_from() {
+fn a_store_marked_unavailable_by_a_former_owner_stays_so_until_its_next_contact() {
     let (_, mut table) = three_stores();
     table.apply(&StoreCommand::SetLiveness { identity: NodeIdentity(3), liveness: Liveness::Unavailable });
     let mut detector = StoreFailureDetector::default();
@@ -133,10 +133,10 @@
     join(&mut table, 4);
     let recorded = evaluate_over(&mut detector, &mut table, &[1, 2, 4], 2000, 5000);
     assert_eq!(recorded.len(), 1);
-    let holds = table
+    let has_replica_of_every_partition = table
         .map()
         .partitions
         .iter()
         .all(|partition| partition.replicas.iter().any(|replica| replica.store == NodeIdentity(4)));
-    assert!(holds);
+    assert!(has_replica_of_every_partition);
 }
--- a/crates/control/src/run.rs
+++ b/crates/control/src/run.rs
@@ -27,7 +27,7 @@
 /// Time at shutdown during which calls in flight are still answered.
 const DRAIN_TIME: Duration = Duration::from_millis(800);
 
-/// Runs the role until SIGTERM.
+/// Runs the control role until SIGTERM, then shuts it down.
 ///
 /// # Errors
 /// Where the settings lack a required key, an address can't be bound, the replicated state can't be opened or the
--- a/crates/control/src/tier_view.rs
+++ b/crates/control/src/tier_view.rs
@@ -43,7 +43,7 @@
     pub incomplete_partitions: Vec<PartitionView>,
 }
 
-/// One replicated group.
+/// State of one replicated group.
 #[derive(Facet, Debug, Clone, PartialEq)]
 pub struct GroupView {
     /// Number of the shard: 0 holds the configuration, the others hold worker sessions.
@@ -60,7 +60,7 @@
     pub learners: Vec<NodeIdentity>,
 }
 
-/// A control process.
+/// State of a control process.
 #[derive(Facet, Debug, Clone, PartialEq)]
 pub struct ControlView {
     /// Identity of the control process.
@@ -76,7 +76,7 @@
     pub is_reachable: bool,
 }
 
-/// A gatekeeper.
+/// State of a gatekeeper that subscribes to the change feed.
 #[derive(Facet, Debug, Clone, PartialEq)]
 pub struct GatekeeperView {
     /// Name of its machine.
@@ -87,7 +87,7 @@
     pub subscribed_at: NodeIdentity,
 }
 
-/// A worker's session.
+/// Session of a worker.
 #[derive(Facet, Debug, Clone, PartialEq)]
 pub struct WorkerView {
     /// Id of the worker.
@@ -107,7 +107,7 @@
     pub is_draining: bool,
 }
 
-/// A store.
+/// State of a store.
 #[derive(Facet, Debug, Clone, PartialEq)]
 pub struct StoreView {
     /// Identity of the store.
