--- a/crates/gatekeeper/src/agent/mod.rs
+++ b/crates/gatekeeper/src/agent/mod.rs
@@ -1,8 +1,8 @@
-//! The agent beside the proxy: it keeps the link to the control processes, holds their state and serves it to the
+//! The agent next to the proxy: it subscribes to the control processes, replicates their state and serves it to the
 //! proxy.
 //!
-//! So a proxy that starts has the state at once, also while control is unavailable, and a proxy's load does not delay
-//! heartbeats.
+//! Because of this, a starting proxy gets the state at once even while control is unavailable, and the proxy's load
+//! does not delay heartbeats.
 
 mod server;
 
@@ -19,24 +19,24 @@
 use snafu::{ResultExt, Snafu};
 use std::{rc::Rc, time::Duration};
 
-/// Part of the time between SIGTERM and SIGKILL that is left for the shutdown itself.
+/// Part of the grace period before SIGKILL that is reserved for the shutdown itself.
 const SHUTDOWN_RESERVE: Duration = Duration::from_secs(1);
 
-/// Why an agent can't run.
+/// Reason why the agent could not start.
 #[derive(Debug, Snafu)]
 pub enum AgentError {
-    /// The proxy can't be served.
+    /// The port for the proxy could not be bound.
     #[snafu(display("{source}"))]
     Listen {
-        /// Why the port could not be bound.
+        /// The cause.
         source: NetError,
     },
 }
 
-/// Runs the role until SIGTERM, and then for as long as a proxy is there that finishes its requests.
+/// Runs the agent until SIGTERM, and then until its proxies have disconnected or the grace period ends.
 ///
 /// # Errors
-/// Where the port for the proxy can't be listened on.
+/// If the port for the proxy cannot be bound.
 pub async fn run(settings: Settings) -> Result<(), AgentError> {
     let listener = Listener::bind(settings.agent_address()).await.context(ListenSnafu)?;
     let grace = settings.bounds.grace.saturating_sub(SHUTDOWN_RESERVE);
@@ -48,7 +48,7 @@
     Ok(())
 }
 
-/// Subscribes to control, and serves proxies that connect to `listener`.
+/// Subscribes to control and serves the proxies that connect to `listener`.
 pub fn start(settings: &Settings, listener: Listener) -> Rc<FeedServer> {
     let options = FeedOptions {
         subscriber: Subscriber::Gatekeeper {
--- a/crates/gatekeeper/src/agent/server.rs
+++ b/crates/gatekeeper/src/agent/server.rs
@@ -1,4 +1,4 @@
-//! Serving the feed to the proxy.
+//! Serves the replicated control state to the proxy.
 
 use crate::feed::ControlState;
 use opalrun_metrics::Scrape;
@@ -18,10 +18,10 @@
 };
 use tokio::sync::Notify;
 
-/// Backoff after a failure to accept.
+/// Backoff after a connection could not be accepted.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// The agent's replica of the control state, and the proxies subscribed to it (one, except during a restart).
+/// The agent's replica of the control state and the proxies subscribed to it (one, except during a restart).
 pub struct FeedServer {
     state: RefCell<ControlState>,
     proxies: RefCell<BTreeMap<ConnectionId, Proxy>>,
@@ -30,19 +30,19 @@
     upstream: FeedClient,
 }
 
-/// The connection of a proxy; never reused within the agent's process.
+/// Identifies a proxy's connection; never reused within the agent's process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ConnectionId(u64);
 
-/// A proxy with a subscription.
+/// A subscribed proxy.
 struct Proxy {
     writer: FrameWriter,
-    /// The generation in force there, as it last said.
+    /// Generation in force at the proxy, from its last heartbeat.
     generation: Generation,
 }
 
 impl FeedServer {
-    /// A server of what the client delivers that `subscribe` starts.
+    /// Returns a server that applies the updates of the feed client started by `subscribe`.
     pub(super) fn new(subscribe: impl FnOnce(Box<dyn FnMut(FeedUpdate)>) -> FeedClient) -> Rc<Self> {
         Rc::new_cyclic(|server: &Weak<Self>| {
             let server = server.clone();
@@ -61,7 +61,7 @@
         })
     }
 
-    /// Takes connections of proxies.
+    /// Accepts connections from proxies.
     pub(super) async fn serve(self: Rc<Self>, listener: Listener) {
         loop {
             match listener.accept().await {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Tells a scraper the metrics.
+    /// Adds the agent's metrics to a scrape.
     pub fn scrape(&self, scrape: &mut Scrape) {
         let generation = self.state.borrow().generation();
         scrape.gauge(
@@ -137,14 +137,14 @@
                     self.report_generation();
                 }
                 FeedRequest::WorkerFailures(failures) => self.upstream.report_worker_failures(failures),
-                // Only stores say these, and never to an agent.
+                // Only stores send these, and only to control processes.
                 FeedRequest::ReplicasComplete { .. } | FeedRequest::ShutdownRequested { .. } => {}
             }
         }
         Ok(())
     }
 
-    /// Sends the shards that a proxy knows up to a lower offset than this agent.
+    /// Sends snapshots of the shards of which the proxy has a lower offset than this agent.
     fn send_newer_shards(&self, writer: &FrameWriter, known: &[Position]) -> Result<(), NetError> {
         let state = self.state.borrow();
         for Position { shard, offset } in state.positions() {
@@ -169,14 +169,14 @@
     fn broadcast(&self, update: &FeedUpdate) {
         for proxy in self.proxies.borrow().values() {
             if proxy.writer.send(update).is_err() {
-                // It connects again and receives what it has missed.
+                // The proxy reconnects and receives the updates that it has missed.
                 proxy.writer.close();
             }
         }
     }
 
-    /// Reports to control the oldest generation in force at a proxy here. Without a proxy it is the agent's own: a
-    /// proxy that starts begins with that.
+    /// Reports the lowest generation in force at the connected proxies to control. Without a proxy it reports the
+    /// agent's own generation, which the next proxy starts with.
     fn report_generation(&self) {
         let at_proxies = self.proxies.borrow().values().map(|proxy| proxy.generation).min();
         let generation = at_proxies.unwrap_or_else(|| self.state.borrow().generation());
--- a/crates/gatekeeper/src/feed/client.rs
+++ b/crates/gatekeeper/src/feed/client.rs
@@ -1,4 +1,4 @@
-//! The proxy's subscription to the agent beside it.
+//! The proxy's subscription to the agent on its machine.
 
 use super::{ControlView, all_shards};
 use opalrun_metrics::Scrape;
@@ -11,7 +11,7 @@
 };
 use tokio::sync::watch;
 
-/// Keeps a [`ControlView`] up to date. The configuration of the view counts as in force from the moment it is there.
+/// Keeps a [`ControlView`] up to date. A configuration counts as in force as soon as the view contains it.
 pub struct ControlFeed {
     view: RefCell<ControlView>,
     changes: watch::Sender<u64>,
@@ -19,7 +19,7 @@
 }
 
 impl ControlFeed {
-    /// Subscribes to the agent at an address.
+    /// Subscribes to the agent at the given address.
     #[must_use]
     pub fn start_at(agent: SocketAddr) -> Rc<Self> {
         let options = FeedOptions {
@@ -45,25 +45,25 @@
         })
     }
 
-    /// What is known now. Not to be held over an await.
+    /// Current state. The borrow must not be held across an await.
     #[must_use]
     pub fn view(&self) -> Ref<'_, ControlView> {
         self.view.borrow()
     }
 
-    /// Marked as changed whenever the view has changed in more than its freshness.
+    /// Notified of every change of the view, except one of its freshness alone.
     #[must_use]
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
 
-    /// Passes the metrics of the subscription to a scraper.
+    /// Adds the metrics of the subscription to a scrape.
     pub fn scrape(&self, scrape: &mut Scrape) {
         let agent = self.client.peer_count();
         scrape.peers(feed_client::AGENT, agent.missing, agent.failed_attempts);
     }
 
-    /// Reports to control requests that failed at workers.
+    /// Reports failures of requests at workers to control.
     pub fn report_worker_failures(&self, failures: Vec<WorkerFailures>) {
         self.client.report_worker_failures(failures);
     }
--- a/crates/gatekeeper/src/feed/mod.rs
+++ b/crates/gatekeeper/src/feed/mod.rs
@@ -1,4 +1,4 @@
-//! The control state, replicated to the gatekeeper's processes.
+//! Replica of the control state in the gatekeeper's processes.
 //!
 //! The agent keeps a [`ControlState`] and serves it; the proxy keeps a typed [`ControlView`] through a [`ControlFeed`].
 
@@ -15,7 +15,7 @@
     ids::Shard,
 };
 
-/// All shards of the control state: a gatekeeper needs all of them.
+/// All shards of the control state; a gatekeeper subscribes to each of them.
 #[must_use]
 pub fn all_shards() -> Vec<Shard> {
     (CONFIGURATION_SHARD.0..=SESSION_SHARDS).map(Shard).collect()
--- a/crates/gatekeeper/src/feed/state.rs
+++ b/crates/gatekeeper/src/feed/state.rs
@@ -1,4 +1,4 @@
-//! The merged state of all shards, as plain messages.
+//! The state of all shards as received from control, without parsing the configuration.
 
 use opalrun_wire::{
     feed::{Change, ControlNode, FeedUpdate, Position, StoreMap, Worker},
@@ -6,7 +6,7 @@
 };
 use std::collections::BTreeMap;
 
-/// The state of all known shards.
+/// The state of all shards that have been received.
 #[derive(Debug, Default)]
 pub struct ControlState {
     shards: BTreeMap<Shard, ShardState>,
@@ -22,14 +22,14 @@
     workers: BTreeMap<WorkerKey, Worker>,
 }
 
-/// A configuration as control sends it.
+/// A configuration as control sent it, not parsed.
 #[derive(Debug)]
 struct EncodedConfiguration {
     generation: Generation,
     body: Vec<u8>,
 }
 
-/// What names a worker; ids are unique within a service. Ordered by service, then id.
+/// Identifies a worker, whose id is unique only within its service. Ordered by service, then id.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct WorkerKey {
     service: String,
@@ -37,7 +37,7 @@
 }
 
 impl ControlState {
-    /// Applies an update that a feed client delivered.
+    /// Applies an update from the feed client.
     pub fn apply(&mut self, update: &FeedUpdate) {
         match update {
             FeedUpdate::Snapshot { shard, offset, changes } => {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The offset up to which each shard is known.
+    /// Offset up to which each shard has been received.
     #[must_use]
     pub fn positions(&self) -> Vec<Position> {
         let position =
@@ -63,13 +63,13 @@
         self.shards.iter().map(position).collect()
     }
 
-    /// The state of a shard as the changes that make it from nothing.
+    /// The state of a shard, as the changes that build it from an empty one.
     #[must_use]
     pub fn snapshot(&self, shard: Shard) -> Vec<Change> {
         self.shards.get(&shard).map(ShardState::changes).unwrap_or_default()
     }
 
-    /// The newest configuration's generation; 0 while none is known.
+    /// Generation of the newest configuration; 0 without one.
     #[must_use]
     pub fn generation(&self) -> Generation {
         let generations = self.shards.values().filter_map(|shard| shard.configuration.as_ref());
--- a/crates/gatekeeper/src/feed/view.rs
+++ b/crates/gatekeeper/src/feed/view.rs
@@ -1,4 +1,4 @@
-//! The control state, typed, as the proxy reads it at each request.
+//! The control state in typed form, as the proxy reads it for each request.
 
 use opalrun_configuration::Configuration;
 use opalrun_wire::{
@@ -11,57 +11,57 @@
 };
 use tokio::time::Instant;
 
-/// The workers of a service, by id.
+/// The workers of a service by id.
 pub type Workers = BTreeMap<String, Rc<Worker>>;
 
-/// The newest configuration that control has sent.
+/// The newest configuration received from control.
 #[derive(Debug, Clone)]
 pub struct NewestConfiguration {
-    /// The generation that control gave it.
+    /// Generation assigned by the operator.
     pub generation: Generation,
-    /// Its parsed body.
+    /// Parsed configuration.
     pub configuration: Rc<Configuration>,
 }
 
-/// What is known of the tier. Generations and epochs never go back.
+/// The control state known to the proxy. Generations and epochs never decrease.
 #[derive(Debug, Default)]
 pub struct ControlView {
-    /// The newest configuration; requests read it at their start and keep it.
+    /// Newest configuration; a request reads it at its start and uses it until its end.
     pub configuration: Option<NewestConfiguration>,
-    /// The workers of each service: draining ones are there still, those that have gone are not.
+    /// Workers by service, including draining ones.
     pub workers: HashMap<String, Workers>,
-    /// Which store holds what.
+    /// Placement of the partitions on the stores.
     pub store_map: Rc<StoreMap>,
     /// The control processes.
     pub control_nodes: Vec<ControlNode>,
-    /// Gatekeepers with a session, over the whole tier, this one included; 0 while unknown.
+    /// Number of gatekeepers with a session in the whole tier, including this one; 0 while unknown.
     pub gatekeepers: u32,
-    /// Workers at which requests of several gatekeepers failed recently.
+    /// Ids of workers at which requests of several gatekeepers have failed recently.
     pub suspects: Vec<String>,
-    /// When a control process with a quorum was last heard from.
+    /// Time of the last message from a control process that had a quorum.
     pub fresh_at: Option<Instant>,
 }
 
 impl ControlView {
-    /// The generation of the configuration in force; 0 while there is none.
+    /// Generation of the configuration in force; 0 without one.
     #[must_use]
     pub fn generation(&self) -> Generation {
         self.configuration.as_ref().map_or(Generation(0), |newest| newest.generation)
     }
 
-    /// The workers of a service that take new requests.
+    /// The workers of a service that accept new requests.
     pub fn ready_workers(&self, service: &str) -> impl Iterator<Item = &Rc<Worker>> {
         let workers = self.workers.get(service).into_iter().flat_map(BTreeMap::values);
         workers.filter(|worker| worker.state == WorkerState::Ready)
     }
 
-    /// A worker, draining or not; `None` once it has gone.
+    /// A worker in any state; `None` once it has been removed.
     #[must_use]
     pub fn worker(&self, service: &str, id: &str) -> Option<&Rc<Worker>> {
         self.workers.get(service)?.get(id)
     }
 
-    /// Applies an update; returns whether anything but the freshness may have changed.
+    /// Applies an update; returns whether anything other than the freshness may have changed.
     pub(crate) fn apply(&mut self, update: FeedUpdate) -> bool {
         match update {
             FeedUpdate::Snapshot { shard, changes, .. } => {
@@ -113,7 +113,7 @@
                 tracing::error!(
                     generation = generation.0,
                     problem,
-                    "a configuration from control can't be read: the former stays"
+                    "configuration from control is invalid; keeping the previous one"
                 );
             }
         }
--- a/crates/gatekeeper/src/lib.rs
+++ b/crates/gatekeeper/src/lib.rs
@@ -1,4 +1,5 @@
-//! The gatekeeper on every edge machine: the proxy that carries the traffic, and the agent that feeds it.
+//! The gatekeeper, which runs on every edge machine: the proxy that forwards client requests to workers, and the agent
+//! that replicates the control state for it.
 #![forbid(unsafe_code)]
 
 pub mod agent;
--- a/crates/gatekeeper/src/proxy/balance/answer_time.rs
+++ b/crates/gatekeeper/src/proxy/balance/answer_time.rs
@@ -1,38 +1,39 @@
-//! How long the workers of a service took recently to begin an answer.
+//! Recent times that the workers of a service took to start an answer.
 
 use std::time::Duration;
 
-/// Share of each new time in the mean.
-const NEWEST_SHARE: f64 = 1.0 / 16.0;
-/// With fewer times than this nothing is known.
+/// Weight of each new sample in the exponentially weighted mean and deviation.
+const NEW_SAMPLE_WEIGHT: f64 = 1.0 / 16.0;
+/// Number of samples below which no limit is given.
 const MIN_SAMPLES: u32 = 16;
-/// A time beyond the mean by so many mean deviations is not usual.
-const USUAL_DEVIATIONS: f64 = 6.0;
+/// Distance of the limit from the mean, in mean deviations.
+const NORMAL_DEVIATIONS: f64 = 6.0;
 
-/// The mean of the times to the beginning of an answer, and how far they lie from it.
+/// Running mean of the time to the start of an answer, with its mean absolute deviation. Both are in seconds.
 #[derive(Debug, Default)]
 pub(super) struct AnswerTime {
     mean_s: f64,
     deviation_s: f64,
-    times: u32,
+    samples: u32,
 }
 
 impl AnswerTime {
-    /// An answer began after so long, or had not begun by then. One that took unusually long counts like the longest
-    /// usual one, so that a few workers that hang do not make hanging usual; where all take longer it soon is.
-    pub fn add(&mut self, took: Duration) {
-        let took = self.usual_limit().map_or(took, |longest| took.min(longest)).as_secs_f64();
-        self.times = self.times.saturating_add(1);
-        // The first times count alike.
-        let share = NEWEST_SHARE.max(1.0 / f64::from(self.times));
-        self.deviation_s += ((took - self.mean_s).abs() - self.deviation_s) * share;
-        self.mean_s += (took - self.mean_s) * share;
+    /// Records the time to the start of an answer, or the time waited so far if it has not started. A sample above the
+    /// limit counts as the limit, so that a few hanging workers hardly raise it. If all workers become slower, repeated
+    /// samples raise it within a few answers.
+    pub fn record(&mut self, elapsed: Duration) {
+        let elapsed = self.normal_limit().map_or(elapsed, |limit| elapsed.min(limit)).as_secs_f64();
+        self.samples = self.samples.saturating_add(1);
+        // The first samples are weighted equally.
+        let weight = NEW_SAMPLE_WEIGHT.max(1.0 / f64::from(self.samples));
+        self.deviation_s += ((elapsed - self.mean_s).abs() - self.deviation_s) * weight;
+        self.mean_s += (elapsed - self.mean_s) * weight;
     }
 
-    /// The longest time that would not be unusual; `None`: too little is known.
-    pub fn usual_limit(&self) -> Option<Duration> {
-        let longest = self.mean_s + self.deviation_s * USUAL_DEVIATIONS;
-        (self.times >= MIN_SAMPLES).then(|| Duration::from_secs_f64(longest))
+    /// Longest time to the start of an answer that counts as normal; `None` with fewer than [`MIN_SAMPLES`] samples.
+    pub fn normal_limit(&self) -> Option<Duration> {
+        let limit = self.mean_s + self.deviation_s * NORMAL_DEVIATIONS;
+        (self.samples >= MIN_SAMPLES).then(|| Duration::from_secs_f64(limit))
     }
 }
 
--- a/crates/gatekeeper/src/proxy/balance/decay/tests.rs
+++ b/crates/gatekeeper/src/proxy/balance/decay/tests.rs
@@ -1,3 +1,5 @@
+//! Exponential decay of values.
+
 use super::{DecayingValue, HalfLife};
 use std::time::Duration;
 
@@ -8,24 +10,25 @@
 }
 
 #[test]
-fn a_value_halves_in_each_half_life() {
+fn value_halves_within_each_half_life() {
     let value = DecayingValue::new(at(1000), 8.0);
-    let left = [1000, 1400, 1800, 2200].map(|ms| value.get(at(ms), HALF_LIFE));
+    let remaining = [1000, 1400, 1800, 2200].map(|ms| value.get(at(ms), HALF_LIFE));
     assert!(
-        left.iter()
+        remaining
+            .iter()
             .zip([8.0, 4.0, 2.0, 1.0])
-            .all(|(is, expected): (&f64, f64)| (is - expected).abs() < 1e-12)
+            .all(|(actual, expected): (&f64, f64)| (actual - expected).abs() < 1e-12)
     );
 }
 
 #[test]
-fn a_value_set_in_the_future_has_not_decayed() {
+fn value_set_in_the_future_has_not_decayed() {
     let value = DecayingValue::new(at(1000), 8.0);
     assert_eq!(value.get(at(500), HALF_LIFE).to_bits(), 8.0_f64.to_bits());
 }
 
 #[test]
-fn decay_is_two_to_the_power_of_minus_age_by_half_life_to_the_last_bit() {
+fn decay_equals_exp2_of_negative_age_over_half_life_bit_for_bit() {
     for age_ms in 0..2000 {
         let age = at(age_ms).as_secs_f64();
         let expected = 3.7 * (-age / HALF_LIFE.0.as_secs_f64()).exp2();
--- a/crates/gatekeeper/src/proxy/balance/health.rs
+++ b/crates/gatekeeper/src/proxy/balance/health.rs
@@ -1,68 +1,68 @@
-//! Passive outlier detection: judges a worker by its answers to requests, never by health checks.
+//! Passive outlier detection: judges a worker by the outcome of its requests, without active health checks.
 //!
-//! Consecutive failures eject a worker for a backoff that doubles, after which one request at a time is attempted there,
-//! preferably an idempotent one. A worker that fails part of its requests is not ejected: its failures count against it
-//! for a while, the more so for requests that are not idempotent.
+//! Consecutive failures eject a worker for a backoff that doubles each time. After the backoff one request at a time is
+//! attempted at it; during probation this must be an idempotent one. A worker that fails only some of its requests is
+//! not ejected: its recent failures lower its score, and more so for requests that are not idempotent.
 
 use crate::proxy::balance::decay::{DecayingValue, HalfLife};
 use std::time::Duration;
 
-/// Consecutive failures from which on a worker is ejected.
-const FAILURES_TO_EJECT: u32 = 2;
-/// The first ejection lasts so long; each further one twice as long as the one before.
+/// Number of consecutive failures at which a worker is ejected.
+const CONSECUTIVE_FAILURES_TO_EJECT: u32 = 2;
+/// Duration of the first ejection; each further one lasts twice as long as the previous one.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
-/// The longest ejection.
+/// Longest ejection.
 const MAX_BACKOFF: Duration = Duration::from_secs(3);
-/// For so long after an ejection a worker at which nothing was attempted yet gets only idempotent requests.
+/// Time after an ejection during which an untested worker gets only idempotent requests.
 const PROBATION: Duration = Duration::from_secs(3);
-/// Time in which the weight of past failures halves.
+/// Time within which the weight of a past failure halves.
 const HALF_LIFE: HalfLife = HalfLife(Duration::from_secs(2));
-/// The share of past failures that still counts after an answer.
-const SHARE_LEFT_BY_AN_ANSWER: f64 = 0.7;
-/// Recent failures count no more than this.
-const MAX_COUNTED_FAILURES: f64 = 4.0;
-/// Failures that other gatekeepers report count like so many.
-const SUSPECT_FAILURES: f64 = 2.0;
-/// How long a report of other gatekeepers counts that is not renewed.
+/// Fraction of the recent failures that still counts after a successful answer.
+const FAILURE_SHARE_AFTER_SUCCESS: f64 = 0.7;
+/// Upper limit of the recent failure count.
+const MAX_RECENT_FAILURES: f64 = 4.0;
+/// Failure count assumed for a worker that other gatekeepers report as failing.
+const SUSPECTED_FAILURE_COUNT: f64 = 2.0;
+/// How long a report of other gatekeepers remains valid without renewal.
 const SUSPICION_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Whether a worker has failed recently.
+/// Recent failures and the ejection state of one worker.
 #[derive(Debug, Default)]
 pub(super) struct Health {
     consecutive_failures: u32,
     ejected_until: Duration,
-    /// Recent failures.
+    /// Decaying count of recent failures.
     failures: DecayingValue,
-    /// Failures that have not been reported to other gatekeepers.
+    /// Failures that have not been reported to control yet.
     unreported: u32,
-    /// When other gatekeepers last reported failures.
+    /// Time of the latest report of failures by other gatekeepers.
     suspected_at: Option<Duration>,
 }
 
 impl Health {
-    /// Whether a request may be attempted there; `idempotent`: it may run more than once.
+    /// Whether a request may be sent to the worker; `idempotent`: the request may be executed more than once.
     pub fn may_attempt(&self, now: Duration, idempotent: bool) -> bool {
         let probation = if idempotent { Duration::ZERO } else { PROBATION };
         now >= self.ejected_until && (!self.is_outlier() || now >= self.ejected_until + probation)
     }
 
     fn is_outlier(&self) -> bool {
-        self.consecutive_failures >= FAILURES_TO_EJECT
+        self.consecutive_failures >= CONSECUTIVE_FAILURES_TO_EJECT
     }
 
-    /// Recent failures, those included that other gatekeepers report.
+    /// Decaying count of recent failures, at least [`SUSPECTED_FAILURE_COUNT`] while other gatekeepers report failures.
     pub fn recent_failures(&self, now: Duration) -> f64 {
         let suspected = self.suspected_at.is_some_and(|at| now <= at + SUSPICION_TIMEOUT);
-        let reported_by_others = if suspected { SUSPECT_FAILURES } else { 0.0 };
+        let reported_by_others = if suspected { SUSPECTED_FAILURE_COUNT } else { 0.0 };
         self.own_failures(now).max(reported_by_others)
     }
 
-    /// Other gatekeepers report failures of this worker, or no longer do.
-    pub fn suspect(&mut self, now: Duration, suspected: bool) {
+    /// Records whether other gatekeepers currently report failures of this worker.
+    pub fn set_suspected(&mut self, now: Duration, suspected: bool) {
         self.suspected_at = suspected.then_some(now);
     }
 
-    /// Failures that have not been reported to other gatekeepers; they count as reported from now on.
+    /// Returns the number of failures not yet reported to control and marks them as reported.
     pub fn take_unreported(&mut self) -> u32 {
         std::mem::take(&mut self.unreported)
     }
@@ -71,22 +71,23 @@
         self.failures.get(now, HALF_LIFE)
     }
 
-    /// A request is sent there: after an ejection it is the only one until it has been answered, or has failed.
+    /// Records that a request is sent to the worker. For an outlier this extends the ejection, so that no other request
+    /// follows until the attempt has succeeded or the backoff has passed.
     pub fn attempt_started(&mut self, now: Duration) {
         if self.is_outlier() {
             self.ejected_until = now + self.backoff();
         }
     }
 
-    /// The worker has answered properly: its ejection ends.
-    pub fn answered(&mut self, now: Duration) {
+    /// Records a successful answer, which ends an ejection.
+    pub fn attempt_succeeded(&mut self, now: Duration) {
         self.consecutive_failures = 0;
         self.ejected_until = Duration::ZERO;
-        self.set_failures(now, self.own_failures(now) * SHARE_LEFT_BY_AN_ANSWER);
+        self.set_failures(now, self.own_failures(now) * FAILURE_SHARE_AFTER_SUCCESS);
     }
 
-    /// The worker has failed: from [`FAILURES_TO_EJECT`] consecutive failures on it is ejected.
-    pub fn failed(&mut self, now: Duration) {
+    /// Records a failure. The worker is ejected from [`CONSECUTIVE_FAILURES_TO_EJECT`] consecutive failures on.
+    pub fn attempt_failed(&mut self, now: Duration) {
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         if self.is_outlier() {
             self.ejected_until = now + self.backoff();
@@ -95,23 +96,25 @@
         self.set_failures(now, self.own_failures(now) + 1.0);
     }
 
-    /// An answer takes unusually long: this is reported, but as it may still come, the worker is not ejected.
-    pub fn overdue(&mut self, now: Duration) {
+    /// Records that an answer is overdue. This is reported to control, but does not eject the worker, since the answer
+    /// may still arrive.
+    pub fn answer_overdue(&mut self, now: Duration) {
         self.unreported += 1;
-        self.suspected_failure(now);
+        self.possible_failure(now);
     }
 
-    /// It may have failed, but may as well have been busy: it is not ejected.
-    pub fn suspected_failure(&mut self, now: Duration) {
+    /// Records an outcome that may be due to a failure or to a busy worker. It lowers the score but does not eject the
+    /// worker.
+    pub fn possible_failure(&mut self, now: Duration) {
         self.set_failures(now, self.own_failures(now) + 1.0);
     }
 
     fn set_failures(&mut self, now: Duration, failures: f64) {
-        self.failures = DecayingValue::new(now, failures.min(MAX_COUNTED_FAILURES));
+        self.failures = DecayingValue::new(now, failures.min(MAX_RECENT_FAILURES));
     }
 
     fn backoff(&self) -> Duration {
-        let doublings = self.consecutive_failures.saturating_sub(FAILURES_TO_EJECT).min(8);
+        let doublings = self.consecutive_failures.saturating_sub(CONSECUTIVE_FAILURES_TO_EJECT).min(8);
         (INITIAL_BACKOFF * 2_u32.pow(doublings)).min(MAX_BACKOFF)
     }
 }
--- a/crates/gatekeeper/src/proxy/balance/load.rs
+++ b/crates/gatekeeper/src/proxy/balance/load.rs
@@ -1,24 +1,24 @@
-//! How full a worker is, from its last report and this gatekeeper's own requests.
+//! Load of a worker, estimated from its last report and this gatekeeper's requests in flight.
 
 use crate::proxy::balance::decay::HalfLife;
 use std::time::Duration;
 
-/// Time in which the load that is known of other gatekeepers halves.
+/// Time within which the load that was attributed to other gatekeepers decays to half.
 const HALF_LIFE: HalfLife = HalfLife(Duration::from_millis(400));
 
-/// What a worker says in `Server-Load`.
+/// Load that a worker reports in the `Server-Load` header.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests that it works on.
+    /// Requests being processed.
     pub running: u32,
-    /// Requests that wait there.
+    /// Requests queued.
     pub waiting: u32,
-    /// Requests that it works on at most.
+    /// Maximum number of requests processed at a time.
     pub slots: u32,
 }
 
 impl LoadReport {
-    /// Reads the header's value, such as `3,0,8`.
+    /// Parses the header's value, such as `3,0,8`; `None` if it is malformed.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let mut numbers = text.split(',').map(|number| number.trim().parse::<u32>());
@@ -26,32 +26,32 @@
         numbers.next().is_none().then_some(Self { running, waiting, slots })
     }
 
-    /// Whether the worker could take a request at once.
+    /// Whether the worker can start another request at once.
     #[must_use]
     pub fn has_free_slots(self) -> bool {
         self.running < self.slots && self.waiting == 0
     }
 }
 
-/// Requests that are probably at a worker.
+/// Estimated number of requests at a worker.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Load {
-    /// This gatekeeper's own.
+    /// Requests of this gatekeeper in flight.
     pub own: f64,
-    /// Those of others that run.
+    /// Requests of other gatekeepers being processed.
     pub others_running: f64,
-    /// Those of others that wait.
+    /// Requests of other gatekeepers queued.
     pub others_waiting: f64,
 }
 
 impl Load {
-    /// All requests together.
+    /// Sum of all requests.
     pub fn total(&self) -> f64 {
         self.own + self.others_running + self.others_waiting
     }
 }
 
-/// The load of other gatekeepers when the worker last reported.
+/// Load caused by other gatekeepers, as of the worker's last report.
 #[derive(Debug, Default)]
 pub(super) struct ReportedLoad {
     reported_at: Duration,
@@ -60,7 +60,7 @@
 }
 
 impl ReportedLoad {
-    /// The worker has answered with a report while `own` requests of this gatekeeper were there.
+    /// Sets the load from a report that arrived while `own` requests of this gatekeeper were at the worker.
     pub fn set(&mut self, now: Duration, report: LoadReport, own: u32) {
         let all = f64::from(report.running) + f64::from(report.waiting);
         let others = (all - f64::from(own)).max(0.0);
@@ -69,7 +69,7 @@
         self.reported_at = now;
     }
 
-    /// The load at `now`, where `own` requests of this gatekeeper are there.
+    /// Estimates the load at `now` with `own` requests of this gatekeeper in flight.
     pub fn load(&self, now: Duration, own: u32) -> Load {
         let share_left = HALF_LIFE.share_left(self.reported_at, now);
         Load {
--- a/crates/gatekeeper/src/proxy/balance/mod.rs
+++ b/crates/gatekeeper/src/proxy/balance/mod.rs
@@ -1,10 +1,12 @@
-//! Chooses the worker for a request, from what the feed, answers and failures have shown.
+//! Selects the worker for each request from the control feed, the workers' load reports and recent failures.
 //!
-//! A worker of a language-model service is scored by the prompt tokens that stand before the request's first token
-//! there: what of its own prompt is not cached, and the prompts of others that are still being read. Rendezvous hashing
-//! gives prompts homes that every gatekeeper finds again, also after a restart: with few gatekeepers a subject has one, so
-//! that its shared segment is not read everywhere; with many each session has one, as what is popular is kept everywhere. A
-//! worker of any other service is scored by how full it is.
+//! A worker of a language-model service is scored by the number of prompt tokens that it has to process before the
+//! request's first output token: the uncached tokens of the request's own prompt and the prompts of other requests that
+//! are still in prefill. Rendezvous hashing maps each prompt to preferred workers that every gatekeeper computes alike,
+//! also after a restart. While few gatekeepers share the service, the key is the first prompt segment, so that a prefix
+//! that many sessions share is cached on few workers. When many gatekeepers share it, the key is the session's own last
+//! segment, because popular prefixes are then cached on every worker. A worker of any other service is scored by its
+//! load as a share of its slots.
 
 mod answer_time;
 mod decay;
@@ -29,92 +31,92 @@
 use std::sync::Arc;
 use std::{rc::Rc, time::Duration};
 
-/// Names one incarnation of a worker.
+/// Identifies one incarnation of a worker.
 pub type WorkerId = Arc<str>;
 
-/// Longest queue at a worker for the most urgent requests, as a share of its slots.
+/// Queue length at a worker up to which requests of the highest priority are admitted, as a share of its slots.
 const QUEUE_SHARE: f64 = 1.0;
-/// The same at language models, whose requests take their slots for longer.
+/// The same limit for language models, whose requests occupy their slots for longer.
 const MODEL_QUEUE_SHARE: f64 = 0.5;
-/// The segment of that share by which each lower priority shortens the queue.
-const QUEUE_SHARE_STEP: f64 = 0.25;
-/// Priorities from here on are treated alike.
+/// Reduction of the queue limit for each lower priority, as a fraction of the limit.
+const QUEUE_SHARE_REDUCTION_PER_RANK: f64 = 0.25;
+/// Lowest priority that is distinguished; lower ones are treated like it.
 const MAX_RANK: u32 = 4;
 
-/// Share of its slots from which on a worker counts as busy, and may take longer than usual.
+/// Share of its slots from which a worker counts as busy, so that slower answers are expected of it.
 const BUSY_SHARE: f64 = 0.25;
 
-/// Tells whether a free connection to a worker is kept.
+/// Returns whether an idle connection to a worker is open.
 pub type HasIdleConnection<'a> = &'a dyn Fn(&WorkerId) -> bool;
 
-/// What the choice of a worker goes by.
+/// Criteria by which a worker is selected for a request.
 #[derive(Clone, Default)]
 pub struct SelectionCriteria<'a> {
-    /// The segments of the prompt, in order.
+    /// Segments of the prompt, in order.
     pub prompt_segments: &'a [PromptSegment],
-    /// Workers at which this request was attempted before.
+    /// Workers to which this request has already been sent.
     pub attempted: &'a [WorkerId],
-    /// The worker that answered the turn before this one, as another gatekeeper may have had it.
+    /// Worker that answered the previous turn, possibly through another gatekeeper.
     pub previous_worker: Option<&'a str>,
-    /// The route's rank: 0 is the most urgent.
+    /// Priority of the route; 0 is the highest.
     pub priority: u32,
-    /// The request continues a program that has begun: it ranks one priority higher.
+    /// The request belongs to a program that has already started, which raises its priority by one.
     pub continues_program: bool,
-    /// The request may run more than once.
+    /// The request may be executed more than once.
     pub idempotent: bool,
-    /// Where free connections are kept; `None`: this is not known.
+    /// Tells which workers have an idle connection; `None` if this is unknown.
     pub has_idle_connection: Option<HasIdleConnection<'a>>,
 }
 
-/// Why there is no worker for a request.
+/// Reason why no worker can take a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoWorker {
-    /// None is known, or the request was attempted at each.
+    /// No ready worker is known to which the request has not been sent yet.
     Absent,
-    /// All that might serve are full.
+    /// The queue of every candidate is full.
     Full,
 }
 
-/// A worker that was chosen, and where it is.
+/// The worker selected for a request, with its address.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SelectedWorker {
-    /// Its id.
+    /// Id of the worker.
     pub id: WorkerId,
-    /// Its address.
+    /// Address of the worker, `host:port`.
     pub address: Rc<str>,
 }
 
-/// What a request occupies at a worker until it ends.
+/// Capacity that a request occupies at a worker until it ends.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkerSlot {
     worker: WorkerId,
     prompt_tokens: u32,
-    /// When the request was sent; `None` once it is known how long the answer took to begin.
+    /// When the request was sent; `None` once the time to the start of its answer has been recorded.
     sent_at: Option<Duration>,
 }
 
 impl WorkerSlot {
-    /// The worker.
+    /// Id of the worker.
     #[must_use]
     pub fn worker(&self) -> &str {
         &self.worker
     }
 }
 
-/// Chooses among the workers of one service, and learns from what happens at them.
+/// Selects among the workers of one service and records the outcome of each request.
 #[derive(Debug)]
 pub struct Balancer {
     workers: WorkerSet,
-    /// Tokens that a worker's KV cache holds; 0: the service runs no language model.
+    /// Capacity of a worker's KV cache in tokens; 0 for a service without a language model.
     kv_cache_tokens: u32,
-    /// How long answers take to begin.
+    /// Statistics of the time from sending a request to the start of its answer.
     answer_time: AnswerTime,
-    /// How often subjects were requested.
+    /// Recent request rate of each shared prompt prefix.
     popularity: Popularity,
 }
 
 impl Balancer {
-    /// For a gatekeeper in `zone`, which `gatekeeper` tells from others.
+    /// Returns a balancer without workers for a gatekeeper in `zone`; `gatekeeper` is its key in rendezvous hashing.
     #[must_use]
     pub fn new(zone: &str, gatekeeper: u64) -> Self {
         Self {
@@ -125,72 +127,74 @@
         }
     }
 
-    /// So many gatekeepers share the service.
+    /// Sets the number of gatekeepers that share the service.
     pub fn set_gatekeepers(&mut self, gatekeepers: u32) {
         self.workers.set_gatekeepers(gatekeepers);
     }
 
-    /// Tokens that a worker's KV cache holds; 0 for a service without a language model.
+    /// Sets the capacity of a worker's KV cache in tokens; 0 for a service without a language model.
     pub fn set_kv_cache_tokens(&mut self, tokens: u32) {
         self.kv_cache_tokens = tokens;
     }
 
-    /// The feed's list of the service's workers; those that it does not name are gone.
+    /// Replaces the list of the service's workers by the feed's; workers that are missing from it are no longer
+    /// selected.
     pub fn set_workers<'a>(&mut self, now: Duration, workers: impl Iterator<Item = &'a feed::Worker>) {
-        self.workers.set_listed(now, workers);
+        self.workers.set_workers(now, workers);
     }
 
-    /// Whether the service has a worker that takes requests.
+    /// Whether at least one worker of the service accepts requests.
     #[must_use]
     pub fn has_ready_worker(&self) -> bool {
         self.workers.iter().any(|(_, worker)| worker.is_ready())
     }
 
-    /// Other gatekeepers report failures of these workers, of whatever service. Where these are more than a third of
-    /// this service's, the fault is hardly theirs: then only what was seen here counts.
+    /// Sets the workers at which other gatekeepers have reported failures; workers of other services are ignored. If
+    /// more than a third of this service's workers are suspected, the cause is probably not the workers, and only
+    /// failures that this gatekeeper has seen count.
     pub fn set_suspects(&mut self, now: Duration, suspects: &[String]) {
         self.workers.set_suspects(now, suspects);
     }
 
-    /// Takes the failures that have not been reported to control.
+    /// Returns the failures that have not been reported to control yet and marks them as reported.
     pub fn take_failures(&mut self) -> Vec<feed::WorkerFailures> {
         self.workers.take_failures()
     }
 
-    /// The ids of all workers.
+    /// Ids of all workers.
     pub fn worker_ids(&self) -> impl Iterator<Item = &WorkerId> {
         self.workers.iter().map(|(id, _)| id)
     }
 
-    /// Whether a worker still takes requests.
+    /// Whether a worker accepts new requests.
     #[must_use]
     pub fn is_ready(&self, id: &str) -> bool {
         self.workers.get(id).is_some_and(WorkerEntry::is_ready)
     }
 
-    /// Chooses a worker.
+    /// Selects the worker with the lowest score whose queue has room for the request.
     ///
     /// # Errors
-    /// Where none can serve.
+    /// If no candidate is ready, or the queue of each is full.
     pub fn select_worker(
         &self,
         now: Duration,
-        choice: &SelectionCriteria<'_>,
+        criteria: &SelectionCriteria<'_>,
     ) -> Result<SelectedWorker, NoWorker> {
-        let candidates = self.candidates(now, choice);
+        let candidates = self.candidates(now, criteria);
         if candidates.is_empty() {
             return Err(NoWorker::Absent);
         }
-        let context = self.scoring_context(now, &candidates, choice);
+        let context = self.scoring_context(now, &candidates, criteria);
         let mut best: Option<(f64, &WorkerId, &WorkerEntry)> = None;
         let mut rejected = false;
         for (id, worker) in &candidates {
-            if self.is_full(now, worker, choice) {
+            if self.is_full(now, worker, criteria) {
                 rejected = true;
                 continue;
             }
-            let score = self.full_score(now, (id, worker), choice, &context);
-            if best.as_ref().is_none_or(|(least, ..)| score < *least) {
+            let score = self.total_score(now, (id, worker), criteria, &context);
+            if best.as_ref().is_none_or(|(best_score, ..)| score < *best_score) {
                 best = Some((score, *id, *worker));
             }
         }
@@ -201,126 +205,130 @@
         }
     }
 
-    /// Ready workers at which the request was not attempted, without ejected ones unless too many are.
-    fn candidates(&self, now: Duration, choice: &SelectionCriteria<'_>) -> Vec<(&WorkerId, &WorkerEntry)> {
-        let ready =
-            || self.workers.iter().filter(|(id, worker)| worker.is_ready() && !choice.attempted.contains(id));
+    /// Ready workers to which the request has not been sent, without the ejected ones unless these are the majority.
+    fn candidates(&self, now: Duration, criteria: &SelectionCriteria<'_>) -> Vec<(&WorkerId, &WorkerEntry)> {
+        let ready = || {
+            self.workers.iter().filter(|(id, worker)| worker.is_ready() && !criteria.attempted.contains(id))
+        };
         let healthy: Vec<_> =
-            ready().filter(|(_, worker)| worker.health.may_attempt(now, choice.idempotent)).collect();
-        // At most half may be ejected: with more the fault is hardly theirs.
+            ready().filter(|(_, worker)| worker.health.may_attempt(now, criteria.idempotent)).collect();
+        // If more than half are ejected, the cause is probably not the workers.
         if healthy.len() * 2 >= ready().count() { healthy } else { ready().collect() }
     }
 
-    /// Whether a worker's queue is too long for a request of this rank.
-    fn is_full(&self, now: Duration, worker: &WorkerEntry, choice: &SelectionCriteria<'_>) -> bool {
+    /// Whether a worker's queue has reached the limit for the priority of this request.
+    fn is_full(&self, now: Duration, worker: &WorkerEntry, criteria: &SelectionCriteria<'_>) -> bool {
         let continues_program =
-            choice.continues_program || worker.prefixes.has_last_segment(choice.prompt_segments);
-        let rank = choice.priority.min(MAX_RANK).saturating_sub(u32::from(continues_program));
+            criteria.continues_program || worker.prefixes.has_last_segment(criteria.prompt_segments);
+        let rank = criteria.priority.min(MAX_RANK).saturating_sub(u32::from(continues_program));
         let share = if self.kv_cache_tokens > 0 { MODEL_QUEUE_SHARE } else { QUEUE_SHARE };
-        let share = share * (1.0 - QUEUE_SHARE_STEP * f64::from(rank));
-        let most = f64::from(worker.capacity) * (1.0 + share);
-        worker.load(now).total() >= most.max(1.0)
+        let share = share * (1.0 - QUEUE_SHARE_REDUCTION_PER_RANK * f64::from(rank));
+        let max_load = f64::from(worker.capacity) * (1.0 + share);
+        worker.load(now).total() >= max_load.max(1.0)
     }
 
-    // ---- What happens at a worker ----
+    // ---- Events of a request at a worker ----
 
-    /// A request is on its way to a worker.
+    /// Records that a request is being sent to a worker and returns the capacity that it occupies there.
     pub fn request_sent(&mut self, now: Duration, id: &WorkerId, segments: &[PromptSegment]) -> WorkerSlot {
-        let memory = self.kv_cache_tokens;
-        if let Some(subject) = segments.first().filter(|_| self.workers.has_subset) {
-            self.popularity.record(now, subject.id);
+        let kv_cache_tokens = self.kv_cache_tokens;
+        if let Some(prefix) = segments.first().filter(|_| self.workers.has_subset) {
+            self.popularity.record(now, prefix.id);
         }
         let mut prompt_tokens = 0;
         if let Some(worker) = self.workers.get_mut(id) {
             worker.in_flight += 1;
             worker.health.attempt_started(now);
-            if memory > 0 {
-                let all: u32 = segments.iter().map(|segment| segment.tokens).sum();
-                prompt_tokens = all.saturating_sub(worker.prefixes.cached_tokens(segments));
-                worker.prefixes.insert(segments, memory);
+            if kv_cache_tokens > 0 {
+                let total_tokens: u32 = segments.iter().map(|segment| segment.tokens).sum();
+                prompt_tokens = total_tokens.saturating_sub(worker.prefixes.cached_tokens(segments));
+                worker.prefixes.insert(segments, kv_cache_tokens);
                 worker.prefill_tokens += prompt_tokens;
             }
         }
         WorkerSlot { worker: id.clone(), prompt_tokens, sent_at: Some(now) }
     }
 
-    /// The worker has begun to answer: the prompt has been read.
+    /// Records that the worker has started to answer, which means that the prompt's prefill has ended.
     pub fn answer_started(&mut self, now: Duration, slot: &mut WorkerSlot, report: Option<LoadReport>) {
         self.record_answer_time(now, slot);
         let Some(worker) = self.workers.get_mut(&slot.worker) else { return };
         worker.prefill_tokens = worker.prefill_tokens.saturating_sub(slot.prompt_tokens);
         slot.prompt_tokens = 0;
         if let Some(report) = report {
-            worker.reported(now, report);
+            worker.record_load(now, report);
         }
     }
 
-    /// Records how long an answer took to begin, or had not begun when it timed out.
+    /// Records the time to the start of an answer, or the time waited so far if the attempt timed out before that.
     pub fn record_answer_time(&mut self, now: Duration, slot: &mut WorkerSlot) {
         if let Some(sent_at) = slot.sent_at.take() {
-            self.answer_time.add(now.saturating_sub(sent_at));
+            self.answer_time.record(now.saturating_sub(sent_at));
         }
     }
 
-    /// How long an answer of this worker may take to begin, going by what was usual recently; `None`: nothing is known,
-    /// or the worker is busy.
+    /// Longest usual time to the start of an answer, from the service's recent answers; `None` with too few samples or
+    /// while the worker is busy.
     #[must_use]
     pub fn answer_start_limit(&self, now: Duration, id: &str) -> Option<Duration> {
         let worker = self.workers.get(id)?;
         let busy = worker.load(now).total() >= f64::from(worker.capacity) * BUSY_SHARE;
-        if busy { None } else { self.answer_time.usual_limit() }
+        if busy { None } else { self.answer_time.normal_limit() }
     }
 
-    /// The worker has done what it was asked to, so far.
+    /// Records that the attempt has succeeded so far, which ends an ejection of the worker.
     pub fn attempt_succeeded(&mut self, now: Duration, id: &str) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.health.answered(now);
+            worker.health.attempt_succeeded(now);
         }
     }
 
-    /// The worker rejected the request, and perhaps reported its load.
+    /// Records that the worker has rejected a request, with its load report if it sent one.
     pub fn attempt_rejected(&mut self, now: Duration, slot: &WorkerSlot, report: Option<LoadReport>) {
         let Some(worker) = self.workers.get_mut(&slot.worker) else { return };
         match report {
             Some(report) => {
-                worker.reported(now, report);
+                worker.record_load(now, report);
                 if report.has_free_slots() {
-                    worker.health.suspected_failure(now);
+                    worker.health.possible_failure(now);
                 }
             }
-            None => worker.seems_full(now),
+            None => worker.assume_full(now),
         }
     }
 
-    /// The connection failed, what came on it was no answer, or it was the worker's own failure.
+    /// Records a failed attempt: the connection broke, the response was invalid, or the worker reported an error of its
+    /// own.
     pub fn attempt_failed(&mut self, now: Duration, id: &str) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.health.failed(now);
+            worker.health.attempt_failed(now);
         }
     }
 
-    /// An answer has not begun after the longest time that is usual. It may still come, so this ejects nobody.
+    /// Records that an answer has not started within the usual limit. The answer may still arrive, so the worker is not
+    /// ejected.
     pub fn answer_overdue(&mut self, now: Duration, id: &str) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.health.overdue(now);
+            worker.health.answer_overdue(now);
         }
     }
 
-    /// Nothing came before the request's deadline.
+    /// Records that no answer arrived before the request's deadline.
     pub fn request_timed_out(&mut self, now: Duration, id: &str) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.health.suspected_failure(now);
+            worker.health.possible_failure(now);
         }
     }
 
-    /// Another worker is at that address now: this one gets nothing more until the feed names another address.
+    /// Records that another worker now answers at this worker's address. It gets no requests until the feed gives a new
+    /// address.
     pub fn worker_replaced(&mut self, id: &str) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.replaced = true;
         }
     }
 
-    /// The request has ended there.
+    /// Releases the capacity that a request occupied at its worker.
     pub fn request_ended(&mut self, slot: &WorkerSlot) {
         let Some(worker) = self.workers.get_mut(&slot.worker) else { return };
         worker.in_flight = worker.in_flight.saturating_sub(1);
@@ -330,7 +338,7 @@
         }
     }
 
-    /// Requests of this gatekeeper at a worker.
+    /// Number of requests of this gatekeeper in flight at a worker.
     #[must_use]
     pub fn in_flight(&self, id: &str) -> u32 {
         self.workers.get(id).map_or(0, |worker| worker.in_flight)
--- a/crates/gatekeeper/src/proxy/balance/score.rs
+++ b/crates/gatekeeper/src/proxy/balance/score.rs
@@ -1,4 +1,4 @@
-//! Scores the workers for one request: the least score is the best.
+//! Scores the candidate workers of a request; the lowest score is the best.
 
 use crate::proxy::balance::{
     Balancer, PromptSegment, SelectionCriteria, WorkerId, subset::rendezvous, worker::WorkerEntry,
@@ -6,90 +6,90 @@
 use fnv::FnvHashMap;
 use std::time::Duration;
 
-/// Range of the random segment of a score, below any difference that counts.
+/// Range of the random term of a score, smaller than any relevant difference.
 const TIE_BREAK_RANGE: f64 = 1e-3;
-/// Prompt tokens that one running request costs another.
-const TOKENS_OF_A_RUNNING_REQUEST: f64 = 250.0;
-/// Prompt tokens that one waiting request of another gatekeeper stands for.
-const TOKENS_OF_A_WAITING_REQUEST: f64 = 1000.0;
-/// Prompt tokens by which each rank in a subject's order of workers sets a worker back.
-const TOKENS_OF_A_RANK: f64 = 60.0;
-/// How much more a shared segment counts that a worker would have to prefill: it takes time from others there, too.
+/// Cost of each request in flight at a worker, in prompt tokens.
+const TOKENS_PER_RUNNING_REQUEST: f64 = 250.0;
+/// Additional cost of each queued request of another gatekeeper, in prompt tokens.
+const TOKENS_PER_WAITING_REQUEST: f64 = 1000.0;
+/// Penalty for each rank in the rendezvous order of workers, in prompt tokens.
+const TOKENS_PER_RANK: f64 = 60.0;
+/// Weight of uncached tokens of a shared prefix: their prefill also delays other requests at the worker.
 const SHARED_PREFIX_WEIGHT: f64 = 1.2;
-/// Share of a turn's prompt that the worker of the turn before it has probably cached.
-const SHARE_OF_A_CONTINUED_PROMPT: f64 = 0.8;
-/// Ranks in that order that are told apart.
-const RANKS: usize = 6;
-/// What a worker outside this gatekeeper's subset is set back by, in prompt tokens.
-const TOKENS_OUTSIDE_SUBSET: f64 = 2000.0;
-/// What a worker in another zone is set back by, in prompt tokens: bytes between zones have their price.
-const TOKENS_OF_ANOTHER_ZONE: f64 = 500.0;
-/// What each recent failure sets a worker back by, in prompt tokens.
-const TOKENS_OF_A_FAILURE: f64 = 3000.0;
-/// The same at other services, as a share of its slots.
-const LOAD_OF_A_FAILURE: f64 = 0.4;
-/// How much more a failure counts for a request that is not idempotent.
+/// Fraction of the prompt assumed to be cached at the worker that answered the previous turn.
+const CONTINUED_PROMPT_CACHED_SHARE: f64 = 0.8;
+/// Number of ranks that are distinguished.
+const MAX_RANKS: usize = 6;
+/// Penalty for a worker outside this gatekeeper's subset, in prompt tokens.
+const OUTSIDE_SUBSET_PENALTY_TOKENS: f64 = 2000.0;
+/// Penalty for a worker in another zone, in prompt tokens: traffic between zones is billed.
+const OTHER_ZONE_PENALTY_TOKENS: f64 = 500.0;
+/// Penalty for each recent failure, in prompt tokens.
+const FAILURE_PENALTY_TOKENS: f64 = 3000.0;
+/// Penalty for each recent failure at services without a language model, as a share of the worker's slots.
+const FAILURE_PENALTY_LOAD: f64 = 0.4;
+/// Factor by which a failure weighs more for a request that is not idempotent.
 const NON_IDEMPOTENT_WEIGHT: f64 = 2.0;
-/// What a worker without a free slot is set back by, in prompt tokens.
-const TOKENS_WITHOUT_FREE_SLOT: f64 = 100_000.0;
-/// What a worker to which no free connection is kept is set back by, in requests: among workers that are as full as each
-/// other, one that can be sent to at once is taken. Less than one request, so that no worker is crowded for it.
-const REQUESTS_OF_A_CONNECTION: f64 = 0.5;
-/// What a worker in another zone is set back by, as a share of its slots.
-const OTHER_ZONE_LOAD: f64 = 0.1;
-/// What a worker that is still warming up is set back by, as a share of its slots.
-const WARMUP_LOAD: f64 = 0.5;
+/// Penalty for a worker without a free slot, in prompt tokens.
+const NO_FREE_SLOT_PENALTY_TOKENS: f64 = 100_000.0;
+/// Penalty for a worker without an idle connection, in requests. Among equally loaded workers it prefers one that needs
+/// no connection set-up; it is less than one request, so that it never outweighs a difference in load.
+const NEW_CONNECTION_PENALTY_REQUESTS: f64 = 0.5;
+/// Penalty for a worker in another zone, as a share of its slots.
+const OTHER_ZONE_PENALTY_LOAD: f64 = 0.1;
+/// Penalty for a worker during its warm-up, as a share of its slots.
+const WARMUP_PENALTY_LOAD: f64 = 0.5;
 
-/// What is the same for all candidates for one request.
+/// Inputs of the score that are shared by all candidates of one request.
 pub(super) struct ScoringContext<'a> {
-    /// The first workers in the order of the request's subject or session, by rank.
+    /// The first [`MAX_RANKS`] workers in the rendezvous order of the request's prompt, with their ranks.
     ranks: FnvHashMap<&'a WorkerId, usize>,
-    /// Recent failures at the average candidate.
-    usual_failures: f64,
-    /// Tokens at the beginning of the prompt that any worker has probably cached, as other gatekeepers have sent them there.
+    /// Average number of recent failures over the candidates.
+    average_failures: f64,
+    /// Number of leading prompt tokens expected to be cached at every worker because of other gatekeepers' requests.
     cached_by_others: u32,
 }
 
 impl Balancer {
-    /// What is the same for all these candidates.
+    /// Computes the inputs that are shared by all candidates of a request.
     pub(super) fn scoring_context<'a>(
         &self,
         now: Duration,
         candidates: &[(&'a WorkerId, &WorkerEntry)],
-        choice: &SelectionCriteria<'_>,
+        criteria: &SelectionCriteria<'_>,
     ) -> ScoringContext<'a> {
         ScoringContext {
-            ranks: self.ranks(candidates, choice.prompt_segments),
-            usual_failures: usual_failures(now, candidates),
-            cached_by_others: self.cached_by_others(now, choice.prompt_segments),
+            ranks: self.ranks(candidates, criteria.prompt_segments),
+            average_failures: average_failures(now, candidates),
+            cached_by_others: self.cached_by_others(now, criteria.prompt_segments),
         }
     }
 
-    /// A candidate's score, with all that counts against it. Equal ones are told apart by chance.
-    pub(super) fn full_score(
+    /// Score of a candidate with all penalties; ties are broken at random.
+    pub(super) fn total_score(
         &self,
         now: Duration,
         (id, worker): (&WorkerId, &WorkerEntry),
-        choice: &SelectionCriteria<'_>,
+        criteria: &SelectionCriteria<'_>,
         context: &ScoringContext<'_>,
     ) -> f64 {
-        let failures = (worker.health.recent_failures(now) - context.usual_failures).max(0.0);
-        self.score(now, (id, worker), choice, context)
-            + self.setback(failures, choice)
-            + self.connecting(id, worker, choice)
+        let failures = (worker.health.recent_failures(now) - context.average_failures).max(0.0);
+        self.base_score(now, (id, worker), criteria, context)
+            + self.failure_penalty(failures, criteria)
+            + self.connection_penalty(id, worker, criteria)
             + fastrand::f64() * TIE_BREAK_RANGE
     }
 
-    /// The first workers in the order of a prompt's subject or session, by rank.
+    /// The first workers in the rendezvous order of a prompt, with their ranks.
     fn ranks<'a>(
         &self,
         candidates: &[(&'a WorkerId, &WorkerEntry)],
         segments: &[PromptSegment],
     ) -> FnvHashMap<&'a WorkerId, usize> {
-        // The last segment is the session's own, the first one is what many requests share: one home of that would be
-        // crowded where each gatekeeper sees little of its load.
-        let homed = if self.workers.has_subset { segments.last() } else { segments.first() };
-        let Some(key) = homed.filter(|_| self.kv_cache_tokens > 0).map(|segment| segment.id) else {
+        // The first segment is shared by many requests and the last one belongs to the session. A single preferred
+        // worker for a shared prefix would be overloaded while each gatekeeper sees only a small part of its load.
+        let key_segment = if self.workers.has_subset { segments.last() } else { segments.first() };
+        let Some(key) = key_segment.filter(|_| self.kv_cache_tokens > 0).map(|segment| segment.id) else {
             return FnvHashMap::default();
         };
         let mut order: Vec<((bool, bool, u64), &'a WorkerId)> = candidates
@@ -97,98 +97,111 @@
             .map(|(id, worker)| ((worker.in_subset, worker.local, rendezvous(key, id)), *id))
             .collect();
         order.sort_unstable_by(|a, b| b.cmp(a));
-        order.into_iter().take(RANKS).enumerate().map(|(rank, (_, id))| (id, rank)).collect()
+        order.into_iter().take(MAX_RANKS).enumerate().map(|(rank, (_, id))| (id, rank)).collect()
     }
 
-    /// How many prompt tokens, or what share of its slots, stand before a request at a worker: the least is best.
-    fn score(
+    /// Prompt tokens to be processed before the request at a worker, or its load as a share of its slots for services
+    /// without a language model.
+    fn base_score(
         &self,
         now: Duration,
         (id, worker): (&WorkerId, &WorkerEntry),
-        choice: &SelectionCriteria<'_>,
+        criteria: &SelectionCriteria<'_>,
         context: &ScoringContext<'_>,
     ) -> f64 {
         if self.kv_cache_tokens == 0 {
-            return plain_score(now, worker);
+            return load_score(now, worker);
         }
-        let rank = context.ranks.get(id).copied().unwrap_or(RANKS);
-        let is_previous = choice.previous_worker == Some(&**id);
-        let mut cached = worker.prefixes.cached_tokens(choice.prompt_segments).max(context.cached_by_others);
-        if !self.workers.has_subset && rank == 0 && cached == 0 && choice.prompt_segments.len() > 1 {
-            // Another gatekeeper has probably sent the subject there.
-            cached = choice.prompt_segments.first().map_or(0, |segment| segment.tokens) / 2;
+        let rank = context.ranks.get(id).copied().unwrap_or(MAX_RANKS);
+        let is_previous = criteria.previous_worker == Some(&**id);
+        let mut cached =
+            worker.prefixes.cached_tokens(criteria.prompt_segments).max(context.cached_by_others);
+        if !self.workers.has_subset && rank == 0 && cached == 0 && criteria.prompt_segments.len() > 1 {
+            // Other gatekeepers compute the same first rank, so one of them has probably sent the prefix to this
+            // worker.
+            cached = criteria.prompt_segments.first().map_or(0, |segment| segment.tokens) / 2;
         }
-        let all: u32 = choice.prompt_segments.iter().map(|segment| segment.tokens).sum();
+        let total_tokens: u32 = criteria.prompt_segments.iter().map(|segment| segment.tokens).sum();
         if is_previous {
-            cached = cached.max((f64::from(all) * SHARE_OF_A_CONTINUED_PROMPT) as u32);
+            cached = cached.max((f64::from(total_tokens) * CONTINUED_PROMPT_CACHED_SHARE) as u32);
         }
-        let own = choice.prompt_segments.last().map_or(0, |segment| segment.tokens);
-        let own_unread = own.min(all.saturating_sub(cached));
-        let shared_unread = all.saturating_sub(own).saturating_sub(cached);
-        let unread = f64::from(own_unread)
-            + f64::from(shared_unread) * SHARED_PREFIX_WEIGHT
+        let own = criteria.prompt_segments.last().map_or(0, |segment| segment.tokens);
+        let uncached_own = own.min(total_tokens.saturating_sub(cached));
+        let uncached_shared = total_tokens.saturating_sub(own).saturating_sub(cached);
+        let uncached = f64::from(uncached_own)
+            + f64::from(uncached_shared) * SHARED_PREFIX_WEIGHT
             + f64::from(worker.prefill_tokens);
         let load = worker.load(now);
-        let running = load.total() * TOKENS_OF_A_RUNNING_REQUEST;
-        let waiting = load.others_waiting * TOKENS_OF_A_WAITING_REQUEST;
-        let full = if load.total() >= f64::from(worker.capacity) { TOKENS_WITHOUT_FREE_SLOT } else { 0.0 };
-        let affinity = rank as f64 * TOKENS_OF_A_RANK + self.tokens_outside(worker);
-        unread + running + waiting + full + affinity
+        let running = load.total() * TOKENS_PER_RUNNING_REQUEST;
+        let waiting = load.others_waiting * TOKENS_PER_WAITING_REQUEST;
+        let no_free_slot =
+            if load.total() >= f64::from(worker.capacity) { NO_FREE_SLOT_PENALTY_TOKENS } else { 0.0 };
+        let affinity = rank as f64 * TOKENS_PER_RANK + self.preference_penalty(worker);
+        uncached + running + waiting + no_free_slot + affinity
     }
 
-    /// Tokens at the beginning of a prompt that any worker has probably cached, as other gatekeepers have sent them there.
+    /// Number of leading prompt tokens expected to be cached at every worker because of other gatekeepers' requests.
     fn cached_by_others(&self, now: Duration, segments: &[PromptSegment]) -> u32 {
         let [shared, _, ..] = segments else { return 0 };
         if !self.workers.has_subset {
             return 0;
         }
         let gatekeepers = self.workers.subset.gatekeepers;
-        let chance = self.popularity.cached_probability(now, shared.id, gatekeepers, self.workers.ready);
-        (f64::from(shared.tokens) * chance) as u32
+        let probability =
+            self.popularity.cached_probability(now, shared.id, gatekeepers, self.workers.ready_count);
+        (f64::from(shared.tokens) * probability) as u32
     }
 
-    /// What a worker is set back by that is not among those this gatekeeper prefers.
-    fn tokens_outside(&self, worker: &WorkerEntry) -> f64 {
-        let outside = if worker.in_subset || !self.workers.has_subset { 0.0 } else { TOKENS_OUTSIDE_SUBSET };
-        let far = if worker.local { 0.0 } else { TOKENS_OF_ANOTHER_ZONE };
-        outside + far
+    /// Penalty for a worker outside the subset or the zone of this gatekeeper.
+    fn preference_penalty(&self, worker: &WorkerEntry) -> f64 {
+        let outside =
+            if worker.in_subset || !self.workers.has_subset { 0.0 } else { OUTSIDE_SUBSET_PENALTY_TOKENS };
+        let other_zone = if worker.local { 0.0 } else { OTHER_ZONE_PENALTY_TOKENS };
+        outside + other_zone
     }
 
-    /// What failures beyond the usual set a worker back by.
-    fn setback(&self, failures: f64, choice: &SelectionCriteria<'_>) -> f64 {
-        let each = if self.kv_cache_tokens == 0 { LOAD_OF_A_FAILURE } else { TOKENS_OF_A_FAILURE };
-        let weight = if choice.idempotent { 1.0 } else { NON_IDEMPOTENT_WEIGHT };
-        failures * each * weight
+    /// Penalty for failures above the average of the candidates.
+    fn failure_penalty(&self, failures: f64, criteria: &SelectionCriteria<'_>) -> f64 {
+        let per_failure =
+            if self.kv_cache_tokens == 0 { FAILURE_PENALTY_LOAD } else { FAILURE_PENALTY_TOKENS };
+        let weight = if criteria.idempotent { 1.0 } else { NON_IDEMPOTENT_WEIGHT };
+        failures * per_failure * weight
     }
 
-    /// What a connection that would have to be opened sets a worker back by. At a language model the time for it is
-    /// short beside that for reading a prompt.
-    fn connecting(&self, id: &WorkerId, worker: &WorkerEntry, choice: &SelectionCriteria<'_>) -> f64 {
-        let costs_little = self.kv_cache_tokens > 0;
-        if costs_little
-            || choice.has_idle_connection.is_none_or(|has_idle_connection| has_idle_connection(id))
+    /// Penalty for having to open a connection; zero for language models, where connection set-up is short compared
+    /// with the prefill.
+    fn connection_penalty(
+        &self,
+        id: &WorkerId,
+        worker: &WorkerEntry,
+        criteria: &SelectionCriteria<'_>,
+    ) -> f64 {
+        let is_negligible = self.kv_cache_tokens > 0;
+        if is_negligible
+            || criteria.has_idle_connection.is_none_or(|has_idle_connection| has_idle_connection(id))
         {
             return 0.0;
         }
-        REQUESTS_OF_A_CONNECTION / f64::from(worker.capacity.max(1))
+        NEW_CONNECTION_PENALTY_REQUESTS / f64::from(worker.capacity.max(1))
     }
 }
 
-/// Recent failures at the average worker: where all fail alike, the fault is hardly theirs.
-fn usual_failures(now: Duration, candidates: &[(&WorkerId, &WorkerEntry)]) -> f64 {
-    let all: f64 = candidates.iter().map(|(_, worker)| worker.health.recent_failures(now)).sum();
-    all / candidates.len().max(1) as f64
+/// Average number of recent failures over the candidates. Only failures above it count, because failures that affect
+/// all workers alike are probably not caused by the workers.
+fn average_failures(now: Duration, candidates: &[(&WorkerId, &WorkerEntry)]) -> f64 {
+    let total: f64 = candidates.iter().map(|(_, worker)| worker.health.recent_failures(now)).sum();
+    total / candidates.len().max(1) as f64
 }
 
-/// How full a worker is, with what counts against it.
-fn plain_score(now: Duration, worker: &WorkerEntry) -> f64 {
+/// Load as a share of the slots, with the penalties for another zone and for warm-up.
+fn load_score(now: Duration, worker: &WorkerEntry) -> f64 {
     let slots = f64::from(worker.capacity.max(1));
     let mut score = worker.load(now).total() / slots;
     if !worker.local {
-        score += OTHER_ZONE_LOAD;
+        score += OTHER_ZONE_PENALTY_LOAD;
     }
     if worker.is_warming_up(now) {
-        score += WARMUP_LOAD;
+        score += WARMUP_PENALTY_LOAD;
     }
     score
 }
--- a/crates/gatekeeper/src/proxy/balance/subset.rs
+++ b/crates/gatekeeper/src/proxy/balance/subset.rs
@@ -1,42 +1,43 @@
-//! Which workers a gatekeeper prefers where many gatekeepers share a service.
+//! Selects the subset of workers that a gatekeeper prefers when many gatekeepers share a service.
 //!
-//! One of few gatekeepers sees a good part of a service's load, and uses all its workers. One of many sees little of
-//! it: were all to prefer the same workers, these would be crowded before anyone noticed. So each has a subset of its
-//! own, drawn by rendezvous hashing from the workers of its zone first. Each worker is then in about as many subsets
-//! as any other, and a gatekeeper keeps connections to few. The subset is a preference: others serve while it is busy.
+//! With few gatekeepers, each one observes much of the service's load and uses all workers. With many, each observes
+//! little of it, and if all preferred the same workers, these would be overloaded before any gatekeeper noticed. Each
+//! gatekeeper therefore prefers a subset of its own, drawn by rendezvous hashing, with workers of its own zone first.
+//! Every worker is then in about the same number of subsets, and each gatekeeper keeps connections to few workers. The
+//! subset is only a preference: other workers serve while those in the subset are busy.
 
 use fnv::FnvHashSet;
 use opalrun_wire::feed::stable_hash;
 
 use crate::proxy::balance::WorkerId;
 
-/// Subsets that a worker is in, on average, where there are enough gatekeepers.
-const SUBSETS_OF_A_WORKER: usize = 12;
-/// The fewest workers in a subset, so that the loss of some leaves several.
+/// Average number of subsets that contain a given worker, with enough gatekeepers.
+const SUBSETS_PER_WORKER: usize = 12;
+/// Minimum size of a subset, so that several workers remain if some fail.
 const MIN_SUBSET_SIZE: usize = 8;
 
-/// What a gatekeeper's subsets are drawn by.
+/// Parameters from which a gatekeeper's subset is computed.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Subset {
-    /// Tells this gatekeeper from others.
+    /// Rendezvous key of this gatekeeper.
     pub gatekeeper: u64,
-    /// How many gatekeepers share the service.
+    /// Number of gatekeepers that share the service.
     pub gatekeepers: u32,
 }
 
 impl Subset {
-    /// Whether a service with so many workers is shared by so many gatekeepers that each has a subset of its own.
-    pub fn is_part_of(self, workers: usize) -> bool {
+    /// Whether the subset of this gatekeeper has fewer than `workers` workers.
+    pub fn is_smaller_than(self, workers: usize) -> bool {
         self.size(workers) < workers
     }
 
     fn size(self, workers: usize) -> usize {
-        let share = (workers * SUBSETS_OF_A_WORKER).div_ceil(self.gatekeepers.max(1) as usize);
+        let share = (workers * SUBSETS_PER_WORKER).div_ceil(self.gatekeepers.max(1) as usize);
         share.max(MIN_SUBSET_SIZE)
     }
 
-    /// The subset of these workers, each with whether it is in this gatekeeper's zone.
-    pub fn choose(self, workers: &[(WorkerId, bool)]) -> FnvHashSet<WorkerId> {
+    /// Selects the subset from `workers`, each given with whether it is in this gatekeeper's zone.
+    pub fn select(self, workers: &[(WorkerId, bool)]) -> FnvHashSet<WorkerId> {
         let mut order: Vec<(bool, u64, &WorkerId)> =
             workers.iter().map(|(id, local)| (*local, rendezvous(self.gatekeeper, id), id)).collect();
         order.sort_unstable_by(|a, b| b.cmp(a));
@@ -44,7 +45,7 @@
     }
 }
 
-/// The rank of a worker in the order that belongs to `key`: the highest comes first.
+/// Rendezvous weight of a worker for `key`; the highest weight ranks first.
 pub(super) fn rendezvous(key: u64, worker: &str) -> u64 {
     let mut bytes = Vec::with_capacity(size_of::<u64>() + worker.len());
     bytes.extend_from_slice(&key.to_le_bytes());
--- a/crates/gatekeeper/src/proxy/balance/worker.rs
+++ b/crates/gatekeeper/src/proxy/balance/worker.rs
@@ -1,4 +1,4 @@
-//! What is known of one worker.
+//! State of one worker at this gatekeeper.
 
 use crate::proxy::balance::{
     health::Health,
@@ -8,37 +8,37 @@
 use opalrun_wire::feed::{self, WorkerState};
 use std::{rc::Rc, time::Duration};
 
-/// One worker, as the feed, its answers and this gatekeeper's requests show it.
+/// State of one worker, from the feed, its answers and this gatekeeper's requests.
 #[derive(Debug)]
-#[expect(clippy::struct_excessive_bools, reason = "four facts that are known independently of each other")]
+#[expect(clippy::struct_excessive_bools, reason = "four independent properties")]
 pub(super) struct WorkerEntry {
-    /// Its address, `host:port`.
+    /// Address, `host:port`.
     pub address: Rc<str>,
-    /// Requests that it runs at the same time; at least 1.
+    /// Number of requests that it processes at the same time; at least 1.
     pub capacity: u32,
-    /// It is in this gatekeeper's zone.
+    /// The worker is in this gatekeeper's zone.
     pub local: bool,
-    /// It is among those that this gatekeeper prefers.
+    /// The worker is in the subset that this gatekeeper prefers.
     pub in_subset: bool,
-    /// The feed names it.
+    /// The worker is in the feed's current list.
     pub listed: bool,
-    /// It answered 421: its address is another worker's.
+    /// The worker's address answered 421 (Misdirected Request): another worker uses it now.
     pub replaced: bool,
-    /// Requests of this gatekeeper that are there now.
+    /// Requests of this gatekeeper in flight.
     pub in_flight: u32,
-    /// Prompt tokens of these whose prefill has not ended.
+    /// Prompt tokens of the requests in flight whose prefill has not ended.
     pub prefill_tokens: u32,
-    /// Its recent failures.
+    /// Recent failures and ejection.
     pub health: Health,
-    /// Prompt prefixes that it has probably cached.
+    /// Prompt prefixes that the worker has probably cached.
     pub prefixes: PrefixCache,
     state: WorkerState,
     warming_up_until: Duration,
-    reported: ReportedLoad,
+    reported_load: ReportedLoad,
 }
 
 impl WorkerEntry {
-    /// A worker that the feed names for the first time; `local`: it is in this gatekeeper's zone.
+    /// Returns the state of a worker that is new in the feed; `local`: the worker is in this gatekeeper's zone.
     pub fn new(now: Duration, worker: &feed::Worker, local: bool) -> Self {
         Self {
             address: Rc::from(worker.address.as_str()),
@@ -53,11 +53,11 @@
             prefixes: PrefixCache::default(),
             state: worker.state,
             warming_up_until: now + Duration::from_millis(worker.warmup_remaining_ms),
-            reported: ReportedLoad::default(),
+            reported_load: ReportedLoad::default(),
         }
     }
 
-    /// The feed names it, perhaps with changes.
+    /// Updates the worker from the feed.
     pub fn update(&mut self, now: Duration, worker: &feed::Worker) {
         self.listed = true;
         self.state = worker.state;
@@ -71,29 +71,29 @@
         }
     }
 
-    /// Whether it takes requests.
+    /// Whether the worker accepts new requests.
     pub fn is_ready(&self) -> bool {
         self.listed && !self.replaced && self.state == WorkerState::Ready
     }
 
-    /// Whether it is still slow from its start.
+    /// Whether the worker is in slow start.
     pub fn is_warming_up(&self, now: Duration) -> bool {
         now < self.warming_up_until
     }
 
-    /// Requests that are probably there now.
+    /// Estimated number of requests at the worker.
     pub fn load(&self, now: Duration) -> Load {
-        self.reported.load(now, self.in_flight)
+        self.reported_load.load(now, self.in_flight)
     }
 
-    /// It reported its load.
-    pub fn reported(&mut self, now: Duration, report: LoadReport) {
-        self.reported.set(now, report, self.in_flight);
+    /// Records the worker's load report.
+    pub fn record_load(&mut self, now: Duration, report: LoadReport) {
+        self.reported_load.set(now, report, self.in_flight);
     }
 
-    /// It rejected a request without reporting its load: it counts as full.
-    pub fn seems_full(&mut self, now: Duration) {
+    /// Records that the worker rejected a request without a load report: all its slots are assumed to be occupied.
+    pub fn assume_full(&mut self, now: Duration) {
         let report = LoadReport { running: self.capacity, waiting: 0, slots: self.capacity };
-        self.reported.set(now, report, self.in_flight);
+        self.reported_load.set(now, report, self.in_flight);
     }
 }
--- a/crates/gatekeeper/src/proxy/balance/worker_set.rs
+++ b/crates/gatekeeper/src/proxy/balance/worker_set.rs
@@ -1,11 +1,11 @@
-//! The workers of one service that this gatekeeper knows, and the subset of them that it prefers.
+//! The known workers of one service and the subset that this gatekeeper prefers.
 
 use crate::proxy::balance::{WorkerId, subset::Subset, worker::WorkerEntry};
 use fnv::FnvHashMap;
 use opalrun_wire::feed;
 use std::time::Duration;
 
-/// A service has at least so many workers for each suspect whose reports are believed.
+/// Minimum number of workers for each suspected one; with fewer, reports of other gatekeepers are ignored.
 const MIN_WORKERS_PER_SUSPECT: usize = 3;
 
 /// The workers of one service.
@@ -13,27 +13,27 @@
 pub(super) struct WorkerSet {
     zone: String,
     entries: FnvHashMap<WorkerId, WorkerEntry>,
-    /// What this gatekeeper's subset is drawn by.
+    /// Parameters of this gatekeeper's subset.
     pub subset: Subset,
-    /// There are so many gatekeepers that each has a subset of its own.
+    /// So many gatekeepers share the service that this one prefers a subset of the workers.
     pub has_subset: bool,
-    /// Workers that take requests.
-    pub ready: usize,
+    /// Number of workers that accept requests.
+    pub ready_count: usize,
 }
 
 impl WorkerSet {
-    /// Without workers, for a gatekeeper in `zone`, which `gatekeeper` tells from others.
+    /// Returns an empty set for a gatekeeper in `zone`; `gatekeeper` is its key in rendezvous hashing.
     pub fn new(zone: &str, gatekeeper: u64) -> Self {
         Self {
             zone: zone.to_owned(),
             entries: FnvHashMap::default(),
             subset: Subset { gatekeeper, gatekeepers: 1 },
             has_subset: false,
-            ready: 0,
+            ready_count: 0,
         }
     }
 
-    /// So many gatekeepers share the service.
+    /// Sets the number of gatekeepers that share the service.
     pub fn set_gatekeepers(&mut self, gatekeepers: u32) {
         if self.subset.gatekeepers != gatekeepers {
             self.subset.gatekeepers = gatekeepers;
@@ -44,14 +44,14 @@
     fn draw_subset(&mut self) {
         let ready = self.entries.iter().filter(|(_, worker)| worker.is_ready());
         let ready: Vec<(WorkerId, bool)> = ready.map(|(id, worker)| (id.clone(), worker.local)).collect();
-        self.ready = ready.len();
-        self.has_subset = self.subset.is_part_of(ready.len());
-        let subset = self.subset.choose(&ready);
+        self.ready_count = ready.len();
+        self.has_subset = self.subset.is_smaller_than(ready.len());
+        let subset = self.subset.select(&ready);
         self.entries.iter_mut().for_each(|(id, worker)| worker.in_subset = subset.contains(id));
     }
 
-    /// Takes over the feed's list. Workers that it does not name are removed once no request is there.
-    pub fn set_listed<'a>(&mut self, now: Duration, workers: impl Iterator<Item = &'a feed::Worker>) {
+    /// Replaces the list of workers by the feed's. Missing workers are removed once they have no requests in flight.
+    pub fn set_workers<'a>(&mut self, now: Duration, workers: impl Iterator<Item = &'a feed::Worker>) {
         self.entries.values_mut().for_each(|worker| worker.listed = false);
         for worker in workers {
             let local = worker.zone == self.zone;
@@ -64,18 +64,19 @@
         self.draw_subset();
     }
 
-    /// Other gatekeepers report failures of these workers, of whatever service. Where these are more than a third of
-    /// this service's, the fault is hardly theirs: then only what was seen here counts.
+    /// Sets the workers at which other gatekeepers have reported failures; workers of other services are ignored. If
+    /// more than a third of this service's workers are suspected, the cause is probably not the workers, and the
+    /// reports are ignored.
     pub fn set_suspects(&mut self, now: Duration, suspects: &[String]) {
-        let named = |id: &WorkerId| suspects.iter().any(|suspect| **suspect == **id);
-        let count = self.entries.keys().filter(|id| named(id)).count();
-        let believed = count * MIN_WORKERS_PER_SUSPECT <= self.entries.len();
+        let is_suspect = |id: &WorkerId| suspects.iter().any(|suspect| **suspect == **id);
+        let count = self.entries.keys().filter(|id| is_suspect(id)).count();
+        let accepted = count * MIN_WORKERS_PER_SUSPECT <= self.entries.len();
         for (id, worker) in &mut self.entries {
-            worker.health.suspect(now, believed && named(id));
+            worker.health.set_suspected(now, accepted && is_suspect(id));
         }
     }
 
-    /// Takes the failures that have not been reported to control.
+    /// Returns the failures that have not been reported to control yet and marks them as reported.
     pub fn take_failures(&mut self) -> Vec<feed::WorkerFailures> {
         let unreported = self.entries.iter_mut().map(|(id, worker)| (id, worker.health.take_unreported()));
         let failed = unreported.filter(|(_, failures)| *failures > 0);
@@ -87,12 +88,12 @@
         self.entries.iter()
     }
 
-    /// A worker by its id.
+    /// Returns a worker by its id.
     pub fn get(&self, id: &str) -> Option<&WorkerEntry> {
         self.entries.get(id)
     }
 
-    /// A worker by its id, to be changed.
+    /// Returns a worker by its id, for modification.
     pub fn get_mut(&mut self, id: &str) -> Option<&mut WorkerEntry> {
         self.entries.get_mut(id)
     }
--- a/crates/gatekeeper/tests/agent/main.rs
+++ b/crates/gatekeeper/tests/agent/main.rs
@@ -1,4 +1,4 @@
-//! An agent between a fake of a control process and the proxy's subscription, over loopback.
+//! Integration tests of the agent over loopback, between a fake control process and the proxy's subscription.
 
 use opalrun_gatekeeper::{agent, feed::ControlFeed};
 use opalrun_net::{FrameReader, FrameWriter, Listener};
@@ -24,7 +24,7 @@
     Listener::bind("127.0.0.1:0".parse().unwrap()).await.unwrap()
 }
 
-/// The fake of control, with the session of the agent.
+/// A fake control process with the agent's subscription.
 struct Control {
     listener: Listener,
     reader: FrameReader,
@@ -38,7 +38,7 @@
         let FeedRequest::Subscribe { subscriber: Subscriber::Gatekeeper { node_name, zone, .. }, positions } =
             request
         else {
-            panic!("an agent subscribes first")
+            panic!("the first request of an agent must be a subscription")
         };
         assert_eq!((node_name.as_str(), zone.as_str()), ("edge-1", "pasig-hall"));
         assert_eq!(
@@ -60,13 +60,13 @@
         });
     }
 
-    /// Waits until the agent says that a generation is in force.
+    /// Waits until the agent reports that a generation is in force.
     async fn generation_reported(&mut self, expected: u64) {
         loop {
             match self.reader.next::<FeedRequest>().await.unwrap().unwrap() {
                 FeedRequest::Heartbeat { generation, .. } if generation == Generation(expected) => return,
                 FeedRequest::Heartbeat { .. } => {}
-                other => panic!("{other:?}"),
+                other => panic!("unexpected request: {other:?}"),
             }
         }
     }
@@ -77,19 +77,19 @@
     }
 }
 
-/// Starts an agent; returns the control process that it subscribed to and where it serves the proxy.
+/// Starts an agent; returns the fake control process that it has subscribed to, the server and the address for proxies.
 async fn start() -> (Control, Rc<agent::FeedServer>, SocketAddr) {
-    let control = listener().await;
-    let port = control.local_address().port();
+    let control_listener = listener().await;
+    let port = control_listener.local_address().port();
     let text = SETTINGS.replace("FEED_PORT", &port.to_string()).replace("PEER_PORT", &(port - 1).to_string());
     let settings = Settings::parse(&text, Path::new("settings.toml")).unwrap();
-    let for_proxy = listener().await;
-    let address = for_proxy.local_address();
-    let server = agent::start(&settings, for_proxy);
-    (Control::accept(control).await, server, address)
+    let proxy_listener = listener().await;
+    let address = proxy_listener.local_address();
+    let server = agent::start(&settings, proxy_listener);
+    (Control::accept(control_listener).await, server, address)
 }
 
-/// Waits until the proxy's view meets a condition.
+/// Waits until the proxy's view meets a condition; returns what the condition found.
 async fn until<T>(feed: &ControlFeed, condition: impl Fn(&ControlFeed) -> Option<T>) -> T {
     let mut changes = feed.changes();
     loop {
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn the_proxy_sees_what_control_says_and_control_hears_what_is_in_force() {
+fn proxy_follows_control_and_reports_generation_in_force() {
     run(async {
         let (mut control, _agent, address) = start().await;
         let feed = ControlFeed::start_at(address);
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn workers_come_drain_and_go() {
+fn workers_are_added_drained_and_removed() {
     run(async {
         let (control, _agent, address) = start().await;
         let feed = ControlFeed::start_at(address);
@@ -156,24 +156,24 @@
         let workers = |feed: &ControlFeed| -> Vec<String> {
             feed.view().ready_workers("vault").map(|worker| worker.id.clone()).collect()
         };
-        let ready_are =
+        let ready_workers_are =
             |expected: &'static [&str]| move |feed: &ControlFeed| (workers(feed) == expected).then_some(());
         let both = ["a", "b"].map(|id| Change::Worker(worker(id, WorkerState::Ready, 1)));
         control.send(&FeedUpdate::Snapshot { shard, offset: FeedOffset(3), changes: both.to_vec() });
-        until(&feed, ready_are(&["a", "b"])).await;
+        until(&feed, ready_workers_are(&["a", "b"])).await;
         control.change(shard.0, 4, Change::Worker(worker("a", WorkerState::Draining, 2)));
-        until(&feed, ready_are(&["b"])).await;
+        until(&feed, ready_workers_are(&["b"])).await;
         assert!(feed.view().worker("vault", "a").is_some());
         control.change(shard.0, 5, Change::WorkerGone { service: "vault".to_owned(), id: "a".to_owned() });
         until(&feed, |feed| feed.view().worker("vault", "a").is_none().then_some(())).await;
         let only = vec![Change::Worker(worker("c", WorkerState::Ready, 1))];
         control.send(&FeedUpdate::Snapshot { shard, offset: FeedOffset(9), changes: only });
-        until(&feed, ready_are(&["c"])).await;
+        until(&feed, ready_workers_are(&["c"])).await;
     });
 }
 
 #[test]
-fn a_proxy_that_starts_later_has_everything_at_once_also_without_control() {
+fn late_proxy_gets_complete_state_without_control() {
     run(async {
         let (mut control, _agent, address) = start().await;
         let shard = shard_of_service("vault");
@@ -185,7 +185,7 @@
         control.change(shard.0, 2, Change::Worker(worker("a", WorkerState::Ready, 1)));
         control.change(shard.0, 3, Change::Worker(worker("b", WorkerState::Ready, 1)));
         control.change(0, 6, configuration(7));
-        // Without a proxy the agent speaks for the one that will start.
+        // Without a proxy, the agent reports its own generation.
         control.generation_reported(7).await;
         control.writer.close();
         drop(control);
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn what_an_agent_has_is_not_sent_again_and_never_goes_back() {
+fn stale_control_process_does_not_roll_back_agent() {
     run(async {
         let (control, _agent, address) = start().await;
         let feed = ControlFeed::start_at(address);
@@ -206,7 +206,7 @@
             changes: vec![configuration(4)],
         });
         until_generation(&feed, 4).await;
-        // The next control process lags behind at first.
+        // The next control process is behind the previous one at first.
         let control = control.reconnected().await;
         control.send(&FeedUpdate::Snapshot {
             shard: Shard(0),
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn a_configuration_that_cannot_be_read_leaves_the_former_in_force() {
+fn invalid_configuration_leaves_previous_one_in_force() {
     run(async {
         let (mut control, _agent, address) = start().await;
         let feed = ControlFeed::start_at(address);
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn an_agent_that_ends_waits_for_its_proxy() {
+fn agent_shutdown_waits_for_connected_proxy() {
     run(async {
         let (control, agent, address) = start().await;
         agent.wait_until_no_proxies().await;
@@ -253,7 +253,7 @@
         let mut all_disconnected = Box::pin(agent.wait_until_no_proxies());
         tokio::select! {
             biased;
-            () = &mut all_disconnected => panic!("a proxy is connected"),
+            () = &mut all_disconnected => panic!("a proxy is still connected"),
             () = tokio::task::yield_now() => {}
         }
         drop(feed);
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn a_subscriber_of_another_kind_does_no_harm() {
+fn unexpected_requests_from_a_subscriber_are_ignored() {
     run(async {
         let (control, _agent, address) = start().await;
         let connection = opalrun_net::connect(address, std::time::Duration::from_secs(5)).await.unwrap();
--- a/crates/gatekeeper/tests/stores.rs
+++ b/crates/gatekeeper/tests/stores.rs
@@ -1,4 +1,4 @@
-//! Two gatekeepers' leases and turns over three stores on loopback.
+//! Integration tests of leases and turns: two gatekeepers with three stores on loopback.
 
 use opalrun_gatekeeper::lease::{LeaseError, ProgramLeases, TurnBudget};
 use opalrun_gatekeeper::turns::{ChainError, Turns};
@@ -19,24 +19,24 @@
 const LIMITS: StoreLimits = StoreLimits { memory_bytes: 10 << 20, disk_bytes: 10 << 20 };
 const STORES: u64 = 3;
 const CACHE_BYTES: usize = 100_000;
-/// Long enough for anything that can succeed.
+/// Time-out that no successful operation reaches.
 const GENEROUS_TIMEOUT: Duration = Duration::from_secs(20);
 const BUDGET: u64 = 1_000;
 const MAX_UNITS: u64 = 100;
 const USED: u64 = 60;
 
-/// A store whose task serves until it is stopped.
+/// A store served by a task until it is stopped.
 struct Store {
     node: StoreNode,
     server: Rc<StoreServer>,
     task: JoinHandle<()>,
-    _folder: TempDir,
+    _temporary_directory: TempDir,
 }
 
 impl Store {
     async fn start(identity: u64) -> Self {
-        let folder = TempDir::new().unwrap();
-        let directory = DataDirectory::open(folder.path()).unwrap();
+        let temporary_directory = TempDir::new().unwrap();
+        let directory = DataDirectory::open(temporary_directory.path()).unwrap();
         let server = StoreServer::open(&directory, NodeIdentity(identity), LIMITS).unwrap();
         let listener = Listener::bind("127.0.0.1:0".parse().unwrap()).await.unwrap();
         let node = StoreNode {
@@ -46,16 +46,16 @@
             zone: format!("zone-{identity}"),
             state: StoreState::Active,
         };
-        // In a set of its own, so that its connections end with it.
+        // A separate task set, so that the store's connections end with it.
         let tasks = LocalSet::new();
-        let serving = Rc::clone(&server);
-        tasks.spawn_local(async move { serve(listener, serving).await });
+        let served = Rc::clone(&server);
+        tasks.spawn_local(async move { serve(listener, served).await });
         let task = tokio::task::spawn_local(tasks);
-        Self { node, server, task, _folder: folder }
+        Self { node, server, task, _temporary_directory: temporary_directory }
     }
 }
 
-/// Stores that know their map.
+/// Running stores that have received the store map.
 struct Tier {
     stores: Vec<Store>,
     map: StoreMap,
@@ -81,12 +81,12 @@
         Self { stores, map }
     }
 
-    /// Ends a store, and its connections.
+    /// Stops one store and closes its connections.
     async fn stop_one(&mut self) {
-        let store = self.stores.pop().expect("a store that runs");
+        let store = self.stores.pop().expect("a running store");
         store.task.abort();
-        let ended = store.task.await;
-        assert!(ended.is_err_and(|end| end.is_cancelled()));
+        let outcome = store.task.await;
+        assert!(outcome.is_err_and(|error| error.is_cancelled()));
     }
 
     fn client(&self, holder: u64) -> Rc<StoreClient> {
@@ -100,7 +100,7 @@
     }
 }
 
-/// Begins a turn and relays what it uses; returns the units relayed.
+/// Begins a turn and records its consumption; returns the number of units relayed.
 async fn run_turn(leases: Rc<ProgramLeases<Rc<StoreClient>>>) -> Result<u64, LeaseError> {
     let lease = leases.begin("p", TurnBudget { budget: BUDGET, max_units: MAX_UNITS }).await?;
     lease.record_units(USED);
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn two_gatekeepers_share_a_budget_to_its_last_turn() {
+fn two_gatekeepers_share_a_budget_without_exceeding_it() {
     run(async {
         let tier = Tier::start().await;
         let (first, second) = (tier.leases(11), tier.leases(12));
@@ -134,20 +134,20 @@
             turns.spawn_local(run_turn(Rc::clone(&first)));
             turns.spawn_local(run_turn(Rc::clone(&second)));
             let outcomes = turns.join_all().await;
-            assert!(!outcomes.contains(&Err(LeaseError::Unavailable)), "the stores were there");
+            assert!(!outcomes.contains(&Err(LeaseError::Unavailable)), "the stores are available");
             relayed += outcomes.iter().flatten().sum::<u64>();
             assert!(relayed <= BUDGET);
             if outcomes.iter().all(Result::is_err) {
                 break;
             }
         }
-        // One more turn at its maximum would not have fitted.
+        // One more turn at its maximum would exceed the budget.
         assert!(relayed + MAX_UNITS > BUDGET, "{relayed} units were relayed");
     });
 }
 
 #[test]
-fn a_lease_goes_on_without_one_store_and_stops_without_two() {
+fn lease_survives_loss_of_one_store_but_not_of_two() {
     run(async {
         let mut tier = Tier::start().await;
         let leases = tier.leases(11);
@@ -160,14 +160,14 @@
 }
 
 #[test]
-fn a_process_that_ends_with_turns_under_way_ends_in_order() {
+fn process_with_turns_in_progress_ends_cleanly() {
     run(async {
         let tier = Tier::start().await;
         let leases = tier.leases(11);
         let (started_sender, started_receiver) = tokio::sync::oneshot::channel();
         tokio::task::spawn_local(async move {
             let _lease = leases.begin("p", TurnBudget { budget: BUDGET, max_units: MAX_UNITS }).await;
-            started_sender.send(()).expect("the test waits");
+            started_sender.send(()).expect("the test waits for the start");
             std::future::pending::<()>().await;
         });
         started_receiver.await.expect("the turn begins");
@@ -175,19 +175,19 @@
 }
 
 #[test]
-fn a_drained_gatekeeper_leaves_its_unused_units_to_the_others() {
+fn drained_gatekeeper_returns_unused_units() {
     run(async {
         let tier = Tier::start().await;
         let (first, second) = (tier.leases(11), tier.leases(12));
         assert_eq!(run_turn(Rc::clone(&first)).await, Ok(USED));
         assert!(first.drain(GENEROUS_TIMEOUT).await);
-        let rest = TurnBudget { budget: BUDGET, max_units: BUDGET - USED };
-        assert!(second.begin("p", rest).await.is_ok());
+        let remaining = TurnBudget { budget: BUDGET, max_units: BUDGET - USED };
+        assert!(second.begin("p", remaining).await.is_ok());
     });
 }
 
 #[test]
-fn a_turn_stored_by_one_gatekeeper_is_continued_at_another() {
+fn turn_stored_by_one_gatekeeper_is_continued_at_another() {
     run(async {
         let tier = Tier::start().await;
         let (first, second) =
