--- a/crates/control/src/api/handler.rs
+++ b/crates/control/src/api/handler.rs
@@ -1,4 +1,4 @@
-//! Carries out the requests of the HTTP interface and answers them.
+//! Executes the requests of the HTTP interface.
 
 use super::{
     heartbeat_body::read_heartbeat,
@@ -14,10 +14,10 @@
 use std::rc::Rc;
 use viz::StatusCode;
 
-/// Most problems of an invalid configuration that are named in its answer.
+/// Maximum number of problems of an invalid configuration that the answer lists.
 const MAX_NAMED_PROBLEMS: usize = 20;
 
-/// Carries out a request and answers it.
+/// Executes a request and returns its answer.
 pub(super) async fn handle(process: &Rc<ControlProcess>, request: ApiRequest) -> ApiAnswer {
     let result = match request {
         ApiRequest::Heartbeat { id, body } => heartbeat(process, &id, &body).await,
@@ -49,7 +49,8 @@
     }
 }
 
-/// The acknowledgement of a heartbeat, which may name the address for later ones.
+/// Acknowledges a heartbeat. The answer contains the URL for later heartbeats if another address is preferred and the
+/// id needs no escaping in a URL.
 fn heartbeat_answer(id: &str, target: Option<String>) -> ApiAnswer {
     let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-._~".contains(&byte);
     let Some(address) = target.filter(|_| id.bytes().all(is_plain)) else { return ApiAnswer::ok() };
@@ -63,14 +64,14 @@
     body: &[u8],
 ) -> Result<ApiAnswer, Unavailable> {
     let Some(if_match) = if_match else {
-        return Ok(invalid_configuration("If-Match names no generation"));
+        return Ok(invalid_configuration("If-Match header is missing or not a generation number"));
     };
     Ok(match process.configuration().put(if_match, body.to_vec()).await? {
         ConfigurationAnswer::Accepted => ApiAnswer::ok(),
         ConfigurationAnswer::Conflict { current } => ApiAnswer::rejected(
             StatusCode::PRECONDITION_FAILED,
             ResultCode::CONFIGURATION_CONFLICT,
-            &format!("generation {current} is current"),
+            &format!("the current generation is {current}"),
         ),
         ConfigurationAnswer::NotAbove { generation, current } => {
             invalid_configuration(&format!("generation: {generation} is not above {current}"))
@@ -111,12 +112,12 @@
         RetireAnswer::UnknownNode => ApiAnswer::rejected(
             StatusCode::NOT_FOUND,
             ResultCode::UNKNOWN_NODE,
-            "no such store machine is known",
+            "no store machine of this name is known",
         ),
         RetireAnswer::TooFewStores => ApiAnswer::rejected(
             StatusCode::CONFLICT,
             ResultCode::TOO_FEW_STORES,
-            "too few store machines would be left",
+            "too few store machines would remain",
         ),
     }
 }
--- a/crates/control/src/api/heartbeat_body.rs
+++ b/crates/control/src/api/heartbeat_body.rs
@@ -1,50 +1,50 @@
-//! The JSON body of a worker's heartbeat.
+//! Parsing of the JSON body of a worker's heartbeat.
 
 use facet::Facet;
 use opalrun_wire::feed::{Worker, WorkerState};
 use snafu::{ResultExt, Snafu, ensure};
 use std::net::SocketAddr;
 
-/// Longest id, service, zone or generation that a worker may give, in bytes.
+/// Maximum length of a worker's id, service, zone or generation, in bytes.
 const MAX_NAME_BYTES: usize = 256;
 
-/// Why a heartbeat is invalid.
+/// Reason why a heartbeat is invalid.
 #[derive(Debug, Snafu)]
 pub(super) enum HeartbeatError {
-    /// The body is not the JSON object of a heartbeat.
+    /// The body is not a JSON object with the keys of a heartbeat.
     #[snafu(display("{source}"))]
     Malformed {
-        /// What is wrong with it.
+        /// Error of the JSON parser.
         #[snafu(source(from(facet_json::DeserializeError, Box::new)))]
         source: Box<facet_json::DeserializeError>,
     },
-    /// The state is not one of a worker.
+    /// The state is neither `ready` nor `draining`.
     #[snafu(display("state: {state:?} is neither ready nor draining"))]
     UnknownState {
-        /// The state that was given.
+        /// State in the heartbeat.
         state: String,
     },
-    /// The address can't be connected to.
-    #[snafu(display("address: {address:?} is no IP address with a port"))]
+    /// The address is not an IP address with a port.
+    #[snafu(display("address: {address:?} is not an IP address with a port"))]
     InvalidAddress {
-        /// The address that was given.
+        /// Address in the heartbeat.
         address: String,
     },
-    /// A name is longer than [`MAX_NAME_BYTES`].
+    /// A value is longer than [`MAX_NAME_BYTES`].
     #[snafu(display("{key}: longer than {MAX_NAME_BYTES} bytes"))]
     NameTooLong {
-        /// The key of the name.
+        /// Key of the value.
         key: &'static str,
     },
     /// The id or the service is empty.
-    #[snafu(display("id and backend may not be empty"))]
+    #[snafu(display("id and backend must not be empty"))]
     EmptyName,
 }
 
-/// The body, with the keys of the workers' pages.
+/// The heartbeat body; the field names are the JSON keys of the workers' protocol.
 #[derive(Facet, Debug)]
 struct HeartbeatBody {
-    /// The service that it works for.
+    /// Name of the worker's service.
     backend: String,
     address: String,
     #[facet(default)]
@@ -53,16 +53,16 @@
     generation: String,
     capacity: u32,
     state: String,
-    /// Milliseconds for which the worker still warms up.
+    /// Remaining warm-up time in milliseconds.
     #[facet(default)]
     cold_remaining_ms: f64,
     sequence: u64,
 }
 
-/// Reads the heartbeat of the worker `id`.
+/// Parses the heartbeat of the worker `id`.
 ///
 /// # Errors
-/// Where the body can't be read or holds an invalid value.
+/// If the body is malformed or holds an invalid value.
 pub(super) fn read_heartbeat(id: &str, body: &[u8]) -> Result<Worker, HeartbeatError> {
     let heartbeat: HeartbeatBody = facet_json::from_slice(body).context(MalformedSnafu)?;
     let state = worker_state(&heartbeat.state)?;
--- a/crates/control/src/api/json.rs
+++ b/crates/control/src/api/json.rs
@@ -1,8 +1,8 @@
-//! Writing of JSON by hand, for the small bodies of the HTTP interface.
+//! Encoding of JSON strings for the small bodies that the HTTP interface composes itself.
 
 use std::fmt::Write;
 
-/// A string as a JSON value.
+/// Encodes a string as a JSON value.
 pub(super) fn json_string(text: &str) -> String {
     let mut quoted = String::with_capacity(text.len() + 2);
     quoted.push('"');
@@ -11,7 +11,7 @@
             '"' => quoted.push_str("\\\""),
             '\\' => quoted.push_str("\\\\"),
             control if control < ' ' => {
-                // Writing to a string does not fail.
+                // Writing to a `String` never fails.
                 let _ = write!(quoted, "\\u{:04x}", u32::from(control));
             }
             plain => quoted.push(plain),
--- a/crates/control/src/api/message.rs
+++ b/crates/control/src/api/message.rs
@@ -1,4 +1,4 @@
-//! Requests and answers of the HTTP interface, as the web server and the control process exchange them.
+//! Requests and answers that the web server and the control process exchange.
 
 use super::json::json_string;
 use bytes::Bytes;
@@ -12,21 +12,21 @@
 pub enum ApiRequest {
     /// `PUT /opalrun/instances/ID`.
     Heartbeat {
-        /// The id in the path.
+        /// Worker id from the path.
         id: String,
-        /// The JSON body.
+        /// JSON body.
         body: Bytes,
     },
     /// `DELETE /opalrun/instances/ID`.
     RemoveWorker {
-        /// The id in the path.
+        /// Worker id from the path.
         id: String,
     },
     /// `PUT /opalrun/config`.
     PutConfiguration {
-        /// The header `If-Match` as a number, if it is there and is one.
+        /// Generation in the `If-Match` header; `None` if the header is missing or not a number.
         if_match: Option<Generation>,
-        /// The JSON body.
+        /// JSON body.
         body: Bytes,
     },
     /// `GET /opalrun/config`.
@@ -35,31 +35,31 @@
     Tier,
     /// `POST /opalrun/retire/NODE`.
     Retire {
-        /// The machine's name.
+        /// Name of the machine.
         node_name: String,
     },
     /// `GET /opalrun/retire/NODE`.
     RetireState {
-        /// The machine's name.
+        /// Name of the machine.
         node_name: String,
     },
 }
 
-/// A request on its way to the control process.
+/// A request waiting for the control process.
 #[derive(Debug)]
 pub struct PendingRequest {
     /// The request.
     pub request: ApiRequest,
-    /// Where its answer goes.
-    pub answer_to: oneshot::Sender<ApiAnswer>,
+    /// Sender for the answer.
+    pub answer_sender: oneshot::Sender<ApiAnswer>,
 }
 
 /// An answer with a JSON body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ApiAnswer {
-    /// The status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// The body.
+    /// JSON body.
     pub body: Bytes,
 }
 
@@ -68,23 +68,23 @@
         Self { status, body: body.into() }
     }
 
-    /// Success, with nothing to say beside it.
+    /// Success with an empty JSON object.
     pub(super) fn ok() -> Self {
         Self::new(StatusCode::OK, "{}")
     }
 
-    /// A rejection, with the result code and the reason in the body.
+    /// A rejection; the body holds the result code and the reason.
     pub(super) fn rejected(status: StatusCode, code: ResultCode, reason: &str) -> Self {
         let reason = json_string(reason);
         Self::new(status, format!("{{\"code\":\"{code}\",\"reason\":{reason}}}"))
     }
 
-    /// No majority can be reached now: the caller should retry at another control process.
+    /// No quorum is available: the caller should retry at another control process.
     pub(super) fn unavailable() -> Self {
         Self::rejected(
             StatusCode::SERVICE_UNAVAILABLE,
             ResultCode::NO_QUORUM,
-            "no majority can be reached now",
+            "no majority of the control processes can be reached",
         )
     }
 }
--- a/crates/control/src/api/mod.rs
+++ b/crates/control/src/api/mod.rs
@@ -1,8 +1,8 @@
 //! The HTTP interface for workers and the operator.
 //!
-//! The web server's handlers must be able to move between threads and the control process may not. So a route's handler only
-//! reads its request into an [`ApiRequest`] (`router`) and passes it on over a channel; `handler` does the rest beside
-//! the process. `server` runs both.
+//! The web server requires handlers that can move between threads, which the control process cannot. The handler of a
+//! route therefore only reads its request into an [`ApiRequest`] (`router`) and forwards it over a channel; `handler`
+//! executes it on the thread of the process. `server` runs both.
 
 mod handler;
 mod heartbeat_body;
--- a/crates/control/src/api/router.rs
+++ b/crates/control/src/api/router.rs
@@ -1,4 +1,4 @@
-//! Routes of the HTTP interface, and the reading of requests.
+//! Routes of the HTTP interface and parsing of requests.
 
 use super::message::{ApiRequest, PendingRequest};
 use bytes::Bytes;
@@ -11,67 +11,67 @@
 };
 use viz::{IntoResponse, Request, RequestExt, Response, Result, Router, StatusCode};
 
-/// Longest body of a worker's call, in bytes.
+/// Maximum size of the body of a worker's request, in bytes.
 const MAX_INSTANCE_BODY_BYTES: usize = 64 << 10;
-/// Longest configuration, in bytes.
+/// Maximum size of a configuration, in bytes.
 const MAX_CONFIGURATION_BODY_BYTES: usize = 4 << 20;
-/// How long a body may take to arrive.
+/// Time-out for receiving a body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The routes. Requests go to `process`.
+/// Returns the routes; their handlers forward requests over `process`.
 #[must_use]
 pub(super) fn router(process: &mpsc::Sender<PendingRequest>) -> Router {
     Router::new()
-        .put("/opalrun/instances/:id", with(process, heartbeat))
-        .delete("/opalrun/instances/:id", with(process, remove_worker))
-        .put("/opalrun/config", with(process, put_configuration))
-        .get("/opalrun/config", with(process, read_configuration))
-        .get("/opalrun/tier", with(process, tier))
-        .post("/opalrun/retire/:node", with(process, retire))
-        .get("/opalrun/retire/:node", with(process, retire_state))
+        .put("/opalrun/instances/:id", with_process(process, heartbeat))
+        .delete("/opalrun/instances/:id", with_process(process, remove_worker))
+        .put("/opalrun/config", with_process(process, put_configuration))
+        .get("/opalrun/config", with_process(process, read_configuration))
+        .get("/opalrun/tier", with_process(process, tier))
+        .post("/opalrun/retire/:node", with_process(process, retire))
+        .get("/opalrun/retire/:node", with_process(process, retire_state))
 }
 
 async fn heartbeat(process: mpsc::Sender<PendingRequest>, mut request: Request) -> Result<Response> {
     let id: String = request.param("id")?;
     match read_body(&mut request, MAX_INSTANCE_BODY_BYTES).await {
-        Ok(body) => pass_on(&process, ApiRequest::Heartbeat { id, body }).await,
+        Ok(body) => forward_to_process(&process, ApiRequest::Heartbeat { id, body }).await,
         Err(status) => Ok(status.into_response()),
     }
 }
 
 async fn remove_worker(process: mpsc::Sender<PendingRequest>, request: Request) -> Result<Response> {
     let id: String = request.param("id")?;
-    pass_on(&process, ApiRequest::RemoveWorker { id }).await
+    forward_to_process(&process, ApiRequest::RemoveWorker { id }).await
 }
 
 async fn put_configuration(process: mpsc::Sender<PendingRequest>, mut request: Request) -> Result<Response> {
     let if_match = if_match(&request);
     match read_body(&mut request, MAX_CONFIGURATION_BODY_BYTES).await {
-        Ok(body) => pass_on(&process, ApiRequest::PutConfiguration { if_match, body }).await,
+        Ok(body) => forward_to_process(&process, ApiRequest::PutConfiguration { if_match, body }).await,
         Err(status) => Ok(status.into_response()),
     }
 }
 
 async fn read_configuration(process: mpsc::Sender<PendingRequest>, _: Request) -> Result<Response> {
-    pass_on(&process, ApiRequest::ReadConfiguration).await
+    forward_to_process(&process, ApiRequest::ReadConfiguration).await
 }
 
 async fn tier(process: mpsc::Sender<PendingRequest>, _: Request) -> Result<Response> {
-    pass_on(&process, ApiRequest::Tier).await
+    forward_to_process(&process, ApiRequest::Tier).await
 }
 
 async fn retire(process: mpsc::Sender<PendingRequest>, request: Request) -> Result<Response> {
     let node_name: String = request.param("node")?;
-    pass_on(&process, ApiRequest::Retire { node_name }).await
+    forward_to_process(&process, ApiRequest::Retire { node_name }).await
 }
 
 async fn retire_state(process: mpsc::Sender<PendingRequest>, request: Request) -> Result<Response> {
     let node_name: String = request.param("node")?;
-    pass_on(&process, ApiRequest::RetireState { node_name }).await
+    forward_to_process(&process, ApiRequest::RetireState { node_name }).await
 }
 
-/// A handler that gets the channel to the process with each request.
-fn with<H, F>(
+/// Binds the channel to the control process to a handler.
+fn with_process<H, F>(
     process: &mpsc::Sender<PendingRequest>,
     handler: H,
 ) -> impl Fn(Request) -> F + Clone + Send + Sync + 'static
@@ -101,10 +101,10 @@
     }
 }
 
-/// Passes a request on to the control process and waits for the answer.
-async fn pass_on(process: &mpsc::Sender<PendingRequest>, request: ApiRequest) -> Result<Response> {
-    let (answer_to, answer) = oneshot::channel();
-    let sent = process.send(PendingRequest { request, answer_to }).await;
+/// Forwards a request to the control process and waits for the answer.
+async fn forward_to_process(process: &mpsc::Sender<PendingRequest>, request: ApiRequest) -> Result<Response> {
+    let (answer_sender, answer) = oneshot::channel();
+    let sent = process.send(PendingRequest { request, answer_sender }).await;
     match answer.await {
         Ok(answer) if sent.is_ok() => Ok(answer.into_response()),
         _ => Ok(StatusCode::SERVICE_UNAVAILABLE.into_response()),
--- a/crates/control/src/api/server.rs
+++ b/crates/control/src/api/server.rs
@@ -12,36 +12,36 @@
 };
 use viz::{Responder, Tree};
 
-/// How long a request's head may take to arrive, and a connection may rest.
+/// Time-out for receiving a request's head, which also closes idle connections.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
 /// Delay after a connection could not be accepted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Requests that may wait for the control process at a time.
+/// Maximum number of requests waiting for the control process.
 const REQUEST_QUEUE_LENGTH: usize = 64;
 
-/// A web server that listens and does not serve yet.
+/// A web server that is bound to its address but not serving yet.
 pub struct BoundServer {
     listener: TcpListener,
 }
 
-/// Listens for workers and the operator.
+/// Binds the listener for workers and the operator.
 ///
 /// # Errors
-/// Where the address can't be listened on.
+/// If the address cannot be bound.
 pub async fn bind(address: SocketAddr) -> io::Result<BoundServer> {
     Ok(BoundServer { listener: TcpListener::bind(address).await? })
 }
 
 impl BoundServer {
-    /// The address it listens on.
+    /// The bound address.
     ///
     /// # Errors
-    /// Where the operating system does not report it.
+    /// If the operating system does not report it.
     pub fn local_address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// Serves all callers.
+    /// Serves all connections.
     pub async fn serve(self, process: Rc<ControlProcess>) {
         let (sender, receiver) = mpsc::channel(REQUEST_QUEUE_LENGTH);
         let tree = Arc::new(Tree::from(router(&sender)));
@@ -60,13 +60,13 @@
     }
 }
 
-/// Handles requests side by side, until the web server and its connections have ended.
+/// Executes requests concurrently until the web server and its connections have ended.
 async fn handle_requests(process: Rc<ControlProcess>, mut requests: mpsc::Receiver<PendingRequest>) {
-    while let Some(PendingRequest { request, answer_to }) = requests.recv().await {
+    while let Some(PendingRequest { request, answer_sender }) = requests.recv().await {
         let process = Rc::clone(&process);
         tokio::task::spawn_local(async move {
-            // A caller that has gone takes no answer.
-            let _ = answer_to.send(handle(&process, request).await);
+            // The caller may have disconnected.
+            let _ = answer_sender.send(handle(&process, request).await);
         });
     }
 }
@@ -79,6 +79,6 @@
         .header_read_timeout(HEAD_TIMEOUT)
         .serve_connection(TokioIo::new(stream), responder);
     if let Err(error) = serving.await {
-        tracing::debug!(%error, "a connection failed");
+        tracing::debug!(%error, "serving a connection failed");
     }
 }
--- a/crates/control/src/configuration_shard/directory.rs
+++ b/crates/control/src/configuration_shard/directory.rs
@@ -4,7 +4,7 @@
 use opalrun_wire::{feed::ControlNode, ids::NodeIdentity};
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// The control processes that belong to the tier. Every group of replicas follows it.
+/// The control processes that are members of the tier. The members of every replication group follow it.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, Eq, Default)]
 pub struct Directory {
     nodes: Vec<ControlNode>,
@@ -12,9 +12,9 @@
 }
 
 impl Directory {
-    /// Admits a process; returns whether anything changed.
+    /// Admits a process; returns whether the directory has changed.
     ///
-    /// A process of the same machine with another identity has lost its disk, so the new identity replaces the old one.
+    /// A process on the same machine with another identity has lost its disk; the new identity replaces the old one.
     pub fn admit(&mut self, node: ControlNode) -> bool {
         if self.nodes.contains(&node) || self.replaced_identities.rejects_join(node.identity) {
             return false;
@@ -33,20 +33,20 @@
         true
     }
 
-    /// Drops a process; returns whether anything changed.
+    /// Removes a process; returns whether the directory has changed.
     pub fn drop_node(&mut self, identity: NodeIdentity) -> bool {
         let before = self.nodes.len();
         self.nodes.retain(|known| known.identity != identity);
         self.nodes.len() != before
     }
 
-    /// All processes, by identity.
+    /// All processes in the order of their identities.
     #[must_use]
     pub fn nodes(&self) -> &[ControlNode] {
         &self.nodes
     }
 
-    /// A process by its identity.
+    /// Returns a process by its identity.
     #[must_use]
     pub fn node(&self, identity: NodeIdentity) -> Option<&ControlNode> {
         self.nodes.iter().find(|node| node.identity == identity)
--- a/crates/control/src/configuration_shard/mod.rs
+++ b/crates/control/src/configuration_shard/mod.rs
@@ -1,4 +1,5 @@
-//! The state machine of shard 0: the operator's configuration, the directory of control processes and the store map.
+//! The state machine of shard 0: the operator's configuration, the directory of control processes and the table of
+//! stores.
 #![expect(missing_docs, reason = "the derived resolvers have no docs; every item written here has")]
 
 mod directory;
@@ -15,76 +16,76 @@
 use rkyv::{Archive, Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Accepted configurations that are remembered by their hash, so that a retried change is recognised.
-const MAX_REMEMBERED_CONFIGURATIONS: usize = 10_000;
+/// Number of accepted configurations whose hashes are kept, so that a retried change is recognised.
+const MAX_ACCEPTED_CONFIGURATIONS: usize = 10_000;
 
 /// A command to shard 0.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, Eq)]
 pub enum ConfigurationCommand {
-    /// A change of the configuration, decided as a compare-and-set on the current generation.
+    /// Replaces the configuration by compare-and-set on the current generation.
     PutConfiguration {
-        /// The generation that it builds on; 0 for the first.
+        /// Generation that the change is based on; 0 for the first configuration.
         if_match: Generation,
-        /// Its own generation.
+        /// Generation of the new configuration.
         generation: Generation,
-        /// The operator's body, already checked.
+        /// Configuration as sent by the operator, already validated.
         body: Vec<u8>,
-        /// The hash of the body.
+        /// SHA-256 hash of the body.
         sha256: [u8; 32],
     },
-    /// A control process is admitted to the tier.
+    /// Admits a control process to the tier.
     AdmitControl {
-        /// The process.
+        /// The control process.
         node: ControlNode,
     },
-    /// A control process is no member any more, if enough others are left.
+    /// Removes a control process from the tier if enough others remain.
     DropControl {
-        /// Its identity.
+        /// Identity of the control process.
         identity: NodeIdentity,
-        /// The fewest members that have to be left.
+        /// Minimum number of members that must remain.
         min_members: u16,
     },
-    /// For the table of stores.
+    /// A command to the table of stores.
     Store(StoreCommand),
 }
 
-/// The outcome of a command to shard 0.
+/// Outcome of a command to shard 0.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, Eq)]
 pub enum ConfigurationOutcome {
     /// The configuration is in force.
     Accepted,
-    /// The same configuration had been accepted before.
+    /// The same configuration was accepted earlier.
     AlreadyAccepted,
-    /// Another generation is current than the one that the change builds on.
+    /// Rejected, because the change is based on a generation that is not the current one.
     Conflict {
-        /// The current generation.
+        /// Current generation.
         current: Generation,
     },
-    /// The change's generation is not above the current one.
+    /// Rejected, because the generation is not higher than the current one.
     NotAbove {
-        /// The current generation.
+        /// Current generation.
         current: Generation,
     },
-    /// The directory was brought up to date.
+    /// The command for the directory was applied; it may have changed nothing.
     Directory,
-    /// The outcome of the table of stores.
+    /// Outcome of a command to the table of stores.
     Store(StoreOutcome),
 }
 
 /// The configuration in force.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, Eq)]
 pub struct StoredConfiguration {
-    /// Its generation.
+    /// Generation of the configuration.
     pub generation: Generation,
-    /// The operator's body as it was sent.
+    /// Body as sent by the operator.
     pub body: Vec<u8>,
 }
 
-/// A configuration that was accepted.
+/// Identifies an accepted configuration.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
 struct AcceptedConfiguration {
     generation: Generation,
-    /// The hash of the operator's body.
+    /// SHA-256 hash of the operator's body.
     sha256: [u8; 32],
 }
 
@@ -92,14 +93,14 @@
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, Eq, Default)]
 pub struct ConfigurationShard {
     configuration: Option<StoredConfiguration>,
-    /// Accepted configurations, the oldest first.
+    /// Accepted configurations, oldest first.
     accepted: VecDeque<AcceptedConfiguration>,
     directory: Directory,
     stores: StoreTable,
 }
 
 impl ConfigurationShard {
-    /// Applies a command and returns the changes for subscribers of the feed.
+    /// Applies a command and returns its outcome with the changes for the feed's subscribers.
     pub fn apply(&mut self, command: ConfigurationCommand) -> (ConfigurationOutcome, Vec<Change>) {
         match command {
             ConfigurationCommand::PutConfiguration { if_match, generation, body, sha256 } => {
@@ -118,7 +119,7 @@
         }
     }
 
-    /// The complete state as the changes that make it from nothing.
+    /// The complete state, as the changes that build it from an empty shard.
     #[must_use]
     pub fn changes(&self) -> Vec<Change> {
         let mut changes = self.directory_change(!self.directory.nodes().is_empty());
@@ -131,32 +132,32 @@
         changes
     }
 
-    /// The configuration in force.
+    /// The configuration in force; `None` before the first one.
     #[must_use]
     pub fn configuration(&self) -> Option<&StoredConfiguration> {
         self.configuration.as_ref()
     }
 
-    /// The generation in force; 0 before the first.
+    /// Generation in force; 0 before the first configuration.
     #[must_use]
     pub fn generation(&self) -> Generation {
         self.configuration.as_ref().map_or(Generation(0), |configuration| configuration.generation)
     }
 
-    /// Whether exactly this configuration was accepted before.
+    /// Whether exactly this configuration was accepted earlier.
     #[must_use]
     pub fn was_accepted(&self, generation: Generation, sha256: &[u8; 32]) -> bool {
         let wanted = AcceptedConfiguration { generation, sha256: *sha256 };
         self.accepted.iter().rev().any(|accepted| *accepted == wanted)
     }
 
-    /// The control processes.
+    /// The directory of control processes.
     #[must_use]
     pub fn directory(&self) -> &Directory {
         &self.directory
     }
 
-    /// The stores.
+    /// The table of stores.
     #[must_use]
     pub fn stores(&self) -> &StoreTable {
         &self.stores
@@ -179,15 +180,15 @@
         if generation <= current {
             return (ConfigurationOutcome::NotAbove { current }, Vec::new());
         }
-        self.remember(generation, sha256);
+        self.record_accepted(generation, sha256);
         let configuration = StoredConfiguration { generation, body };
         let change = configuration_change(&configuration);
         self.configuration = Some(configuration);
         (ConfigurationOutcome::Accepted, vec![change])
     }
 
-    fn remember(&mut self, generation: Generation, sha256: [u8; 32]) {
-        if self.accepted.len() == MAX_REMEMBERED_CONFIGURATIONS {
+    fn record_accepted(&mut self, generation: Generation, sha256: [u8; 32]) {
+        if self.accepted.len() == MAX_ACCEPTED_CONFIGURATIONS {
             self.accepted.pop_front();
         }
         self.accepted.push_back(AcceptedConfiguration { generation, sha256 });
--- a/crates/control/src/configuration_shard/tests.rs
+++ b/crates/control/src/configuration_shard/tests.rs
@@ -1,4 +1,4 @@
-//! Shard 0 through orders of events.
+//! The configuration shard under sequences of commands.
 
 use super::{ConfigurationCommand, ConfigurationOutcome, ConfigurationShard};
 use opalrun_wire::{
@@ -8,8 +8,8 @@
 
 fn put(shard: &mut ConfigurationShard, if_match: u64, generation: u64, body: &str) -> ConfigurationOutcome {
     let mut sha256 = [0; 32];
-    for (place, byte) in body.bytes().enumerate() {
-        sha256[place % 32] ^= byte;
+    for (position, byte) in body.bytes().enumerate() {
+        sha256[position % 32] ^= byte;
     }
     let command = ConfigurationCommand::PutConfiguration {
         if_match: Generation(if_match),
@@ -39,17 +39,17 @@
 }
 
 #[test]
-fn of_two_changes_on_the_same_version_one_wins() {
+fn one_of_two_changes_based_on_the_same_generation_wins() {
     let mut shard = ConfigurationShard::default();
     assert_eq!(put(&mut shard, 0, 3, "first"), ConfigurationOutcome::Accepted);
     assert_eq!(put(&mut shard, 3, 5, "winner"), ConfigurationOutcome::Accepted);
     assert_eq!(put(&mut shard, 3, 5, "loser"), ConfigurationOutcome::Conflict { current: Generation(5) });
     assert_eq!(put(&mut shard, 3, 6, "loser"), ConfigurationOutcome::Conflict { current: Generation(5) });
-    assert_eq!(shard.configuration().map(|held| held.body.clone()), Some(b"winner".to_vec()));
+    assert_eq!(shard.configuration().map(|known| known.body.clone()), Some(b"winner".to_vec()));
 }
 
 #[test]
-fn a_change_that_is_sent_again_is_acknowledged_again_and_does_nothing() {
+fn retried_change_is_acknowledged_again_without_effect() {
     let mut shard = ConfigurationShard::default();
     put(&mut shard, 0, 3, "first");
     assert_eq!(put(&mut shard, 0, 3, "first"), ConfigurationOutcome::AlreadyAccepted);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_generation_has_to_rise() {
+fn generation_must_increase() {
     let mut shard = ConfigurationShard::default();
     assert_eq!(put(&mut shard, 0, 0, "zero"), ConfigurationOutcome::NotAbove { current: Generation(0) });
     put(&mut shard, 0, 3, "first");
@@ -69,14 +69,14 @@
 }
 
 #[test]
-fn a_first_change_on_a_version_that_is_not_there_is_a_conflict() {
+fn first_change_based_on_an_unknown_generation_is_a_conflict() {
     let mut shard = ConfigurationShard::default();
     assert_eq!(put(&mut shard, 4, 5, "late"), ConfigurationOutcome::Conflict { current: Generation(0) });
     assert!(shard.configuration().is_none());
 }
 
 #[test]
-fn subscribers_learn_of_a_configuration_once() {
+fn configuration_is_published_once() {
     let mut shard = ConfigurationShard::default();
     let command = ConfigurationCommand::PutConfiguration {
         if_match: Generation(0),
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_control_process_that_lost_its_disk_replaces_its_old_identity() {
+fn control_process_that_lost_its_disk_replaces_its_old_identity() {
     let mut shard = ConfigurationShard::default();
     for identity in 1..=3 {
         admit(&mut shard, node(identity, &format!("core-{identity}")));
@@ -100,11 +100,11 @@
     admit(&mut shard, node(12, "core-2"));
     assert_eq!(identities(&shard), [1, 3, 12]);
     admit(&mut shard, node(2, "core-2"));
-    assert_eq!(identities(&shard), [1, 3, 12], "a late hello does not bring the old one back");
+    assert_eq!(identities(&shard), [1, 3, 12], "a late join request does not restore the old identity");
 }
 
 #[test]
-fn a_control_process_that_joins_again_changes_nothing() {
+fn repeated_join_of_a_control_process_changes_nothing() {
     let mut shard = ConfigurationShard::default();
     assert_eq!(admit(&mut shard, node(1, "core-1")).len(), 1);
     assert!(admit(&mut shard, node(1, "core-1")).is_empty());
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_dropped_control_process_may_come_back() {
+fn dropped_control_process_may_join_again() {
     let mut shard = ConfigurationShard::default();
     admit(&mut shard, node(1, "core-1"));
     admit(&mut shard, node(2, "core-2"));
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn of_two_control_processes_that_leave_at_once_one_stays_where_both_would_be_too_many() {
+fn second_of_two_simultaneous_drops_is_ignored_at_the_minimum() {
     let mut shard = ConfigurationShard::default();
     for identity in 1..=4 {
         admit(&mut shard, node(identity, &format!("core-{identity}")));
@@ -135,13 +135,14 @@
     assert_eq!(identities(&shard), [1, 3, 4]);
 }
 
-/// A machine lost its disk right after its first start, and its two hellos came in the other order.
+/// A machine lost its disk right after its first start, and the join requests of its two identities arrived in reverse
+/// order.
 #[test]
-fn the_process_that_lives_is_let_in_in_the_end_whatever_the_order_of_hellos() {
+fn live_process_is_admitted_for_any_order_of_join_requests() {
     let mut shard = ConfigurationShard::default();
     admit(&mut shard, node(12, "core-2"));
     admit(&mut shard, node(2, "core-2"));
-    assert_eq!(identities(&shard), [2], "the late hello is taken for the newer one");
+    assert_eq!(identities(&shard), [2], "the identity that joined last counts as the newer one");
     for _ in 0..10 {
         admit(&mut shard, node(12, "core-2"));
     }
@@ -149,5 +150,5 @@
     for _ in 0..3 {
         admit(&mut shard, node(2, "core-2"));
     }
-    assert_eq!(identities(&shard), [12], "what comes late of the other one changes nothing");
+    assert_eq!(identities(&shard), [12], "late join requests of the old identity change nothing");
 }
--- a/crates/control/src/feed/connection.rs
+++ b/crates/control/src/feed/connection.rs
@@ -1,4 +1,4 @@
-//! One subscriber's connection: it gets the changes of its shards, and its reports are passed on.
+//! The connection of one subscriber: sends it the changes of its shards and processes its reports.
 
 use super::subscribers::ConnectionId;
 use crate::{
@@ -15,17 +15,17 @@
 use std::{cell::Cell, collections::BTreeMap, rc::Rc, time::Duration};
 use tokio::time::{MissedTickBehavior, interval, sleep, timeout};
 
-/// How often a subscriber is notified that its state is fresh.
+/// Interval at which a subscriber is notified that the state is fresh.
 const FRESH_INTERVAL: Duration = Duration::from_millis(200);
-/// How often a gatekeeper is sent the suspected workers again: it forgets suspicions that are not renewed.
+/// Interval at which the suspected workers are sent to a gatekeeper again; it drops suspects that are not renewed.
 const SUSPECTS_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a connection may take to subscribe.
+/// Time-out for the subscription request on a new connection.
 const SUBSCRIBE_TIMEOUT: Duration = Duration::from_secs(3);
-/// A subscriber that sends nothing for this long is taken to be gone.
+/// A subscriber that sends nothing for this long is considered gone.
 const SUBSCRIBER_IDLE_TIMEOUT: Duration = Duration::from_secs(6);
-/// Backoff before a report of a store that could not be committed is attempted again.
+/// Backoff before another attempt to commit a store's report.
 const REPORT_BACKOFF: Duration = Duration::from_millis(200);
-/// Attempts to commit a report of a store.
+/// Maximum number of attempts to commit a store's report.
 const MAX_REPORT_ATTEMPTS: usize = 20;
 
 /// Serves a subscriber until its connection ends.
@@ -34,14 +34,14 @@
     let Ok(Ok(Some(first))) = timeout(SUBSCRIBE_TIMEOUT, reader.next::<FeedRequest>()).await else { return };
     let FeedRequest::Subscribe { subscriber, positions } = first else { return };
     let id = process.subscribers().borrow_mut().next_connection();
-    let mut session = Session::new(process, writer, id, subscriber, &positions);
+    let mut session = SubscriberSession::new(process, writer, id, subscriber, &positions);
     session.begin();
     if let Err(error) = session.run(&mut reader).await {
         tracing::debug!(%error, "a subscriber's connection failed");
     }
 }
 
-/// The suspected workers that a gatekeeper was last sent.
+/// The suspected workers last sent to a gatekeeper.
 #[derive(Default)]
 struct SentSuspects {
     workers: Vec<String>,
@@ -49,37 +49,37 @@
 }
 
 impl SentSuspects {
-    /// Whether the gatekeeper is to be sent these suspects: they have changed, or have to be renewed.
+    /// Whether these suspects have to be sent: they have changed, or a renewal is due.
     fn is_due(&self, suspects: &[String], now: Duration) -> bool {
         let is_renewal_due = !suspects.is_empty() && now >= self.at + SUSPECTS_INTERVAL;
         suspects != self.workers || is_renewal_due
     }
 }
 
-/// A subscriber's connection. It counts as a subscriber until this is dropped.
-struct Session {
+/// The session of a connected subscriber, which counts as a subscriber until this is dropped.
+struct SubscriberSession {
     process: Rc<ControlProcess>,
     writer: FrameWriter,
     id: ConnectionId,
     subscriber: Subscriber,
-    /// The offset that it has of each shard that it subscribes to; `None`: nothing yet.
+    /// Offset last sent of each subscribed shard; `None` before the first update.
     offsets: BTreeMap<Shard, Option<FeedOffset>>,
     sent_suspects: SentSuspects,
-    /// At the last look its state was fresh, and it was notified of that.
+    /// Whether the state was fresh at the last check, which the subscriber was notified of.
     was_fresh: bool,
-    /// A store's join request is in flight; shared with the task that commits it.
+    /// A join request of the store is being committed; shared with the task that commits it.
     is_join_in_flight: Rc<Cell<bool>>,
-    /// The store has requested its shutdown here.
+    /// The store has requested its shutdown on this connection.
     is_shutdown_requested: Cell<bool>,
 }
 
-impl Drop for Session {
+impl Drop for SubscriberSession {
     fn drop(&mut self) {
         self.process.subscribers().borrow_mut().remove(self.id);
     }
 }
 
-impl Session {
+impl SubscriberSession {
     fn new(
         process: Rc<ControlProcess>,
         writer: FrameWriter,
@@ -136,7 +136,7 @@
                     }
                     self.send_updates()?;
                     if !self.was_fresh {
-                        // After a restart of all processes, subscribers wait for this.
+                        // After a restart of all processes, subscribers wait for the first notification of fresh state.
                         self.send_fresh()?;
                     }
                 }
@@ -173,7 +173,7 @@
         self.writer.send(&FeedUpdate::Fresh { gatekeepers: self.process.gatekeeper_count().total() })
     }
 
-    /// Sends a gatekeeper the suspected workers when they have changed, and again at intervals.
+    /// Sends the suspected workers to a gatekeeper when they have changed, and otherwise at regular intervals.
     fn send_suspects(&mut self) -> Result<(), NetError> {
         if !matches!(self.subscriber, Subscriber::Gatekeeper { .. }) {
             return Ok(());
@@ -212,8 +212,8 @@
         }
     }
 
-    /// Commits a join of the subscriber, if it is a store that the table of stores does not know as it is, or knows as
-    /// shutting down.
+    /// Commits a join request if the subscriber is a store that is not registered with these properties, or is
+    /// registered as shutting down.
     fn join_store(&self) {
         let Subscriber::Store { node, .. } = &self.subscriber else { return };
         if self.is_join_in_flight.get() || self.is_shutdown_requested.get() || self.is_known(node) {
@@ -242,7 +242,7 @@
     }
 }
 
-/// Answers a store's shutdown request: whether its replicas are moved away before.
+/// Answers the shutdown request of a store: whether its replicas are moved to other stores first.
 async fn answer_shutdown_request(process: Rc<ControlProcess>, store: NodeIdentity, writer: FrameWriter) {
     let command = ConfigurationCommand::Store(StoreCommand::RequestShutdown { identity: store });
     let outcome = process.client().commit_configuration(&command).await;
@@ -250,7 +250,7 @@
     let _ = writer.send(&FeedUpdate::ShutdownDecision { is_moving });
 }
 
-/// Commits a store's report, with a limited number of attempts.
+/// Commits the report of a store, with at most [`MAX_REPORT_ATTEMPTS`] attempts.
 async fn commit_report(process: Rc<ControlProcess>, command: StoreCommand) {
     let command = ConfigurationCommand::Store(command);
     for _ in 0..MAX_REPORT_ATTEMPTS {
--- a/crates/control/src/feed/mod.rs
+++ b/crates/control/src/feed/mod.rs
@@ -1,4 +1,4 @@
-//! The server of the change feed, to which agents and stores subscribe.
+//! Server of the change feed, to which agents and stores subscribe.
 
 mod connection;
 pub mod subscribers;
@@ -8,7 +8,7 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::sleep;
 
-/// How long the listener waits after accepting has failed.
+/// Delay before the listener accepts again after a failure.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Serves all subscribers of a process until the task is aborted.
@@ -19,7 +19,7 @@
                 tokio::task::spawn_local(connection::serve(Rc::clone(&process), connection));
             }
             Err(error) => {
-                tracing::warn!(%error, "a subscriber was not accepted");
+                tracing::warn!(%error, "accepting a subscriber failed");
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
--- a/crates/control/src/feed/subscribers.rs
+++ b/crates/control/src/feed/subscribers.rs
@@ -1,4 +1,4 @@
-//! Who subscribes to the feed at this control process, and how far each is. Sans I/O.
+//! The subscribers connected to this control process, with their last contact and configuration generation. Sans I/O.
 
 use crate::calls::{StoreContact, SubscribedGatekeeper};
 use opalrun_wire::ids::{Generation, NodeIdentity};
@@ -11,30 +11,30 @@
 #[cfg(test)]
 mod tests;
 
-/// A subscriber that was not heard for this long is not counted.
+/// Time without contact after which a subscriber is no longer active.
 const SUBSCRIBER_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// The number of a subscriber's connection at this process.
+/// Identifies a subscriber's connection within this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ConnectionId(pub u64);
 
-/// A gatekeeper that subscribes.
+/// Subscription of a gatekeeper.
 #[derive(Debug)]
 struct GatekeeperSubscription {
     node_name: String,
-    /// The generation of the configuration in force there.
+    /// Generation of the configuration in force at the gatekeeper.
     generation: Generation,
     last_contact: Duration,
 }
 
-/// A store that subscribes.
+/// Subscription of a store.
 #[derive(Debug)]
 struct StoreSubscription {
     identity: NodeIdentity,
     last_contact: Duration,
 }
 
-/// All subscribers, by connection. Times are those of the process's steady clock.
+/// All subscribers by connection. Times are those of the process's steady clock.
 #[derive(Debug)]
 pub struct Subscribers {
     last_connection: ConnectionId,
@@ -55,24 +55,24 @@
 }
 
 impl Subscribers {
-    /// An id for a new connection.
+    /// Returns the id for a new connection.
     pub fn next_connection(&mut self) -> ConnectionId {
         self.last_connection.0 += 1;
         self.last_connection
     }
 
-    /// A gatekeeper subscribes.
+    /// Adds the subscription of a gatekeeper.
     pub fn add_gatekeeper(&mut self, connection: ConnectionId, node_name: String, now: Duration) {
         let subscription = GatekeeperSubscription { node_name, generation: Generation(0), last_contact: now };
         self.gatekeepers.insert(connection, subscription);
     }
 
-    /// A store subscribes.
+    /// Adds the subscription of a store.
     pub fn add_store(&mut self, connection: ConnectionId, identity: NodeIdentity, now: Duration) {
         self.stores.insert(connection, StoreSubscription { identity, last_contact: now });
     }
 
-    /// A subscriber has sent a heartbeat; `generation` is the configuration in force there.
+    /// Records a heartbeat; `generation` is that of the configuration in force at the subscriber.
     pub fn record_heartbeat(&mut self, connection: ConnectionId, generation: Generation, now: Duration) {
         if let Some(store) = self.stores.get_mut(&connection) {
             store.last_contact = now;
@@ -85,26 +85,26 @@
         }
     }
 
-    /// A connection has ended.
+    /// Removes the subscriptions of a connection that has ended.
     pub fn remove(&mut self, connection: ConnectionId) {
         self.gatekeepers.remove(&connection);
         self.stores.remove(&connection);
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Changes when a gatekeeper has another configuration in force, or a connection has ended.
+    /// Returns a receiver that is notified when the generation of a gatekeeper changes or a connection ends.
     #[must_use]
     pub fn changed(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// Whether all gatekeepers that are counted have at least this generation in force.
+    /// Whether all active gatekeepers have at least this generation in force.
     #[must_use]
     pub fn all_gatekeepers_have(&self, generation: Generation, now: Duration) -> bool {
         self.active_gatekeepers(now).all(|gatekeeper| gatekeeper.generation >= generation)
     }
 
-    /// The machines of the gatekeepers that are counted, each with the generation in force there.
+    /// The machine and the generation in force of each active gatekeeper.
     #[must_use]
     pub fn gatekeeper_generations(&self, now: Duration) -> Vec<SubscribedGatekeeper> {
         let gatekeepers = self.active_gatekeepers(now);
@@ -116,7 +116,7 @@
             .collect()
     }
 
-    /// How many machines have a gatekeeper that is counted.
+    /// Number of machines with an active gatekeeper.
     #[must_use]
     pub fn gatekeeper_count(&self, now: Duration) -> u32 {
         let gatekeepers = self.active_gatekeepers(now);
@@ -124,14 +124,14 @@
         names.len() as u32
     }
 
-    /// The stores that are counted, each with the time since its last contact.
+    /// The active stores, each with the time since its last contact.
     #[must_use]
     pub fn store_contacts(&self, now: Duration) -> Vec<StoreContact> {
         let mut ages: BTreeMap<NodeIdentity, Duration> = BTreeMap::new();
         for store in self.stores.values().filter(|store| is_active(store.last_contact, now)) {
             let age = now.saturating_sub(store.last_contact);
-            let youngest = ages.entry(store.identity).or_insert(age);
-            *youngest = age.min(*youngest);
+            let min_age = ages.entry(store.identity).or_insert(age);
+            *min_age = age.min(*min_age);
         }
         let contact = |(identity, age): (NodeIdentity, Duration)| StoreContact {
             identity,
--- a/crates/control/src/feed/subscribers/tests.rs
+++ b/crates/control/src/feed/subscribers/tests.rs
@@ -1,4 +1,4 @@
-//! What is reported of subscribers, as time passes.
+//! Reports of store contacts over time.
 
 use super::{ConnectionId, StoreContact, Subscribers};
 use opalrun_wire::ids::{Generation, NodeIdentity};
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_store_is_reported_with_the_time_since_its_last_contact() {
+fn store_is_reported_with_time_since_last_contact() {
     let mut subscribers = Subscribers::default();
     subscribers.add_store(ConnectionId(1), NodeIdentity(70), millis(1_000));
     assert_eq!(subscribers.store_contacts(millis(1_000)), [contact(70, 0)]);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_store_with_two_connections_counts_by_the_later_contact() {
+fn store_with_two_connections_counts_by_the_later_contact() {
     let mut subscribers = Subscribers::default();
     subscribers.add_store(ConnectionId(1), NodeIdentity(70), millis(1_000));
     subscribers.add_store(ConnectionId(2), NodeIdentity(70), millis(1_800));
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_store_without_a_recent_contact_is_not_reported() {
+fn store_without_recent_contact_is_not_reported() {
     let mut subscribers = Subscribers::default();
     subscribers.add_store(ConnectionId(1), NodeIdentity(70), millis(1_000));
     assert!(subscribers.store_contacts(millis(2_501)).is_empty());
--- a/crates/control/src/sessions/heartbeat_monitor.rs
+++ b/crates/control/src/sessions/heartbeat_monitor.rs
@@ -1,21 +1,21 @@
-//! When a worker's session expires for missed heartbeats, as the owner of its shard decides. Sans I/O.
+//! Expiry of worker sessions after missed heartbeats, as decided by the owner of their shard. Sans I/O.
 //!
-//! The owner must not blame workers for its own absence: when it has just become the owner, had no contact with a
-//! majority or did not run for a while, every session gets a full time-out anew.
+//! Heartbeats that were missed because of the owner itself must not expire sessions. When the owner has just taken
+//! over, had no contact with a majority or was suspended, every session gets a full time-out again.
 
 use std::{collections::HashMap, time::Duration};
 
-/// Heartbeats that a worker may miss.
+/// Number of heartbeats that a worker may miss.
 const MAX_MISSED_HEARTBEATS: u32 = 3;
-/// How long a heartbeat may take on its way, including the caller's retries.
+/// Longest delivery time of a heartbeat, including the retries of its sender.
 const HEARTBEAT_DELAY_ALLOWANCE: Duration = Duration::from_millis(1200);
-/// The longest time between two checks after which this process counts as having run without a gap.
+/// Longest interval between two checks in which this process counts as running without a gap.
 const MAX_CHECK_GAP: Duration = Duration::from_secs(1);
-/// Once more than one session in this many has timed out, something else than the workers is suspected.
+/// A mass time-out is when more than one in this many sessions time out; its cause is probably not the workers.
 const MASS_TIMEOUT_DIVISOR: usize = 2;
-/// The fewest timed-out sessions that count as a mass time-out.
+/// Minimum number of timed-out sessions in a mass time-out.
 const MIN_MASS_TIMEOUT_SESSIONS: usize = 3;
-/// By how much the time-out is longer in a mass time-out.
+/// Factor by which the time-out is extended in a mass time-out.
 const MASS_TIMEOUT_FACTOR: u32 = 2;
 
 /// A session without a heartbeat for longer than the time-out.
@@ -24,7 +24,7 @@
     since_heartbeat: Duration,
 }
 
-/// When each worker of a shard was last heard.
+/// Time of the last heartbeat of each worker of a shard.
 #[derive(Debug)]
 pub struct HeartbeatMonitor {
     timeout: Duration,
@@ -33,7 +33,7 @@
 }
 
 impl HeartbeatMonitor {
-    /// A monitor for workers that send a heartbeat once an `interval`.
+    /// Returns a monitor for workers that send one heartbeat per `interval`.
     #[must_use]
     pub fn new(interval: Duration) -> Self {
         Self {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// A worker was heard.
+    /// Records a heartbeat of a worker.
     pub fn record_heartbeat(&mut self, id: &str, now: Duration) {
         match self.last_heartbeat.get_mut(id) {
             Some(at) => *at = now,
@@ -53,13 +53,13 @@
         }
     }
 
-    /// Forgets all heartbeats: this process is not the owner, or what it knows is not fresh.
+    /// Drops all recorded heartbeats, because this process does not own the shard or its state is not fresh.
     pub fn reset(&mut self) {
         self.last_heartbeat.clear();
         self.last_check = None;
     }
 
-    /// Ids of the sessions that have expired. `sessions` are the ids of all sessions of the shard.
+    /// Returns the ids of the sessions that have expired; `sessions` holds the ids of all sessions of the shard.
     pub fn expired<'a>(&mut self, sessions: impl Iterator<Item = &'a String>, now: Duration) -> Vec<String> {
         let ran_without_gap = self.last_check.is_some_and(|at| now.saturating_sub(at) <= MAX_CHECK_GAP);
         self.last_check = Some(now);
@@ -76,8 +76,8 @@
         expired.map(|session| session.id).collect()
     }
 
-    /// Tracks exactly these sessions, one without a heartbeat so far as if it had one now. Returns those that are
-    /// overdue, in the same order.
+    /// Limits tracking to these sessions; a session without a recorded heartbeat starts as if it had one now. Returns
+    /// the overdue sessions in the given order.
     fn track<'a>(
         &mut self,
         sessions: impl Iterator<Item = &'a String>,
--- a/crates/control/src/sessions/mod.rs
+++ b/crates/control/src/sessions/mod.rs
@@ -1,4 +1,4 @@
-//! The state machine of shards 1 and up: the sessions of workers.
+//! The state machine of the session shards (1 and up), which hold the sessions of workers.
 #![expect(missing_docs, reason = "the derived resolvers have no docs; every item written here has")]
 
 pub mod heartbeat_monitor;
@@ -9,61 +9,61 @@
 use rkyv::{Archive, Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Ids of removed workers that are remembered, so that a delayed heartbeat does not bring one back.
-const MAX_REMEMBERED_REMOVALS: usize = 1024;
-/// Expired sessions that are remembered, so that a delayed heartbeat does not undo what the last one said.
-const MAX_REMEMBERED_EXPIRIES: usize = 1024;
+/// Number of removed worker ids that are kept, so that a delayed heartbeat does not restore a removed worker.
+const MAX_RETAINED_REMOVALS: usize = 1024;
+/// Number of expired sessions that are kept, so that a delayed heartbeat does not override the state of the last one.
+const MAX_RETAINED_EXPIRIES: usize = 1024;
 
-/// A command to a shard of sessions.
+/// A command to a session shard.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub enum SessionCommand {
-    /// The heartbeat of a new worker, or of one that has changed.
+    /// A heartbeat of a new worker, or one that changes a session.
     Put(Worker),
     /// A worker has ended its session.
     Remove {
-        /// Its id.
+        /// Id of the worker.
         id: String,
     },
-    /// Sessions have expired for missed heartbeats; one with a newer heartbeat stays.
+    /// Sessions have expired after missed heartbeats. A session that has changed since then does not expire.
     Expire {
         /// The sessions.
         workers: Vec<ExpiredSession>,
     },
 }
 
-/// A session that has expired for missed heartbeats.
+/// A session that has expired after missed heartbeats.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, Eq)]
 pub struct ExpiredSession {
-    /// The worker's id.
+    /// Id of the worker.
     pub id: String,
-    /// The sequence of its last heartbeat.
+    /// Sequence number of the last heartbeat that changed the session.
     pub sequence: u64,
 }
 
-/// What became of a command to a shard of sessions.
+/// Outcome of a command to a session shard.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SessionOutcome {
-    /// It is done, or had been done before.
+    /// Applied now or earlier.
     Done,
-    /// A newer heartbeat of the same worker was known already.
+    /// Ignored, because a newer heartbeat of the same worker has been applied.
     Stale,
-    /// The worker had ended its session.
+    /// Ignored, because the worker has ended its session.
     Removed,
 }
 
 /// The sessions of one shard.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, Default)]
 pub struct SessionShard {
-    /// By the worker's id.
+    /// Sessions by worker id.
     workers: BTreeMap<String, Worker>,
-    /// Ids of workers that ended their sessions, the oldest first.
+    /// Ids of workers that ended their sessions, oldest first.
     removed: VecDeque<String>,
-    /// Expired sessions, the oldest first.
+    /// Expired sessions, oldest first.
     expired: VecDeque<ExpiredSession>,
 }
 
 impl SessionShard {
-    /// Applies a command and returns the changes for subscribers of the feed.
+    /// Applies a command and returns its outcome with the changes for the feed's subscribers.
     pub fn apply(&mut self, command: SessionCommand) -> (SessionOutcome, Vec<Change>) {
         match command {
             SessionCommand::Put(worker) => self.put(worker),
@@ -72,13 +72,13 @@
         }
     }
 
-    /// The complete state as the changes that make it from nothing.
+    /// The complete state, as the changes that build it from an empty shard.
     #[must_use]
     pub fn changes(&self) -> Vec<Change> {
         self.workers.values().cloned().map(Change::Worker).collect()
     }
 
-    /// All sessions by the worker's id.
+    /// All sessions by worker id.
     #[must_use]
     pub fn workers(&self) -> &BTreeMap<String, Worker> {
         &self.workers
@@ -90,7 +90,7 @@
         self.removed.iter().any(|removed| removed == id)
     }
 
-    /// Whether a heartbeat would change nothing: it is stale, or the same as the session.
+    /// Whether a heartbeat would change nothing, because it is stale or equal to the session.
     #[must_use]
     pub fn is_redundant(&self, heartbeat: &Worker) -> bool {
         if self.was_removed(&heartbeat.id) {
@@ -123,7 +123,7 @@
         if self.was_removed(&id) {
             return (SessionOutcome::Done, Vec::new());
         }
-        if self.removed.len() == MAX_REMEMBERED_REMOVALS {
+        if self.removed.len() == MAX_RETAINED_REMOVALS {
             self.removed.pop_front();
         }
         let change = self.end_session(&id);
@@ -138,7 +138,7 @@
                 self.workers.get(&session.id).is_some_and(|worker| worker.sequence == session.sequence);
             if is_unchanged {
                 changes.extend(self.end_session(&session.id));
-                self.remember_expiry(session);
+                self.record_expiry(session);
             }
         }
         (SessionOutcome::Done, changes)
@@ -150,8 +150,8 @@
         last.is_some_and(|session| heartbeat.sequence < session.sequence)
     }
 
-    fn remember_expiry(&mut self, session: ExpiredSession) {
-        if self.expired.len() == MAX_REMEMBERED_EXPIRIES {
+    fn record_expiry(&mut self, session: ExpiredSession) {
+        if self.expired.len() == MAX_RETAINED_EXPIRIES {
             self.expired.pop_front();
         }
         self.expired.push_back(session);
@@ -163,8 +163,8 @@
     }
 }
 
-/// Whether a heartbeat describes the worker as the session does. The sequence and the remaining warm-up time change by
-/// themselves and do not count.
+/// Whether a heartbeat describes the worker as its session does. The sequence number and the remaining warm-up time
+/// change with every heartbeat and are ignored.
 fn is_same_session(known: &Worker, heartbeat: &Worker) -> bool {
     let comparable = Worker {
         sequence: known.sequence,
--- a/crates/control/src/sessions/tests.rs
+++ b/crates/control/src/sessions/tests.rs
@@ -1,4 +1,4 @@
-//! Sessions of workers through orders of events.
+//! Sessions of workers under sequences of commands.
 
 use super::{
     ExpiredSession, SessionCommand, SessionOutcome, SessionShard, heartbeat_monitor::HeartbeatMonitor,
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_worker_comes_drains_and_goes() {
+fn worker_joins_drains_and_is_removed() {
     let mut shard = SessionShard::default();
     assert_eq!(put(&mut shard, worker("a", 1, WorkerState::Ready)), (SessionOutcome::Done, 1));
     assert_eq!(put(&mut shard, worker("a", 2, WorkerState::Draining)), (SessionOutcome::Done, 1));
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_stale_heartbeat_does_not_undo_draining() {
+fn stale_heartbeat_does_not_undo_draining() {
     let mut shard = SessionShard::default();
     put(&mut shard, worker("a", 5, WorkerState::Draining));
     let late = worker("a", 4, WorkerState::Ready);
@@ -49,20 +49,20 @@
 }
 
 #[test]
-fn a_stale_heartbeat_does_not_undo_draining_after_the_session_has_expired() {
+fn stale_heartbeat_does_not_undo_draining_after_expiry() {
     let mut shard = SessionShard::default();
     put(&mut shard, worker("a", 5, WorkerState::Draining));
     shard.apply(SessionCommand::Expire { workers: vec![ExpiredSession { id: "a".to_owned(), sequence: 5 }] });
     assert!(shard.workers().is_empty());
     assert_eq!(put(&mut shard, worker("a", 4, WorkerState::Ready)), (SessionOutcome::Stale, 0));
     assert!(shard.workers().is_empty());
-    // One that it sends after that is heard again.
+    // A later heartbeat starts a new session.
     assert_eq!(put(&mut shard, worker("a", 6, WorkerState::Draining)), (SessionOutcome::Done, 1));
     assert_eq!(put(&mut shard, worker("a", 4, WorkerState::Ready)), (SessionOutcome::Stale, 0));
 }
 
 #[test]
-fn a_removed_worker_does_not_come_back_whatever_the_order() {
+fn removed_worker_does_not_return_for_any_order_of_commands() {
     let mut shard = SessionShard::default();
     put(&mut shard, worker("a", 1, WorkerState::Ready));
     remove(&mut shard, "a");
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn an_unchanged_heartbeat_is_not_written() {
+fn unchanged_heartbeat_is_redundant() {
     let mut shard = SessionShard::default();
     put(&mut shard, worker("a", 1, WorkerState::Ready));
     assert!(shard.is_redundant(&worker("a", 2, WorkerState::Ready)));
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_session_that_has_changed_since_does_not_expire() {
+fn session_changed_since_its_time_out_does_not_expire() {
     let mut shard = SessionShard::default();
     put(&mut shard, worker("a", 1, WorkerState::Ready));
     put(&mut shard, worker("a", 2, WorkerState::Draining));
@@ -98,18 +98,19 @@
 
 const HEARTBEAT: Duration = Duration::from_secs(1);
 
-/// Checks four times a second from `from` to `to`, with a heartbeat of each worker named in `heard` before each check.
-fn check(
+/// Runs a check every 250 ms from `from` to `to` (in milliseconds), with a heartbeat of each worker in `heartbeats`
+/// before each check. Returns the ids of the expired sessions.
+fn run_checks(
     monitor: &mut HeartbeatMonitor,
     sessions: &[String],
-    heard: &[&str],
+    heartbeats: &[&str],
     from: u64,
     to: u64,
 ) -> Vec<String> {
     let mut expired = Vec::new();
     for millis in (from..to).step_by(250) {
         let now = Duration::from_millis(millis);
-        for id in heard {
+        for id in heartbeats {
             monitor.record_heartbeat(id, now);
         }
         expired.extend(monitor.expired(sessions.iter(), now));
@@ -123,44 +124,44 @@
 }
 
 #[test]
-fn a_worker_that_misses_heartbeats_expires_and_the_others_do_not() {
+fn only_workers_that_miss_heartbeats_expire() {
     let mut monitor = HeartbeatMonitor::new(HEARTBEAT);
     let sessions = names(3);
-    assert!(check(&mut monitor, &sessions, &["w0", "w1", "w2"], 0, 1000).is_empty());
-    assert!(check(&mut monitor, &sessions, &["w0", "w1"], 1000, 4000).is_empty());
-    assert_eq!(check(&mut monitor, &sessions, &["w0", "w1"], 4000, 6000), ["w2"]);
+    assert!(run_checks(&mut monitor, &sessions, &["w0", "w1", "w2"], 0, 1000).is_empty());
+    assert!(run_checks(&mut monitor, &sessions, &["w0", "w1"], 1000, 4000).is_empty());
+    assert_eq!(run_checks(&mut monitor, &sessions, &["w0", "w1"], 4000, 6000), ["w2"]);
 }
 
 #[test]
-fn a_new_owner_gives_every_session_a_full_timeout() {
+fn new_owner_gives_every_session_a_full_timeout() {
     let mut monitor = HeartbeatMonitor::new(HEARTBEAT);
     let sessions = names(1);
-    assert!(check(&mut monitor, &sessions, &[], 100_000, 104_000).is_empty());
-    assert_eq!(check(&mut monitor, &sessions, &[], 104_000, 106_000), ["w0"]);
+    assert!(run_checks(&mut monitor, &sessions, &[], 100_000, 104_000).is_empty());
+    assert_eq!(run_checks(&mut monitor, &sessions, &[], 104_000, 106_000), ["w0"]);
 }
 
 #[test]
-fn an_owner_that_was_suspended_expires_no_session() {
+fn owner_expires_no_session_after_a_suspension() {
     let mut monitor = HeartbeatMonitor::new(HEARTBEAT);
     let sessions = names(1);
-    assert!(check(&mut monitor, &sessions, &["w0"], 0, 1000).is_empty());
-    assert!(check(&mut monitor, &sessions, &[], 9000, 13_000).is_empty());
+    assert!(run_checks(&mut monitor, &sessions, &["w0"], 0, 1000).is_empty());
+    assert!(run_checks(&mut monitor, &sessions, &[], 9000, 13_000).is_empty());
 }
 
 #[test]
-fn an_owner_that_was_not_fresh_expires_no_session() {
+fn owner_expires_no_session_after_its_state_was_not_fresh() {
     let mut monitor = HeartbeatMonitor::new(HEARTBEAT);
     let sessions = names(1);
-    assert!(check(&mut monitor, &sessions, &["w0"], 0, 1000).is_empty());
+    assert!(run_checks(&mut monitor, &sessions, &["w0"], 0, 1000).is_empty());
     monitor.reset();
-    assert!(check(&mut monitor, &sessions, &[], 1000, 5000).is_empty());
+    assert!(run_checks(&mut monitor, &sessions, &[], 1000, 5000).is_empty());
 }
 
 #[test]
-fn a_mass_timeout_doubles_the_timeout() {
+fn mass_timeout_doubles_the_timeout() {
     let mut monitor = HeartbeatMonitor::new(HEARTBEAT);
     let sessions = names(4);
-    assert!(check(&mut monitor, &sessions, &["w0", "w1", "w2", "w3"], 0, 1000).is_empty());
-    assert!(check(&mut monitor, &sessions, &[], 1000, 8000).is_empty());
-    assert_eq!(check(&mut monitor, &sessions, &[], 8000, 10_000).len() % 4, 0);
+    assert!(run_checks(&mut monitor, &sessions, &["w0", "w1", "w2", "w3"], 0, 1000).is_empty());
+    assert!(run_checks(&mut monitor, &sessions, &[], 1000, 8000).is_empty());
+    assert_eq!(run_checks(&mut monitor, &sessions, &[], 8000, 10_000).len() % 4, 0);
 }
--- a/crates/control/src/shards/mod.rs
+++ b/crates/control/src/shards/mod.rs
@@ -1,4 +1,4 @@
-//! All shards of this process: their state, and their recent changes for subscribers of the feed.
+//! All shards of this process, with their state and their recent changes for the feed's subscribers.
 
 #[cfg(test)]
 mod recent_changes_tests;
@@ -20,18 +20,18 @@
 use std::{cell::RefCell, collections::VecDeque, rc::Rc};
 use tokio::sync::watch;
 
-/// Commands of a shard whose changes are kept for subscribers that are a little behind.
+/// Number of commands per shard whose changes are kept for subscribers that lag behind.
 const MAX_RECENT_COMMANDS: usize = 512;
 
-/// Number of all shards.
+/// Number of shards.
 pub const SHARDS: u16 = SESSION_SHARDS + 1;
 
-/// All shards, in the order of their numbers.
+/// All shards in ascending order.
 pub fn all_shards() -> impl Iterator<Item = Shard> {
     (0..SHARDS).map(Shard)
 }
 
-/// Whether there is a shard of this number.
+/// Whether a shard with this number exists.
 #[must_use]
 pub fn exists(shard: Shard) -> bool {
     shard.0 < SHARDS
@@ -42,19 +42,19 @@
     all_shards().filter(|shard| *shard != CONFIGURATION_SHARD)
 }
 
-/// The offset in a shard's changes that an entry of its log stands for.
+/// The feed offset that corresponds to a log index of a shard.
 #[must_use]
 pub fn feed_offset(index: LogIndex) -> FeedOffset {
     FeedOffset(index.0)
 }
 
-/// The entry of a shard's log that an offset in its changes stands for.
+/// The log index that corresponds to a feed offset of a shard.
 #[must_use]
 pub fn log_index(offset: FeedOffset) -> LogIndex {
     LogIndex(offset.0)
 }
 
-/// One shard's state.
+/// The state of one shard.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone)]
 enum ShardState {
     Configuration(Box<ConfigurationShard>),
@@ -62,7 +62,7 @@
 }
 
 impl ShardState {
-    /// Applies a command and returns the encoded outcome with the changes; `None` for a command that can't be decoded.
+    /// Applies a command and returns the encoded outcome with the changes; `None` if the command cannot be decoded.
     fn apply(&mut self, command: &[u8]) -> Option<(Vec<u8>, Vec<Change>)> {
         match self {
             Self::Configuration(shard) => {
@@ -77,29 +77,29 @@
     }
 }
 
-/// The content of a snapshot of a shard.
+/// The content of a shard's snapshot.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone)]
 struct ShardSnapshot {
-    /// The index of the last command applied.
+    /// Offset of the last applied command.
     offset: FeedOffset,
     state: ShardState,
 }
 
-/// One shard: its state and its latest changes.
+/// The replica of one shard, with its recent changes.
 #[derive(Debug)]
 struct ShardReplica {
     offset: FeedOffset,
     state: ShardState,
-    /// The changes of recent commands, the oldest first; commands without a change are left out.
+    /// Changes of recent commands, oldest first; commands without changes are omitted.
     recent: VecDeque<CommandChanges>,
-    /// All changes after this offset are among the recent ones.
+    /// `recent` contains all changes after this offset.
     recent_from: FeedOffset,
 }
 
-/// The changes that one command made.
+/// The changes made by one command.
 #[derive(Debug)]
 struct CommandChanges {
-    /// The offset after the command.
+    /// Offset of the command.
     offset: FeedOffset,
     changes: Vec<Change>,
 }
@@ -114,7 +114,7 @@
         Self { offset: FeedOffset(0), state, recent: VecDeque::new(), recent_from: FeedOffset(0) }
     }
 
-    /// Applies a command and returns the encoded outcome; empty for a command that can't be decoded.
+    /// Applies a command and returns the encoded outcome; empty if the command cannot be decoded.
     fn apply(&mut self, index: LogIndex, command: &[u8]) -> Vec<u8> {
         let (reply, changes) = self.state.apply(command).unwrap_or_default();
         self.offset = feed_offset(index);
@@ -134,15 +134,15 @@
         }
     }
 
-    /// Drops changes that the newest ones supersede: no subscriber needs them, and they may be large.
+    /// Drops older changes that the newest ones supersede: no subscriber needs them, and they may be large.
     fn drop_superseded(&mut self, newest: &[Change]) {
         for command in &mut self.recent {
             command.changes.retain(|older| !newest.iter().any(|newer| supersedes(newer, older)));
         }
     }
 
-    /// The update for a subscriber that knows this offset: the changes after it, or a snapshot where it knows nothing or
-    /// too little. `None` where there is nothing to send.
+    /// Returns the update for a subscriber that has the state up to `known`: the later changes, or a snapshot if it has
+    /// no state or its offset is no longer covered. `None` if there is nothing to send.
     fn update_since(&self, known: Option<FeedOffset>) -> Option<FeedUpdateBody> {
         let Some(known) = known.filter(|known| *known >= self.recent_from) else {
             let is_ahead = known.is_some_and(|known| known > self.offset);
@@ -162,7 +162,7 @@
     }
 }
 
-/// Whether a change replaces all that an older one states.
+/// Whether a change replaces everything that an older one contains.
 fn supersedes(newer: &Change, older: &Change) -> bool {
     matches!(
         (newer, older),
@@ -172,16 +172,16 @@
     )
 }
 
-/// An update for a subscriber, without the shard's number.
+/// An update for a subscriber, without the number of the shard.
 struct FeedUpdateBody {
-    /// The changes make the complete state; otherwise they follow what the subscriber knows.
+    /// The changes form the complete state; otherwise they follow the state that the subscriber has.
     is_snapshot: bool,
     offset: FeedOffset,
     changes: Vec<Change>,
 }
 
-/// All shards of this process. Cheap to clone; all clones share the same shards, as the state machines and all readers of
-/// one thread do. No borrow lasts across an await.
+/// All shards of this process. Clones are cheap and share the same shards, as the state machines and all readers of one
+/// thread need. No borrow lasts across an await.
 #[derive(Clone)]
 pub struct Shards {
     shards: Rc<Vec<RefCell<ShardReplica>>>,
@@ -195,66 +195,66 @@
 }
 
 impl Shards {
-    /// Empty shards.
+    /// Returns empty shards.
     #[must_use]
     pub fn new() -> Self {
         let shards = all_shards().map(|number| RefCell::new(ShardReplica::new(number))).collect();
         Self { shards: Rc::new(shards), changed: Rc::new(watch::Sender::new(0)) }
     }
 
-    /// Applies a committed command of a shard and returns the encoded outcome; empty for a command that can't be decoded.
-    #[expect(clippy::must_use_candidate, reason = "a replay needs the changes only")]
+    /// Applies a committed command of a shard and returns the encoded outcome; empty if the command cannot be decoded.
+    #[expect(clippy::must_use_candidate, reason = "a replay only needs the changes")]
     pub fn apply(&self, shard: Shard, index: LogIndex, command: &[u8]) -> Vec<u8> {
         let reply = self.shard(shard).borrow_mut().apply(index, command);
         self.changed.send_modify(|count| *count += 1);
         reply
     }
 
-    /// A shard's state as bytes.
+    /// The encoded state of a shard.
     #[must_use]
     pub fn snapshot(&self, shard: Shard) -> Vec<u8> {
         let shard = self.shard(shard).borrow();
         encode(&ShardSnapshot { offset: shard.offset, state: shard.state.clone() }).to_vec()
     }
 
-    /// Replaces a shard's state by one from [`Self::snapshot`].
+    /// Replaces the state of a shard by one from [`Self::snapshot`].
     ///
     /// # Errors
-    /// Where the bytes are no snapshot of this kind of shard.
+    /// If the bytes are not a snapshot of this kind of shard.
     pub fn restore(&self, shard: Shard, bytes: &[u8]) -> Result<(), FrameError> {
         let snapshot: ShardSnapshot = decode(bytes)?;
         let is_configuration = matches!(snapshot.state, ShardState::Configuration(_));
         if is_configuration != (shard == CONFIGURATION_SHARD) {
             return Err(FrameError::Unreadable);
         }
-        let mut own = self.shard(shard).borrow_mut();
-        own.offset = snapshot.offset;
-        own.state = snapshot.state;
-        own.recent.clear();
-        own.recent_from = snapshot.offset;
-        drop(own);
+        let mut replica = self.shard(shard).borrow_mut();
+        replica.offset = snapshot.offset;
+        replica.state = snapshot.state;
+        replica.recent.clear();
+        replica.recent_from = snapshot.offset;
+        drop(replica);
         self.changed.send_modify(|count| *count += 1);
         Ok(())
     }
 
-    /// Notifies everything that waits for a change, without one.
+    /// Wakes all tasks that wait for a change, without making one.
     pub fn notify_waiters(&self) {
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Notified of each command that is applied.
+    /// Returns a receiver that is notified of each applied command.
     #[must_use]
     pub fn changed(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// The index of the last command applied to a shard's state.
+    /// Offset of the last command applied to a shard.
     #[must_use]
     pub fn offset(&self, shard: Shard) -> FeedOffset {
         self.shard(shard).borrow().offset
     }
 
-    /// Waits until the command of an index is applied to a shard's state.
+    /// Waits until the command with the given index has been applied to a shard.
     pub async fn wait_for(&self, shard: Shard, index: LogIndex) {
         let mut changed = self.changed();
         while self.offset(shard) < feed_offset(index) {
@@ -264,7 +264,7 @@
         }
     }
 
-    /// The update for a subscriber that knows an offset of a shard; `None` where there is nothing to send.
+    /// Returns the update for a subscriber that has a shard's state up to `known`; `None` if there is nothing to send.
     #[must_use]
     pub fn update_since(&self, shard: Shard, known: Option<FeedOffset>) -> Option<FeedUpdate> {
         let update = self.shard(shard).borrow().update_since(known)?;
@@ -276,7 +276,7 @@
         })
     }
 
-    /// Reads the state of shard 0.
+    /// Reads the state of the configuration shard.
     ///
     /// # Panics
     /// Never: shard 0 always holds the configuration.
@@ -287,7 +287,7 @@
         }
     }
 
-    /// Reads the state of a shard of sessions; `None` for another shard.
+    /// Reads the state of a session shard; `None` for any other shard.
     pub fn with_sessions<R>(&self, shard: Shard, read: impl FnOnce(&SessionShard) -> R) -> Option<R> {
         let shard = self.shards.get(shard.position())?.borrow();
         match &shard.state {
@@ -301,14 +301,14 @@
     }
 }
 
-/// One shard as the replicated host runs it.
+/// The state machine of one shard, as run by the replicated host.
 pub struct ShardMachine {
     shards: Shards,
     shard: Shard,
 }
 
 impl ShardMachine {
-    /// The machine of one of the shards.
+    /// Returns the state machine of one shard.
     #[must_use]
     pub fn new(shards: Shards, shard: Shard) -> Self {
         Self { shards, shard }
--- a/crates/control/src/shards/recent_changes_tests.rs
+++ b/crates/control/src/shards/recent_changes_tests.rs
@@ -1,4 +1,4 @@
-//! Which recent changes are kept for subscribers.
+//! Selection of the recent changes that are kept for subscribers.
 
 use super::{Shard, ShardReplica, Shards};
 use crate::{configuration_shard::ConfigurationCommand, sessions::SessionCommand};
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_subscriber_behind_gets_the_newest_configuration_and_every_other_change_it_lacks() {
+fn lagging_subscriber_gets_newest_configuration_and_all_other_missing_changes() {
     let shards = Shards::new();
     shards.apply(CONFIGURATION_SHARD, LogIndex(1), &configuration(1));
     shards.apply(CONFIGURATION_SHARD, LogIndex(2), &control_node(1));
@@ -76,15 +76,15 @@
     for known in 1..=3 {
         let update = shards.update_since(CONFIGURATION_SHARD, Some(FeedOffset(known)));
         let Some(FeedUpdate::Changes { offset, changes, .. }) = update else { panic!("{update:?}") };
-        assert_eq!((offset, generations(&changes)), (FeedOffset(4), vec![3]), "from {known}");
+        assert_eq!((offset, generations(&changes)), (FeedOffset(4), vec![3]), "from offset {known}");
         let has_nodes = changes.iter().any(|change| matches!(change, Change::ControlNodes(_)));
-        assert_eq!(has_nodes, known < 2, "from {known}");
+        assert_eq!(has_nodes, known < 2, "from offset {known}");
     }
     assert_eq!(shards.update_since(CONFIGURATION_SHARD, Some(FeedOffset(4))), None);
 }
 
 #[test]
-fn changes_of_workers_are_all_kept() {
+fn all_worker_changes_are_kept() {
     let shards = Shards::new();
     for index in 1..=3 {
         shards.apply(Shard(1), LogIndex(index), &worker(&format!("i-{index}")));
--- a/crates/control/src/shards/tests.rs
+++ b/crates/control/src/shards/tests.rs
@@ -1,4 +1,4 @@
-//! Whatever the order of commands, snapshots and updates: a subscriber of the feed knows the state.
+//! A subscriber of the feed reaches the state of the shard for any sequence of commands, snapshots and updates.
 
 use super::Shards;
 use crate::{
@@ -18,7 +18,7 @@
 
 const SESSIONS: Shard = Shard(1);
 
-/// What a subscriber has made of the feed.
+/// State that a subscriber has built from the feed.
 #[derive(Debug, Default, Clone, PartialEq)]
 struct View {
     offset: Option<FeedOffset>,
@@ -32,17 +32,17 @@
     fn follow(&mut self, shards: &Shards, shard: Shard) {
         match shards.update_since(shard, self.offset) {
             Some(FeedUpdate::Snapshot { offset, changes, .. }) => {
-                assert!(self.offset.is_none_or(|held| held <= offset), "the feed goes back");
+                assert!(self.offset.is_none_or(|known| known <= offset), "the offset of the feed decreased");
                 *self = Self { offset: Some(offset), ..Self::default() };
                 for change in changes {
-                    self.take(change);
+                    self.apply(change);
                 }
             }
             Some(FeedUpdate::Changes { offset, changes, .. }) => {
-                assert!(self.offset.is_some_and(|held| held < offset), "the feed stands still");
+                assert!(self.offset.is_some_and(|known| known < offset), "an update without a higher offset");
                 self.offset = Some(offset);
                 for change in changes {
-                    self.take(change);
+                    self.apply(change);
                 }
             }
             Some(
@@ -55,16 +55,16 @@
         }
     }
 
-    fn take(&mut self, change: Change) {
+    fn apply(&mut self, change: Change) {
         match change {
             Change::Configuration { generation, body } => {
-                let newer = self.configuration.as_ref().is_none_or(|(held, _)| *held < generation.0);
-                assert!(newer, "an older configuration");
+                let newer = self.configuration.as_ref().is_none_or(|(known, _)| *known < generation.0);
+                assert!(newer, "a configuration that is not newer");
                 self.configuration = Some((generation.0, body));
             }
             Change::ControlNodes(nodes) => self.nodes = nodes,
             Change::StoreMap(map) => {
-                assert!(map.epoch > Epoch(self.map_epoch), "an older map");
+                assert!(map.epoch > Epoch(self.map_epoch), "a store map that is not newer");
                 self.map_epoch = map.epoch.0;
             }
             Change::Worker(worker) => {
@@ -103,12 +103,12 @@
     encode(&command).to_vec()
 }
 
-fn configuration_command(kind: u8, one: u8, two: u8) -> Vec<u8> {
-    let name = format!("machine-{}", one % 4);
+fn configuration_command(kind: u8, first: u8, second: u8) -> Vec<u8> {
+    let name = format!("machine-{}", first % 4);
     let command = match kind % 5 {
         0 => ConfigurationCommand::AdmitControl {
             node: ControlNode {
-                identity: NodeIdentity(u64::from(two % 8)),
+                identity: NodeIdentity(u64::from(second % 8)),
                 node_name: name.clone(),
                 peer_address: String::new(),
                 control_address: name,
@@ -116,12 +116,12 @@
             },
         },
         1 => ConfigurationCommand::DropControl {
-            identity: NodeIdentity(u64::from(two % 8)),
-            min_members: u16::from(one % 3),
+            identity: NodeIdentity(u64::from(second % 8)),
+            min_members: u16::from(first % 3),
         },
         2 => ConfigurationCommand::Store(StoreCommand::Join {
             node: StoreNode {
-                identity: NodeIdentity(u64::from(two % 8)),
+                identity: NodeIdentity(u64::from(second % 8)),
                 node_name: name.clone(),
                 address: name,
                 zone: String::new(),
@@ -133,57 +133,62 @@
             spread: Spread::over_machines(),
         }),
         _ => ConfigurationCommand::PutConfiguration {
-            if_match: Generation(u64::from(one)),
-            generation: Generation(u64::from(two)),
-            body: vec![one, two],
-            sha256: [two; 32],
+            if_match: Generation(u64::from(first)),
+            generation: Generation(u64::from(second)),
+            body: vec![first, second],
+            sha256: [second; 32],
         },
     };
     encode(&command).to_vec()
 }
 
-fn follow_random_orders(shard: Shard, command: fn(u8, u8, u8) -> Vec<u8>) {
+fn check_subscribers_with_random_events(shard: Shard, command: fn(u8, u8, u8) -> Vec<u8>) {
     bolero::check!().with_type::<Vec<(u8, u8, u8, u8)>>().for_each(|events| {
         let (leader, follower) = (Shards::new(), Shards::new());
         let mut subscribers = [View::default(), View::default()];
-        for (index, (event, kind, one, two)) in events.iter().enumerate() {
+        for (index, (event, kind, first, second)) in events.iter().enumerate() {
             let index = index as u64 + 1;
-            let bytes = command(*kind, *one, *two);
+            let bytes = command(*kind, *first, *second);
             let reply = leader.apply(shard, LogIndex(index), &bytes);
             if event % 4 == 0 {
-                follower.restore(shard, &leader.snapshot(shard)).expect("it is a snapshot");
+                follower.restore(shard, &leader.snapshot(shard)).expect("a valid snapshot");
             } else {
-                assert_eq!(follower.apply(shard, LogIndex(index), &bytes), reply, "replicas differ");
+                assert_eq!(
+                    follower.apply(shard, LogIndex(index), &bytes),
+                    reply,
+                    "the replicas have different outcomes"
+                );
             }
-            // The first subscriber goes between the replicas, the second follows one of them now and then.
+            // The first subscriber alternates between the replicas; the second one follows one replica at irregular
+            // intervals.
             subscribers[0].follow(if event % 2 == 0 { &leader } else { &follower }, shard);
             if event % 7 == 0 {
                 subscribers[1].follow(&follower, shard);
             }
         }
         assert_eq!(leader.snapshot(shard), follower.snapshot(shard));
-        let mut newcomer = View::default();
-        newcomer.follow(&leader, shard);
+        let mut new_subscriber = View::default();
+        new_subscriber.follow(&leader, shard);
         for mut subscriber in subscribers {
             subscriber.follow(&leader, shard);
-            let known = View { offset: newcomer.offset, ..subscriber };
-            assert_eq!(known, newcomer);
+            let known = View { offset: new_subscriber.offset, ..subscriber };
+            assert_eq!(known, new_subscriber);
         }
     });
 }
 
 #[test]
-fn subscribers_of_sessions_know_what_the_state_holds() {
-    follow_random_orders(SESSIONS, session_command);
+fn session_subscribers_reach_the_state_of_the_shard() {
+    check_subscribers_with_random_events(SESSIONS, session_command);
 }
 
 #[test]
-fn subscribers_of_the_configuration_know_what_the_state_holds() {
-    follow_random_orders(CONFIGURATION_SHARD, configuration_command);
+fn configuration_subscribers_reach_the_state_of_the_shard() {
+    check_subscribers_with_random_events(CONFIGURATION_SHARD, configuration_command);
 }
 
 #[test]
-fn a_subscriber_that_is_far_behind_gets_a_snapshot() {
+fn subscriber_far_behind_gets_a_snapshot() {
     let shards = Shards::new();
     let mut view = View::default();
     for index in 1..=2000 {
@@ -198,14 +203,14 @@
 }
 
 #[test]
-fn a_subscriber_that_is_ahead_is_sent_nothing() {
+fn subscriber_ahead_of_the_replica_is_sent_nothing() {
     let shards = Shards::new();
     shards.apply(SESSIONS, LogIndex(5), &session_command(2, 1, 1));
     assert_eq!(shards.update_since(SESSIONS, Some(FeedOffset(9))), None);
 }
 
 #[test]
-fn commands_and_snapshots_that_can_t_be_read_change_nothing() {
+fn malformed_commands_and_snapshots_change_nothing() {
     let shards = Shards::new();
     shards.apply(SESSIONS, LogIndex(1), &session_command(2, 1, 1));
     assert!(shards.apply(SESSIONS, LogIndex(2), b"no command").is_empty());
--- a/crates/control/src/store_map/mod.rs
+++ b/crates/control/src/store_map/mod.rs
@@ -1,8 +1,8 @@
-//! The table of stores and the map of partitions to stores, as a deterministic state machine.
+//! The table of stores and the placement of partitions on them, as a deterministic state machine.
 //!
-//! [`StoreTable::apply`] takes commands in the order of the replicated log; nothing here reads a clock. Decisions that
-//! need time (a store is unavailable, a new one is established) are made by the owner of the shard and arrive as
-//! commands.
+//! [`StoreTable::apply`] takes the commands in the order of the replicated log and reads no clock. Decisions that
+//! depend on time, such as that a store is unavailable or a new one established, are made by the owner of the shard and
+//! arrive as commands.
 #![expect(missing_docs, reason = "the derived resolvers have no docs; every item written here has")]
 
 #[cfg(test)]
@@ -22,136 +22,140 @@
 };
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// Whether a store is reached, as the shard's owner decides by the time since it was last heard.
+/// Reachability of a store, decided by the shard's owner from the time since its last contact.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Liveness {
-    /// It was heard recently.
+    /// Contacted recently.
     Live,
-    /// It was not heard for so long that a store without replicas may replace it.
+    /// Without contact for so long that a store without replicas, or one that has already taken over for it, may
+    /// replace it.
     Unavailable,
-    /// It was not heard for so long that any other store may replace it.
+    /// Without contact for so long that any other store may replace it.
     Dead,
 }
 
-/// A store that is known.
+/// A registered store.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, Eq)]
 pub struct StoreEntry {
-    /// The store.
+    /// Identity, address and state.
     pub node: StoreNode,
-    /// Whether it is reached.
+    /// Reachability.
     pub liveness: Liveness,
-    /// It has been a member for long enough to get replicas of live stores.
+    /// The store has been a member for long enough to take over replicas from live stores.
     pub is_established: bool,
-    /// It is to shut down while others can take over: its replicas are moved away before it ends.
+    /// The store is about to shut down: its replicas are moved to other stores first.
     pub is_shutting_down: bool,
 }
 
 /// A former replica of a partition that still has its data.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
 struct DisplacedReplica {
-    /// Its slot among the replicas. It is a source until the replica in that slot is complete again.
+    /// Slot in the list of replicas. The store serves as a catch-up source until the replica in that slot is complete
+    /// again.
     slot: u16,
-    /// The identity of its store.
+    /// Identity of the store.
     store: NodeIdentity,
 }
 
 impl DisplacedReplica {
-    fn is_of_slot(&self, slot: usize) -> bool {
+    fn was_in_slot(&self, slot: usize) -> bool {
         usize::from(self.slot) == slot
     }
 }
 
-/// The placement of a partition, with what is needed to check reports about it.
+/// The placement of a partition, with the state needed to validate reports about it.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, Eq, Default)]
 pub struct PartitionEntry {
-    /// What is published.
+    /// The published placement.
     pub partition: PartitionReplicas,
-    /// The epoch in which its set of replicas last changed. A catch-up that began earlier may lack writes.
+    /// Epoch in which the set of replicas last changed. A catch-up that started in an earlier epoch may lack writes.
     pub changed_epoch: Epoch,
-    /// The sources that a replica which is not complete may read from.
+    /// Former replicas from which incomplete replicas may catch up.
     displaced: Vec<DisplacedReplica>,
 }
 
-/// A command to the table.
+/// A command to the table of stores.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, Eq)]
 pub enum StoreCommand {
-    /// A store joins, or joins again after a restart.
+    /// A store joins for the first time or after a restart.
     Join {
         /// The store; its `state` is ignored.
         node: StoreNode,
     },
-    /// Forms the first map of the stores that are known.
+    /// Creates the first map from the registered stores.
     FormMap {
-        /// Replicas of each partition.
+        /// Number of replicas of each partition.
         replicas: u16,
-        /// How they are spread over failure domains.
+        /// Constraint on the distribution over failure domains.
         spread: Spread,
     },
-    /// A store has been a member for long enough.
+    /// A store has been a member for long enough to take over replicas from live stores.
     MarkEstablished {
-        /// The store's identity.
+        /// Identity of the store.
         identity: NodeIdentity,
     },
-    /// The liveness of a store has changed.
+    /// The reachability of a store has changed.
     SetLiveness {
-        /// The store's identity.
+        /// Identity of the store.
         identity: NodeIdentity,
-        /// The new liveness.
+        /// New reachability.
         liveness: Liveness,
     },
     /// A store has caught up with partitions.
     ReplicasComplete {
-        /// The store's identity.
+        /// Identity of the store.
         store: NodeIdentity,
-        /// The epoch of the map under which it caught up.
+        /// Epoch of the map under which the store caught up.
         epoch: Epoch,
         /// The partitions.
         partitions: Vec<Partition>,
     },
-    /// The operator retires a machine: its replicas are to be moved away.
+    /// The operator retires a machine, whose replicas are moved to others.
     Retire {
-        /// The machine's name.
+        /// Name of the machine.
         node_name: String,
     },
-    /// A store is to shut down and asks whether its replicas are moved away before.
+    /// A store that is about to shut down asks whether its replicas are moved to other stores first.
     RequestShutdown {
-        /// The store's identity.
+        /// Identity of the store.
         identity: NodeIdentity,
     },
 }
 
-/// The outcome of a command.
+/// Outcome of a command.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreOutcome {
-    /// It was done, or had been done before.
+    /// Applied now or earlier.
     Done,
-    /// No such machine is known.
+    /// No machine of that name is registered.
     UnknownNode,
-    /// Too few stores would be left.
+    /// Rejected, because the remaining stores could not hold all replicas.
     TooFewStores,
-    /// The first map is not formed yet.
+    /// Rejected, because the first map does not exist yet.
     NotFormed,
-    /// Too few other stores can take over its replicas: it may shut down at once.
+    /// Not enough other stores can take over the replicas: the store may shut down at once.
     NoSuccessor,
 }
 
-/// How far the retirement of a machine is.
+/// Progress of the retirement of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetireState {
-    /// It has replicas, or is a source of others.
+    /// The machine still has replicas or serves as a source.
     Active,
-    /// No partition refers to it any more.
+    /// No partition refers to the machine any more.
     Completed,
 }
 
-/// All stores and the map.
+/// All stores and the placement of the partitions.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, Eq, Default)]
 pub struct StoreTable {
     stores: Vec<StoreEntry>,
     partitions: Vec<PartitionEntry>,
+    /// Replication factor of the partitions.
     replicas_wanted: u16,
     spread: Spread,
-    /// Number of stores that the tier should have: those of its start, less those that were retired.
+    /// Number of stores the tier should have: those of the first map without the retired ones, but at least one per
+    /// replica.
     expected: u16,
     published: StoreMap,
     /// Names of the machines that the operator has retired.
@@ -160,7 +164,7 @@
 }
 
 impl StoreTable {
-    /// Applies a command; afterwards [`Self::map`] is up to date.
+    /// Applies a command and updates [`Self::map`].
     pub fn apply(&mut self, command: &StoreCommand) -> StoreOutcome {
         let outcome = match command {
             StoreCommand::Join { node } => self.join(node),
@@ -176,44 +180,44 @@
         if self.is_formed() {
             self.replan();
             self.finish_retirements();
-            self.forget_lost_stores();
+            self.remove_dead_stores();
             self.publish();
         }
         outcome
     }
 
-    /// The map as it is published; its epoch is 0 until it is formed.
+    /// The published map; its epoch is 0 before the first map is created.
     #[must_use]
     pub fn map(&self) -> &StoreMap {
         &self.published
     }
 
-    /// All stores that are known.
+    /// All registered stores.
     #[must_use]
     pub fn stores(&self) -> &[StoreEntry] {
         &self.stores
     }
 
-    /// A store by its identity.
+    /// Returns a store by its identity.
     #[must_use]
     pub fn store(&self, identity: NodeIdentity) -> Option<&StoreEntry> {
         self.stores.iter().find(|entry| entry.node.identity == identity)
     }
 
-    /// Whether the first map is formed.
+    /// Whether the first map has been created.
     #[must_use]
     pub fn is_formed(&self) -> bool {
         !self.partitions.is_empty()
     }
 
-    /// How far the retirement of a machine is; `None` where the machine is unknown.
+    /// Progress of the retirement of a machine; `None` if the machine is unknown and was never retired.
     #[must_use]
     pub fn retire_state(&self, node_name: &str) -> Option<RetireState> {
-        let ordered = self.retired_nodes.iter().any(|name| name == node_name);
+        let is_retired = self.retired_nodes.iter().any(|name| name == node_name);
         match self.stores.iter().find(|entry| entry.node.node_name == node_name) {
             Some(entry) if entry.node.state == StoreState::Retired => Some(RetireState::Completed),
             Some(_) => Some(RetireState::Active),
-            None => ordered.then_some(RetireState::Completed),
+            None => is_retired.then_some(RetireState::Completed),
         }
     }
 
@@ -229,7 +233,7 @@
             known.is_shutting_down = false;
             return StoreOutcome::Done;
         }
-        let lost_store = self
+        let replaced_store = self
             .stores
             .iter()
             .position(|entry| entry.node.node_name == node.node_name || entry.node.address == node.address);
@@ -241,10 +245,10 @@
         let entry = StoreEntry {
             node: StoreNode { state, ..node.clone() },
             liveness: Liveness::Live,
-            is_established: lost_store.is_some(),
+            is_established: replaced_store.is_some(),
             is_shutting_down: false,
         };
-        match lost_store {
+        match replaced_store {
             Some(position) => {
                 let lost = self.stores[position].node.identity;
                 self.stores[position] = entry;
@@ -271,7 +275,7 @@
         self.partitions = (0..STORE_PARTITIONS)
             .map(|number| {
                 let chosen =
-                    placement::choose(Partition(number), &candidates, usize::from(replicas), &spread);
+                    placement::select_stores(Partition(number), &candidates, usize::from(replicas), &spread);
                 let replicas = chosen.into_iter().map(|store| Replica { store, is_complete: true }).collect();
                 let partition = PartitionReplicas { replicas, sources: Vec::new() };
                 PartitionEntry { partition, changed_epoch: Epoch(1), displaced: Vec::new() }
@@ -305,7 +309,7 @@
                 continue;
             };
             entry.partition.replicas[slot].is_complete = true;
-            entry.displaced.retain(|displaced| !displaced.is_of_slot(slot));
+            entry.displaced.retain(|displaced| !displaced.was_in_slot(slot));
         }
         StoreOutcome::Done
     }
@@ -320,7 +324,7 @@
         if !self.is_formed() {
             return StoreOutcome::NotFormed;
         }
-        let left: Vec<&StoreNode> = self
+        let remaining: Vec<&StoreNode> = self
             .stores
             .iter()
             .filter(|entry| entry.node.state == StoreState::Active && entry.node.node_name != node_name)
@@ -329,7 +333,7 @@
             .map(|entry| &entry.node)
             .collect();
         let replicas = usize::from(self.replicas_wanted);
-        if !self.effective_spread().has_capacity(left.into_iter(), replicas) {
+        if !self.effective_spread().has_capacity(remaining.into_iter(), replicas) {
             return StoreOutcome::TooFewStores;
         }
         self.expected = self.expected.saturating_sub(1).max(self.replicas_wanted);
@@ -353,21 +357,22 @@
         }
     }
 
-    /// Whether as many stores as the tier should have are live without this one: another one has replaced it.
+    /// Whether as many stores as the tier should have are live without this one, so that a successor has already
+    /// joined.
     fn has_successor_of(&self, identity: NodeIdentity) -> bool {
         let live = self.stores.iter().filter(|entry| {
-            let takes_part = entry.node.state == StoreState::Active && !entry.is_shutting_down;
-            takes_part && entry.liveness == Liveness::Live && entry.node.identity != identity
+            let is_candidate = entry.node.state == StoreState::Active && !entry.is_shutting_down;
+            is_candidate && entry.liveness == Liveness::Live && entry.node.identity != identity
         });
         let others: Vec<&StoreNode> = live.map(|entry| &entry.node).collect();
         others.len() >= usize::from(self.expected)
             && self.effective_spread().has_capacity(others.into_iter(), usize::from(self.replicas_wanted))
     }
 
-    /// The spread, where the known stores have the capacity for it; else only machines are kept apart.
+    /// The configured spread if the active stores have the capacity for it; otherwise only the separation of machines.
     fn effective_spread(&self) -> Spread {
-        let stays = |entry: &&StoreEntry| entry.node.state == StoreState::Active;
-        let known = self.stores.iter().filter(stays).map(|entry| &entry.node);
+        let is_active = |entry: &&StoreEntry| entry.node.state == StoreState::Active;
+        let known = self.stores.iter().filter(is_active).map(|entry| &entry.node);
         if self.spread.has_capacity(known, usize::from(self.replicas_wanted)) {
             self.spread.clone()
         } else {
@@ -385,7 +390,7 @@
 
     fn finish_retirements(&mut self) {
         let all_complete = self.partitions.iter().all(|entry| plan::all_complete(&entry.partition));
-        let done: Vec<NodeIdentity> = self
+        let finished: Vec<NodeIdentity> = self
             .stores
             .iter()
             .filter(|entry| entry.node.state == StoreState::Retiring)
@@ -393,22 +398,22 @@
             .filter(|identity| all_complete && !self.is_referenced(*identity))
             .collect();
         for entry in &mut self.stores {
-            if done.contains(&entry.node.identity) {
+            if finished.contains(&entry.node.identity) {
                 entry.node.state = StoreState::Retired;
             }
         }
     }
 
-    /// Drops dead stores that no partition refers to any more.
-    fn forget_lost_stores(&mut self) {
-        let lost: Vec<NodeIdentity> = self
+    /// Removes dead stores to which no partition refers any more.
+    fn remove_dead_stores(&mut self) {
+        let dead: Vec<NodeIdentity> = self
             .stores
             .iter()
             .filter(|entry| entry.liveness == Liveness::Dead && entry.node.state != StoreState::Retiring)
             .map(|entry| entry.node.identity)
             .filter(|identity| !self.is_referenced(*identity))
             .collect();
-        self.stores.retain(|entry| !lost.contains(&entry.node.identity));
+        self.stores.retain(|entry| !dead.contains(&entry.node.identity));
     }
 
     fn publish(&mut self) {
--- a/crates/control/src/store_map/placement.rs
+++ b/crates/control/src/store_map/placement.rs
@@ -6,8 +6,8 @@
     ids::{NodeIdentity, Partition},
 };
 
-/// The weight of a store for a partition. It depends on the machine's name, so that a machine that
-/// lost its disk gets its slots back.
+/// Rendezvous weight of a store for a partition. It is computed from the machine's name, so that a machine that lost
+/// its disk gets the same partitions again.
 pub(super) fn weight(partition: Partition, node_name: &str) -> u64 {
     let mut key = Vec::with_capacity(node_name.len() + 2);
     key.extend_from_slice(&partition.0.to_le_bytes());
@@ -15,9 +15,10 @@
     stable_hash(&key)
 }
 
-/// The identities of the stores that should have a partition: in a zone of its own each as far as there are so many, and
-/// never more in one failure domain than the spread allows, even if they are fewer than `count` then.
-pub(super) fn choose(
+/// Selects the stores for a partition by weight. As far as possible each is in a different zone, and the number of
+/// stores in one failure domain never exceeds the limit of the spread, even if fewer than `count` are selected as a
+/// result.
+pub(super) fn select_stores(
     partition: Partition,
     candidates: &[&StoreNode],
     count: usize,
@@ -27,8 +28,8 @@
     ordered.sort_by_key(|node| (std::cmp::Reverse(weight(partition, &node.node_name)), node.identity));
     let mut chosen: Vec<&StoreNode> = Vec::with_capacity(count);
     for node in &ordered {
-        let own_zone = chosen.iter().all(|other| other.zone != node.zone);
-        if chosen.len() < count && own_zone && spread.allows(node, &chosen) {
+        let is_in_new_zone = chosen.iter().all(|other| other.zone != node.zone);
+        if chosen.len() < count && is_in_new_zone && spread.allows(node, &chosen) {
             chosen.push(node);
         }
     }
--- a/crates/control/src/store_map/plan.rs
+++ b/crates/control/src/store_map/plan.rs
@@ -1,7 +1,7 @@
-//! Which replicas move where.
+//! Plans the moves of replicas between stores.
 //!
 //! Lost replicas are replaced at once. Otherwise a partition changes only while all its replicas are complete and live,
-//! one replica at a time, and only so many partitions at a time.
+//! by one replica at a time, and at most [`MAX_CONCURRENT_MOVES`] partitions change at a time.
 
 use super::{DisplacedReplica, Liveness, PartitionEntry, StoreEntry, StoreTable, placement};
 use opalrun_wire::{
@@ -9,7 +9,7 @@
     ids::{Epoch, NodeIdentity, Partition},
 };
 
-/// Partitions that may move at a time where no replica is lost.
+/// Maximum number of partitions that move at a time while no replica is lost.
 const MAX_CONCURRENT_MOVES: usize = 8;
 
 /// Whether all replicas of a partition are complete.
@@ -18,24 +18,24 @@
 }
 
 impl PartitionEntry {
-    /// Publishes the displaced replicas as sources.
+    /// Publishes the displaced replicas as catch-up sources.
     fn publish_sources(&mut self) {
         self.partition.sources = self.displaced.iter().map(|displaced| displaced.store).collect();
     }
 
-    /// Assigns a slot among the replicas to a store that has no data of the partition.
+    /// Assigns a replica slot to a store that has no data of the partition.
     fn assign(&mut self, slot: usize, store: NodeIdentity, epoch: Epoch) {
         self.partition.replicas[slot] = Replica { store, is_complete: false };
         self.changed_epoch = epoch;
     }
 
-    /// The slot that a source had among the replicas.
+    /// The replica slot in which a source was before.
     fn slot_of_source(&self, store: NodeIdentity) -> Option<usize> {
         let displaced = self.displaced.iter().find(|displaced| displaced.store == store);
         displaced.map(|displaced| usize::from(displaced.slot))
     }
 
-    /// Number of complete replicas in other slots than this one.
+    /// Number of complete replicas in slots other than the given one.
     fn complete_replicas_beside(&self, slot: Option<usize>) -> usize {
         let replicas = self.partition.replicas.iter().enumerate();
         replicas.filter(|(number, replica)| replica.is_complete && Some(*number) != slot).count()
@@ -43,8 +43,8 @@
 }
 
 impl StoreTable {
-    /// Assigns the slots of a store that lost its disk to the new identity of its machine, unless the machine is retired.
-    /// Its data is lost.
+    /// Assigns the slots of a store that lost its disk to the new identity of the same machine, unless the machine is
+    /// being retired. The data of the old identity is lost.
     pub(super) fn substitute_replaced_store(
         &mut self,
         lost: NodeIdentity,
@@ -70,8 +70,8 @@
         let has_spare = self.has_spare_store();
         for number in 0..self.partitions.len() {
             self.replace_lost_replicas(number, has_spare);
-            self.drop_sources(number);
-            self.begin_anew_if_all_replicas_are_lost(number);
+            self.drop_obsolete_sources(number);
+            self.reset_if_all_data_is_lost(number);
         }
         for entry in &mut self.partitions {
             entry.publish_sources();
@@ -81,14 +81,14 @@
             if moving >= MAX_CONCURRENT_MOVES {
                 return;
             }
-            if self.move_one(number) {
+            if self.move_one_replica(number) {
                 self.partitions[number].publish_sources();
                 moving += 1;
             }
         }
     }
 
-    /// Whether there is a store without replicas that could replace a lost one.
+    /// Whether there is a live store without replicas that could replace a lost one.
     fn has_spare_store(&self) -> bool {
         self.stores.iter().any(|entry| {
             entry.node.state == StoreState::Active
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Live stores that may get replicas.
+    /// Live stores that may receive replicas.
     fn candidates(&self, established_only: bool) -> Vec<&StoreNode> {
         self.stores
             .iter()
@@ -119,13 +119,18 @@
             .collect()
     }
 
-    /// The best store without a replica of the partition for one of its slots, or for an additional slot. A source stays
-    /// one: it may only return to its own slot, and not while too few other replicas are complete.
-    fn best_other(&self, number: usize, slot: Option<usize>, established_only: bool) -> Option<NodeIdentity> {
+    /// The best store without a replica of the partition, for one of its slots or for an additional one. A source
+    /// remains a source: it may only return to its own slot, and only while a quorum of the other replicas is complete.
+    fn best_replacement(
+        &self,
+        number: usize,
+        slot: Option<usize>,
+        established_only: bool,
+    ) -> Option<NodeIdentity> {
         let entry = &self.partitions[number];
         let replicas = &entry.partition.replicas;
         let sources_needed = entry.complete_replicas_beside(slot) < entry.partition.quorum();
-        let is_free = |node: &&StoreNode| match entry.slot_of_source(node.identity) {
+        let is_eligible = |node: &&StoreNode| match entry.slot_of_source(node.identity) {
             None => true,
             own => own == slot && !sources_needed,
         };
@@ -145,11 +150,11 @@
         self.candidates(established_only)
             .into_iter()
             .filter(|node| replicas.iter().all(|replica| replica.store != node.identity))
-            .filter(is_free)
+            .filter(is_eligible)
             .filter(|node| spread.allows(node, &other_nodes))
             .max_by_key(|node| {
-                let own_zone = !zones_in_use.contains(&node.zone.as_str());
-                (own_zone, placement::weight(Partition(number as u16), &node.node_name), node.identity)
+                let is_in_new_zone = !zones_in_use.contains(&node.zone.as_str());
+                (is_in_new_zone, placement::weight(Partition(number as u16), &node.node_name), node.identity)
             })
             .map(|node| node.identity)
     }
@@ -160,17 +165,18 @@
             if !self.is_lost(old.store, has_spare) {
                 continue;
             }
-            if let Some(new) = self.best_other(number, Some(slot), false) {
+            if let Some(new) = self.best_replacement(number, Some(slot), false) {
                 self.replace(number, slot, new);
             }
         }
     }
 
-    /// Replaces a replica by a store without data of the partition; the old one stays as a source, if it may have data.
+    /// Replaces a replica by a store that has no data of the partition. The old store remains as a source if it may
+    /// have data.
     ///
-    /// A replica that was not complete leaves the source of its slot as it is. So a slot counts once: by its replica once
-    /// that is complete, else by its source. Every acknowledged write is in a quorum of the slots at any time, and any
-    /// `n - q + 1` of them include one that has it.
+    /// An incomplete replica does not displace the source of its slot. Each slot therefore counts once: by its replica
+    /// if that is complete, and by its source otherwise. Every acknowledged write is in a quorum of the slots at any
+    /// time, and any `n - q + 1` slots include one that has it (`n` slots, quorum `q`).
     fn replace(&mut self, number: usize, slot: usize, new: NodeIdentity) {
         let next_epoch = self.published.epoch.next();
         let old = self.partitions[number].partition.replicas[slot];
@@ -183,20 +189,21 @@
         }
     }
 
-    /// A partition that has lost all its data has nothing to catch up from: it begins anew, empty.
-    fn begin_anew_if_all_replicas_are_lost(&mut self, number: usize) {
+    /// Resets a partition whose data is lost at all replicas and sources: there is nothing to catch up from, so that
+    /// its replicas count as complete and empty.
+    fn reset_if_all_data_is_lost(&mut self, number: usize) {
         let entry = &mut self.partitions[number];
         let partition = &mut entry.partition;
-        let something_left =
+        let has_data =
             partition.replicas.iter().any(|replica| replica.is_complete) || !entry.displaced.is_empty();
-        if !something_left {
+        if !has_data {
             for replica in &mut partition.replicas {
                 replica.is_complete = true;
             }
         }
     }
 
-    fn drop_sources(&mut self, number: usize) {
+    fn drop_obsolete_sources(&mut self, number: usize) {
         let known: Vec<NodeIdentity> = self.stores.iter().map(|entry| entry.node.identity).collect();
         let entry = &mut self.partitions[number];
         entry.displaced.retain(|displaced| known.contains(&displaced.store));
@@ -205,12 +212,12 @@
         }
     }
 
-    /// Moves one replica of a partition whose replicas are all complete and live.
-    fn move_one(&mut self, number: usize) -> bool {
+    /// Moves one replica of a partition whose replicas are all complete and live; returns whether one was moved.
+    fn move_one_replica(&mut self, number: usize) -> bool {
         if !self.may_move(number) {
             return false;
         }
-        if self.grow(number) {
+        if self.add_missing_replica(number) {
             return true;
         }
         let Some((slot, new)) = self.retiring_move(number).or_else(|| self.balancing_move(number)) else {
@@ -228,12 +235,12 @@
             })
     }
 
-    /// Adds a replica to a partition that has fewer than it should.
-    fn grow(&mut self, number: usize) -> bool {
+    /// Adds a replica to a partition that has fewer than the replication factor; returns whether one was added.
+    fn add_missing_replica(&mut self, number: usize) -> bool {
         if self.partitions[number].partition.replicas.len() >= usize::from(self.replicas_wanted) {
             return false;
         }
-        let Some(new) = self.best_other(number, None, true) else { return false };
+        let Some(new) = self.best_replacement(number, None, true) else { return false };
         let next_epoch = self.published.epoch.next();
         let entry = &mut self.partitions[number];
         entry.changed_epoch = next_epoch;
@@ -241,16 +248,17 @@
         true
     }
 
-    /// The slot of a replica on a store that is retiring or shutting down, and the store that replaces it.
+    /// The slot of a replica whose store is being retired or shut down, with the store that replaces it.
     fn retiring_move(&self, number: usize) -> Option<(usize, NodeIdentity)> {
         let slot = self.partitions[number].partition.replicas.iter().position(|replica| {
-            let goes = |entry: &StoreEntry| entry.node.state != StoreState::Active || entry.is_shutting_down;
-            self.store(replica.store).is_some_and(goes)
+            let is_leaving =
+                |entry: &StoreEntry| entry.node.state != StoreState::Active || entry.is_shutting_down;
+            self.store(replica.store).is_some_and(is_leaving)
         })?;
-        Some((slot, self.best_other(number, Some(slot), false)?))
+        Some((slot, self.best_replacement(number, Some(slot), false)?))
     }
 
-    /// The slot of a replica that should be on another store by its hash, and that store.
+    /// The slot of a replica that is not on the store intended by its hash, with that store.
     fn balancing_move(&self, number: usize) -> Option<(usize, NodeIdentity)> {
         if self.stores.iter().any(|entry| entry.liveness == Liveness::Unavailable) {
             return None;
@@ -258,13 +266,15 @@
         let candidates = self.candidates(true);
         let replicas_wanted = usize::from(self.replicas_wanted);
         let spread = self.effective_spread();
-        let wanted = placement::choose(Partition(number as u16), &candidates, replicas_wanted, &spread);
-        if wanted.len() < replicas_wanted {
+        let intended =
+            placement::select_stores(Partition(number as u16), &candidates, replicas_wanted, &spread);
+        if intended.len() < replicas_wanted {
             return None;
         }
         let replicas = &self.partitions[number].partition.replicas;
-        let slot = replicas.iter().position(|replica| !wanted.contains(&replica.store))?;
-        let new = wanted.into_iter().find(|store| replicas.iter().all(|replica| replica.store != *store))?;
+        let slot = replicas.iter().position(|replica| !intended.contains(&replica.store))?;
+        let new =
+            intended.into_iter().find(|store| replicas.iter().all(|replica| replica.store != *store))?;
         Some((slot, new))
     }
 }
--- a/crates/control/src/store_map/spread.rs
+++ b/crates/control/src/store_map/spread.rs
@@ -1,22 +1,22 @@
-//! How the replicas of a partition are spread over failure domains: machines, zones or regions.
+//! Distribution of a partition's replicas over failure domains: machines, zones or regions.
 
 use opalrun_wire::feed::StoreNode;
 use rkyv::{Archive, Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The failure domains beside single machines, and how many replicas may be in one of them.
+/// The failure domains above single machines, with the maximum number of replicas in one of them.
 ///
-/// With `n = 2 x lost + 1` replicas a partition survives the loss of `lost` of them. So where zones may be lost, all zones
-/// that are lost together may have no more than `lost` of the replicas.
+/// With `n = 2 x lost + 1` replicas a partition survives the loss of `lost` of them. Where zones may fail, all zones
+/// that fail together must therefore contain at most `lost` replicas; the same holds for regions.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, Eq, Default)]
 pub struct Spread {
-    /// The region of each zone, where regions may be lost; empty where zones may be.
+    /// Region of each zone if the failure domains are regions; empty if they are zones.
     regions: Vec<ZoneRegion>,
-    /// Replicas that may be in one zone or region; `None` where only machines may be lost.
+    /// Maximum number of replicas in one zone or region; `None` if only single machines may fail.
     max_in_one_domain: Option<u16>,
 }
 
-/// The region that a zone is in.
+/// The region that contains a zone.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, Eq)]
 struct ZoneRegion {
     zone: String,
@@ -24,19 +24,20 @@
 }
 
 impl Spread {
-    /// Only machines may be lost.
+    /// Returns the spread that tolerates only failures of single machines.
     #[must_use]
     pub fn over_machines() -> Self {
         Self::default()
     }
 
-    /// So many zones may be lost at one time.
+    /// Returns the spread that tolerates the simultaneous loss of `lost_zones` zones.
     #[must_use]
     pub fn over_zones(lost_zones: u16, lost_replicas: u16) -> Self {
         Self { regions: Vec::new(), max_in_one_domain: Some(max_in_one_domain(lost_zones, lost_replicas)) }
     }
 
-    /// So many regions may be lost at one time; `regions` names that of each zone.
+    /// Returns the spread that tolerates the simultaneous loss of `lost_regions` regions; `regions` holds pairs of a
+    /// zone and its region.
     #[must_use]
     pub fn over_regions(regions: Vec<(String, String)>, lost_regions: u16, lost_replicas: u16) -> Self {
         let regions = regions.into_iter().map(|(zone, region)| ZoneRegion { zone, region }).collect();
@@ -49,14 +50,14 @@
         region.map_or(store.zone.as_str(), |known| known.region.as_str())
     }
 
-    /// Whether a replica may be on a store beside the replicas on the others.
+    /// Whether a replica may be placed on a store when the other replicas are on `others`.
     pub(super) fn allows(&self, store: &StoreNode, others: &[&StoreNode]) -> bool {
         let Some(max) = self.max_in_one_domain else { return true };
         let domain = self.domain(store);
         others.iter().filter(|other| self.domain(other) == domain).count() < usize::from(max)
     }
 
-    /// Whether stores have the capacity for so many replicas of one partition.
+    /// Whether the stores can hold `replicas` replicas of one partition within the limit per failure domain.
     pub(super) fn has_capacity<'a>(
         &self,
         stores: impl Iterator<Item = &'a StoreNode>,
--- a/crates/control/src/store_map/tests.rs
+++ b/crates/control/src/store_map/tests.rs
@@ -1,4 +1,4 @@
-//! The table of stores through orders of events.
+//! The table of stores under sequences of commands.
 
 use super::{Liveness, RetireState, Spread, StoreCommand, StoreOutcome, StoreTable, placement};
 use opalrun_wire::{
@@ -27,7 +27,7 @@
     table.apply(&StoreCommand::SetLiveness { identity: NodeIdentity(identity), liveness });
 }
 
-fn formed(stores: u64) -> StoreTable {
+fn table_with_map(stores: u64) -> StoreTable {
     let mut table = StoreTable::default();
     for identity in 1..=stores {
         join(&mut table, identity, &format!("store-{identity}"));
@@ -40,8 +40,8 @@
     table.apply(&StoreCommand::Retire { node_name: name.to_owned() })
 }
 
-/// Every replica that is not complete reports that it is; returns whether there was one.
-fn all_report(table: &mut StoreTable) -> bool {
+/// Reports each incomplete replica as complete; returns whether there was one.
+fn report_all_complete(table: &mut StoreTable) -> bool {
     let epoch = table.map().epoch;
     let copying: BTreeSet<NodeIdentity> = table
         .map()
@@ -60,29 +60,29 @@
 
 fn complete_all_moves(table: &mut StoreTable) {
     for _ in 0..100 {
-        if !all_report(table) {
+        if !report_all_complete(table) {
             return;
         }
     }
-    panic!("the table never becomes stable: {:?}", table.map());
+    panic!("the table does not become stable: {:?}", table.map());
 }
 
-fn holders(map: &StoreMap) -> BTreeSet<NodeIdentity> {
+fn stores_with_replicas(map: &StoreMap) -> BTreeSet<NodeIdentity> {
     map.partitions
         .iter()
         .flat_map(|partition| partition.replicas.iter().map(|replica| replica.store))
         .collect()
 }
 
-fn complete_quorum_everywhere(map: &StoreMap) -> bool {
+fn all_quorums_complete(map: &StoreMap) -> bool {
     map.partitions.iter().all(|partition| {
         partition.replicas.iter().filter(|replica| replica.is_complete).count() >= partition.quorum()
     })
 }
 
 #[test]
-fn the_first_map_is_complete_and_has_three_replicas_of_each_partition() {
-    let table = formed(4);
+fn first_map_is_complete_with_three_replicas_per_partition() {
+    let table = table_with_map(4);
     assert_eq!(table.map().epoch, Epoch(1));
     assert_eq!(table.map().partitions.len(), usize::from(STORE_PARTITIONS));
     for partition in &table.map().partitions {
@@ -90,12 +90,12 @@
         assert_eq!(stores.len(), 3);
         assert!(partition.replicas.iter().all(|replica| replica.is_complete));
     }
-    assert_eq!(holders(table.map()).len(), 4);
+    assert_eq!(stores_with_replicas(table.map()).len(), 4);
 }
 
 #[test]
-fn fewer_stores_than_replicas_hold_everything_and_a_later_one_is_added() {
-    let mut table = formed(2);
+fn too_few_stores_get_all_partitions_until_another_joins() {
+    let mut table = table_with_map(2);
     assert!(table.map().partitions.iter().all(|partition| partition.replicas.len() == 2));
     join(&mut table, 3, "store-3");
     table.apply(&StoreCommand::MarkEstablished { identity: NodeIdentity(3) });
@@ -104,16 +104,16 @@
 }
 
 #[test]
-fn a_map_is_formed_once() {
-    let mut table = formed(3);
+fn first_map_is_formed_only_once() {
+    let mut table = table_with_map(3);
     let map = table.map().clone();
     table.apply(&StoreCommand::FormMap { replicas: 1, spread: Spread::over_machines() });
     assert_eq!(*table.map(), map);
 }
 
 #[test]
-fn a_store_that_starts_again_changes_nothing() {
-    let mut table = formed(3);
+fn restarted_store_does_not_change_the_map() {
+    let mut table = table_with_map(3);
     let map = table.map().clone();
     set_liveness(&mut table, 2, Liveness::Unavailable);
     join(&mut table, 2, "store-2");
@@ -121,8 +121,8 @@
 }
 
 #[test]
-fn an_unavailable_store_keeps_its_slots_while_no_other_could_take_them() {
-    let mut table = formed(3);
+fn unavailable_store_keeps_its_slots_without_a_replacement() {
+    let mut table = table_with_map(3);
     let map = table.map().clone();
     set_liveness(&mut table, 2, Liveness::Unavailable);
     set_liveness(&mut table, 2, Liveness::Dead);
@@ -130,26 +130,26 @@
 }
 
 #[test]
-fn a_store_that_lost_its_disk_takes_its_old_slots_and_is_not_complete() {
-    let mut table = formed(3);
+fn store_that_lost_its_disk_gets_its_slots_as_incomplete() {
+    let mut table = table_with_map(3);
     join(&mut table, 12, "store-2");
-    assert!(!holders(table.map()).contains(&NodeIdentity(2)));
+    assert!(!stores_with_replicas(table.map()).contains(&NodeIdentity(2)));
     for partition in &table.map().partitions {
         let replica = partition
             .replicas
             .iter()
             .find(|replica| replica.store == NodeIdentity(12))
-            .expect("it has its place");
+            .expect("the slot is kept");
         assert!(!replica.is_complete);
-        assert!(partition.sources.is_empty(), "what it stored is gone");
+        assert!(partition.sources.is_empty(), "a lost disk is no catch-up source");
     }
     complete_all_moves(&mut table);
     assert!(table.map().partitions.iter().all(super::plan::all_complete));
 }
 
 #[test]
-fn a_late_join_request_of_a_replaced_identity_is_rejected() {
-    let mut table = formed(3);
+fn late_join_request_of_a_replaced_identity_is_rejected() {
+    let mut table = table_with_map(3);
     join(&mut table, 12, "store-2");
     complete_all_moves(&mut table);
     let map = table.map().clone();
@@ -159,8 +159,8 @@
 }
 
 #[test]
-fn a_catch_up_that_began_before_the_replicas_changed_does_not_count() {
-    let mut table = formed(3);
+fn catch_up_from_before_a_change_of_replicas_does_not_count() {
+    let mut table = table_with_map(3);
     join(&mut table, 12, "store-2");
     let stale = Epoch(table.map().epoch.0 - 1);
     table.apply(&StoreCommand::ReplicasComplete {
@@ -172,28 +172,28 @@
 }
 
 #[test]
-fn a_new_store_takes_the_slots_of_one_that_is_unavailable() {
-    let mut table = formed(3);
+fn new_store_takes_the_slots_of_an_unavailable_one() {
+    let mut table = table_with_map(3);
     join(&mut table, 4, "store-4");
-    assert_eq!(holders(table.map()), BTreeSet::from([1, 2, 3].map(NodeIdentity)));
+    assert_eq!(stores_with_replicas(table.map()), BTreeSet::from([1, 2, 3].map(NodeIdentity)));
     set_liveness(&mut table, 2, Liveness::Unavailable);
-    assert_eq!(holders(table.map()), BTreeSet::from([1, 3, 4].map(NodeIdentity)));
-    assert!(complete_quorum_everywhere(table.map()));
+    assert_eq!(stores_with_replicas(table.map()), BTreeSet::from([1, 3, 4].map(NodeIdentity)));
+    assert!(all_quorums_complete(table.map()));
     assert!(table.map().partitions.iter().all(|partition| partition.sources == [NodeIdentity(2)]));
     complete_all_moves(&mut table);
     assert!(table.map().partitions.iter().all(|partition| partition.sources.is_empty()));
 }
 
 #[test]
-fn an_established_new_store_gets_its_share_and_quorums_stay_complete() {
-    let mut table = formed(3);
+fn established_new_store_gets_its_share_and_quorums_stay_complete() {
+    let mut table = table_with_map(3);
     join(&mut table, 4, "store-4");
     let epoch = table.map().epoch;
     assert_eq!(epoch, Epoch(1), "a store without replicas does not change the map");
     table.apply(&StoreCommand::MarkEstablished { identity: NodeIdentity(4) });
     for _ in 0..100 {
-        assert!(complete_quorum_everywhere(table.map()));
-        if !all_report(&mut table) {
+        assert!(all_quorums_complete(table.map()));
+        if !report_all_complete(&mut table) {
             break;
         }
     }
@@ -203,20 +203,22 @@
         .iter()
         .filter(|partition| partition.replicas.iter().any(|replica| replica.store == NodeIdentity(4)))
         .count();
-    assert!((16..32).contains(&share), "it holds {share} partitions");
+    assert!((16..32).contains(&share), "the new store holds {share} partitions");
 }
 
 #[test]
-fn a_coming_or_going_store_changes_one_replica_of_a_partition_at_most() {
+fn adding_or_removing_a_store_changes_at_most_one_replica_of_a_partition() {
     let nodes: Vec<StoreNode> =
         (1..=6).map(|identity| node(identity, &format!("store-{identity}"))).collect();
     for partition in 0..STORE_PARTITIONS {
         let all: Vec<&StoreNode> = nodes.iter().collect();
         let fewer: Vec<&StoreNode> = nodes.iter().take(5).collect();
         let with: BTreeSet<NodeIdentity> =
-            placement::choose(Partition(partition), &all, 3, &Spread::over_machines()).into_iter().collect();
+            placement::select_stores(Partition(partition), &all, 3, &Spread::over_machines())
+                .into_iter()
+                .collect();
         let without: BTreeSet<NodeIdentity> =
-            placement::choose(Partition(partition), &fewer, 3, &Spread::over_machines())
+            placement::select_stores(Partition(partition), &fewer, 3, &Spread::over_machines())
                 .into_iter()
                 .collect();
         assert!(with.difference(&without).count() <= 1);
@@ -224,7 +226,7 @@
 }
 
 #[test]
-fn replicas_lie_in_other_zones_where_there_are_enough() {
+fn replicas_are_in_different_zones_where_there_are_enough() {
     let mut nodes: Vec<StoreNode> =
         (1..=6).map(|identity| node(identity, &format!("store-{identity}"))).collect();
     for node in &mut nodes {
@@ -232,33 +234,33 @@
     }
     let candidates: Vec<&StoreNode> = nodes.iter().collect();
     for partition in 0..STORE_PARTITIONS {
-        let chosen = placement::choose(Partition(partition), &candidates, 3, &Spread::over_machines());
+        let chosen = placement::select_stores(Partition(partition), &candidates, 3, &Spread::over_machines());
         let zones: BTreeSet<u64> = chosen.iter().map(|identity| identity.0 % 3).collect();
         assert_eq!(zones.len(), 3);
     }
 }
 
 #[test]
-fn retiring_moves_all_replicas_and_then_completes() {
-    let mut table = formed(4);
+fn retirement_moves_all_replicas_and_then_completes() {
+    let mut table = table_with_map(4);
     assert_eq!(retire(&mut table, "store-1"), StoreOutcome::Done);
     assert_eq!(table.retire_state("store-1"), Some(RetireState::Active));
     for _ in 0..100 {
-        assert!(complete_quorum_everywhere(table.map()));
-        if !all_report(&mut table) {
+        assert!(all_quorums_complete(table.map()));
+        if !report_all_complete(&mut table) {
             break;
         }
-        let named = holders(table.map()).contains(&NodeIdentity(1));
+        let named = stores_with_replicas(table.map()).contains(&NodeIdentity(1));
         assert!(!(named && table.retire_state("store-1") == Some(RetireState::Completed)));
     }
-    assert_eq!(holders(table.map()), BTreeSet::from([2, 3, 4].map(NodeIdentity)));
+    assert_eq!(stores_with_replicas(table.map()), BTreeSet::from([2, 3, 4].map(NodeIdentity)));
     assert_eq!(table.retire_state("store-1"), Some(RetireState::Completed));
     assert_eq!(retire(&mut table, "store-1"), StoreOutcome::Done);
 }
 
 #[test]
-fn a_completed_store_stays_completed_when_its_machine_is_gone() {
-    let mut table = formed(4);
+fn completed_retirement_remains_completed_without_its_machine() {
+    let mut table = table_with_map(4);
     retire(&mut table, "store-1");
     complete_all_moves(&mut table);
     set_liveness(&mut table, 1, Liveness::Dead);
@@ -267,29 +269,29 @@
 }
 
 #[test]
-fn retiring_is_rejected_where_too_few_would_be_left_or_the_machine_is_unknown() {
-    let mut table = formed(3);
+fn retirement_is_rejected_with_too_few_stores_or_an_unknown_machine() {
+    let mut table = table_with_map(3);
     assert_eq!(retire(&mut table, "store-1"), StoreOutcome::TooFewStores);
     assert_eq!(retire(&mut table, "store-9"), StoreOutcome::UnknownNode);
     assert_eq!(table.retire_state("store-9"), None);
-    let mut table = formed(4);
+    let mut table = table_with_map(4);
     assert_eq!(retire(&mut table, "store-1"), StoreOutcome::Done);
     assert_eq!(retire(&mut table, "store-2"), StoreOutcome::TooFewStores);
 }
 
 #[test]
-fn a_retiring_store_that_lost_its_disk_gets_nothing_back() {
-    let mut table = formed(4);
+fn retiring_store_that_lost_its_disk_gets_no_replicas() {
+    let mut table = table_with_map(4);
     retire(&mut table, "store-1");
     join(&mut table, 11, "store-1");
     complete_all_moves(&mut table);
-    assert_eq!(holders(table.map()), BTreeSet::from([2, 3, 4].map(NodeIdentity)));
+    assert_eq!(stores_with_replicas(table.map()), BTreeSet::from([2, 3, 4].map(NodeIdentity)));
     assert_eq!(table.retire_state("store-1"), Some(RetireState::Completed));
 }
 
 #[test]
-fn a_store_that_comes_back_after_it_was_replaced_has_to_catch_up() {
-    let mut table = formed(3);
+fn replaced_store_that_returns_has_to_catch_up() {
+    let mut table = table_with_map(3);
     join(&mut table, 4, "store-4");
     set_liveness(&mut table, 2, Liveness::Unavailable);
     complete_all_moves(&mut table);
@@ -300,24 +302,25 @@
         );
     }
     complete_all_moves(&mut table);
-    assert!(complete_quorum_everywhere(table.map()));
+    assert!(all_quorums_complete(table.map()));
 }
 
 #[test]
-fn partitions_whose_every_replica_was_lost_begin_anew() {
-    let mut table = formed(3);
+fn partitions_without_any_data_are_reset() {
+    let mut table = table_with_map(3);
     for identity in 1..=3 {
         join(&mut table, identity + 10, &format!("store-{identity}"));
     }
     assert!(table.map().partitions.iter().all(super::plan::all_complete));
 }
 
-/// Random orders of events: the map's epoch never falls, a partition never has a store twice, a complete replica has had
-/// its partition without a break since it became complete, and in the end, with all stores live, the table is stable.
+/// Checks invariants over random sequences of commands: the epoch of the map never decreases, a partition never has two
+/// replicas on one store, and a replica becomes complete only by a catch-up or when all data is lost. In the end, with
+/// all stores live, the table becomes stable.
 #[test]
-fn random_orders_keep_the_map_sound() {
+fn invariants_hold_for_random_orders_of_commands() {
     bolero::check!().with_type::<Vec<(u8, u8)>>().for_each(|events| {
-        let mut table = formed(3);
+        let mut table = table_with_map(3);
         let mut next_identity = 100;
         let mut epoch = table.map().epoch;
         for (kind, choice) in events {
@@ -373,23 +376,22 @@
 fn check_step(before: &StoreMap, after: &StoreMap, reported: Option<u64>) {
     for (number, partition) in after.partitions.iter().enumerate() {
         let stores: BTreeSet<NodeIdentity> = partition.replicas.iter().map(|replica| replica.store).collect();
-        assert_eq!(stores.len(), partition.replicas.len(), "a store twice in one partition");
+        assert_eq!(stores.len(), partition.replicas.len(), "a store has two replicas of one partition");
         assert!(partition.sources.iter().all(|source| !stores.contains(source)));
         let old = &before.partitions[number];
-        let something_was_left =
-            old.replicas.iter().any(|replica| replica.is_complete) || !old.sources.is_empty();
+        let had_data = old.replicas.iter().any(|replica| replica.is_complete) || !old.sources.is_empty();
         for replica in partition.replicas.iter().filter(|replica| replica.is_complete) {
             let was_complete = old.replicas.iter().any(|old| old.store == replica.store && old.is_complete);
             let has_reported = reported == Some(replica.store.0);
             assert!(
-                was_complete || has_reported || !something_was_left || all_lost(old, after),
-                "whole without a copy"
+                was_complete || has_reported || !had_data || all_lost(old, after),
+                "a replica became complete without a catch-up"
             );
         }
     }
 }
 
-/// None of the stores that had data of a partition is known any more.
+/// Whether none of the stores that had data of a partition is still registered.
 fn all_lost(old: &opalrun_wire::feed::PartitionReplicas, after: &StoreMap) -> bool {
     let complete = old.replicas.iter().filter(|replica| replica.is_complete).map(|replica| replica.store);
     let mut had_data = complete.chain(old.sources.iter().copied());
@@ -405,9 +407,9 @@
 }
 
 #[test]
-fn a_store_that_is_restarted_moves_nothing() {
+fn restart_without_a_successor_moves_no_replicas() {
     for stores in [3, 4, 6] {
-        let mut table = formed(stores);
+        let mut table = table_with_map(stores);
         assert_eq!(request_shutdown(&mut table, 1), StoreOutcome::NoSuccessor, "{stores} stores");
         assert_eq!(epoch(&table), 1);
     }
@@ -415,46 +417,48 @@
 }
 
 #[test]
-fn a_store_that_ends_when_its_successor_is_there_moves_its_replicas_first() {
+fn shutdown_with_a_successor_moves_replicas_first() {
     for stores in [3, 4] {
-        let mut table = formed(stores);
+        let mut table = table_with_map(stores);
         join(&mut table, 9, "store-9");
         assert_eq!(request_shutdown(&mut table, 1), StoreOutcome::Done);
         for _ in 0..100 {
-            assert!(complete_quorum_everywhere(table.map()));
-            if !all_report(&mut table) {
+            assert!(all_quorums_complete(table.map()));
+            if !report_all_complete(&mut table) {
                 break;
             }
         }
-        assert!(!holders(table.map()).contains(&NodeIdentity(1)));
+        assert!(!stores_with_replicas(table.map()).contains(&NodeIdentity(1)));
         assert!(table.map().partitions.iter().all(|partition| partition.replicas.len() == 3));
     }
 }
 
 #[test]
-fn a_store_that_was_shutting_down_and_joins_again_stays() {
-    let mut table = formed(3);
+fn store_that_joins_again_is_no_longer_shutting_down() {
+    let mut table = table_with_map(3);
     join(&mut table, 9, "store-9");
     request_shutdown(&mut table, 1);
     join(&mut table, 1, "store-1");
     table.apply(&StoreCommand::MarkEstablished { identity: NodeIdentity(9) });
     complete_all_moves(&mut table);
-    assert!(holders(table.map()).contains(&NodeIdentity(1)));
+    assert!(stores_with_replicas(table.map()).contains(&NodeIdentity(1)));
 }
 
-/// As on a day on which a store is replaced for good, and another one loses its disk as soon as that must be borne again.
+/// A store is replaced permanently, and another one loses its disk as soon as the fault tolerance promises to survive
+/// that. The successor already has replicas at that time, so it is no spare store; the slots of the replaced store must
+/// move nevertheless.
 #[test]
-fn an_unavailable_store_whose_successor_has_replicas_already_is_replaced_at_once() {
+fn unavailable_store_with_an_established_successor_is_replaced_at_once() {
     for stores in [3, 4] {
-        let mut table = formed(stores);
+        let mut table = table_with_map(stores);
         join(&mut table, 9, "store-9");
         table.apply(&StoreCommand::MarkEstablished { identity: NodeIdentity(9) });
         complete_all_moves(&mut table);
-        assert!(holders(table.map()).contains(&NodeIdentity(9)));
+        assert!(stores_with_replicas(table.map()).contains(&NodeIdentity(9)));
         set_liveness(&mut table, 1, Liveness::Unavailable);
         complete_all_moves(&mut table);
-        assert!(!holders(table.map()).contains(&NodeIdentity(1)), "{stores} stores");
-        // At the second loss two stores have everything.
+        assert!(!stores_with_replicas(table.map()).contains(&NodeIdentity(1)), "{stores} stores");
+        // At the second loss, two stores have all the data of each partition.
         join(&mut table, 12, "store-2");
         for partition in &table.map().partitions {
             let complete = partition.replicas.iter().filter(|replica| replica.is_complete).count();
@@ -465,15 +469,15 @@
 }
 
 #[test]
-fn an_unavailable_store_without_a_successor_keeps_its_slots_for_long() {
-    let mut table = formed(4);
+fn unavailable_store_without_a_successor_keeps_its_slots() {
+    let mut table = table_with_map(4);
     set_liveness(&mut table, 1, Liveness::Unavailable);
     assert_eq!(epoch(&table), 1);
 }
 
 #[test]
-fn after_one_was_emptied_on_purpose_fewer_stores_are_expected() {
-    let mut table = formed(4);
+fn retirement_lowers_the_expected_number_of_stores() {
+    let mut table = table_with_map(4);
     retire(&mut table, "store-1");
     complete_all_moves(&mut table);
     set_liveness(&mut table, 1, Liveness::Dead);
@@ -482,24 +486,24 @@
 }
 
 #[test]
-fn a_source_does_not_take_the_slot_of_another_replica() {
-    let mut table = formed(4);
+fn source_does_not_take_the_slot_of_another_replica() {
+    let mut table = table_with_map(4);
     join(&mut table, 9, "store-9");
     set_liveness(&mut table, 1, Liveness::Unavailable);
     let before = table.map().clone();
     set_liveness(&mut table, 1, Liveness::Live);
     set_liveness(&mut table, 2, Liveness::Dead);
     for (old, new) in before.partitions.iter().zip(&table.map().partitions) {
-        let second_was_complete =
+        let second_store_was_complete =
             old.replicas.iter().any(|replica| replica.store == NodeIdentity(2) && replica.is_complete);
-        if old.sources.contains(&NodeIdentity(1)) && second_was_complete {
-            assert!(new.sources.contains(&NodeIdentity(1)), "others copy from it");
+        if old.sources.contains(&NodeIdentity(1)) && second_store_was_complete {
+            assert!(new.sources.contains(&NodeIdentity(1)), "other replicas catch up from this source");
         }
     }
 }
 
-/// Stores of three zones, `each` in every zone.
-fn formed_over_zones(each: u64, spread: &Spread) -> StoreTable {
+/// Returns a table with `each` stores in each of three zones.
+fn table_with_map_over_zones(each: u64, spread: &Spread) -> StoreTable {
     let mut table = StoreTable::default();
     for identity in 1..=3 * each {
         let zone = format!("zone-{}", identity % 3);
@@ -519,47 +523,51 @@
 
 #[test]
 fn replicas_never_share_a_zone_where_a_zone_may_be_lost() {
-    let mut table = formed_over_zones(2, &Spread::over_zones(1, 1));
-    let all_apart = |table: &StoreTable| {
+    let mut table = table_with_map_over_zones(2, &Spread::over_zones(1, 1));
+    let in_separate_zones = |table: &StoreTable| {
         table.map().partitions.iter().all(|partition| zones_of(table, partition).len() == 3)
     };
-    assert!(all_apart(&table));
-    // A complete zone is dead: its slots wait for it, as the others may be lost with their zones.
+    assert!(in_separate_zones(&table));
+    // All stores of one zone are dead: their slots wait for them, since another zone may fail as well.
     for identity in [3, 6] {
         set_liveness(&mut table, identity, Liveness::Dead);
     }
-    assert!(all_apart(&table));
-    // One of two stores of a zone is gone: the other one takes all.
-    let mut table = formed_over_zones(2, &Spread::over_zones(1, 1));
+    assert!(in_separate_zones(&table));
+    // One of the two stores of a zone is lost: the other one takes over all its slots.
+    let mut table = table_with_map_over_zones(2, &Spread::over_zones(1, 1));
     set_liveness(&mut table, 3, Liveness::Dead);
     complete_all_moves(&mut table);
-    assert!(all_apart(&table));
-    assert!(!holders(table.map()).contains(&NodeIdentity(3)));
+    assert!(in_separate_zones(&table));
+    assert!(!stores_with_replicas(table.map()).contains(&NodeIdentity(3)));
 }
 
 #[test]
-fn the_last_store_of_a_zone_is_not_emptied_where_a_zone_may_be_lost() {
-    let mut table = formed_over_zones(2, &Spread::over_zones(1, 1));
+fn last_store_of_a_zone_cannot_be_retired_where_a_zone_may_be_lost() {
+    let mut table = table_with_map_over_zones(2, &Spread::over_zones(1, 1));
     assert_eq!(retire(&mut table, "store-3"), StoreOutcome::Done);
     complete_all_moves(&mut table);
     assert_eq!(retire(&mut table, "store-6"), StoreOutcome::TooFewStores);
-    assert_eq!(retire(&mut table, "store-3"), StoreOutcome::Done, "the same order again");
+    assert_eq!(retire(&mut table, "store-3"), StoreOutcome::Done, "a repeated request succeeds");
 }
 
 #[test]
-fn replicas_are_spread_over_regions_where_a_region_may_be_lost() {
+fn too_few_regions_fall_back_to_separate_machines() {
     let regions = (0..3).map(|zone| (format!("zone-{zone}"), format!("region-{}", zone / 2))).collect();
     let spread = Spread::over_regions(regions, 1, 1);
-    let two_regions = formed_over_zones(2, &spread);
-    let apart = |table: &StoreTable| {
+    let two_regions = table_with_map_over_zones(2, &spread);
+    let in_three_zones = |table: &StoreTable| {
         table.map().partitions.iter().all(|partition| zones_of(table, partition).len() == 3)
     };
-    assert!(apart(&two_regions), "two regions can't be kept apart three times, zones still are");
+    assert!(
+        in_three_zones(&two_regions),
+        "two regions can't be kept in_three_zones three times, zones still are"
+    );
 }
 
-/// With five replicas enough others are complete to release a source; it would be missed when two more disks are lost.
+/// With five replicas, enough others are complete to release a source, but its data would be missing after the loss of
+/// two more disks.
 #[test]
-fn a_source_of_five_replicas_stays_one_too() {
+fn source_is_kept_with_five_replicas() {
     let mut table = StoreTable::default();
     for identity in 1..=7 {
         join(&mut table, identity, &format!("store-{identity}"));
@@ -571,26 +579,29 @@
     set_liveness(&mut table, 2, Liveness::Dead);
     let mut sources = 0;
     for (old, new) in before.partitions.iter().zip(&table.map().partitions) {
-        let second_was_complete =
+        let second_store_was_complete =
             old.replicas.iter().any(|replica| replica.store == NodeIdentity(2) && replica.is_complete);
-        if old.sources.contains(&NodeIdentity(1)) && second_was_complete {
-            assert!(new.sources.contains(&NodeIdentity(1)), "others copy from it");
+        if old.sources.contains(&NodeIdentity(1)) && second_store_was_complete {
+            assert!(new.sources.contains(&NodeIdentity(1)), "other replicas catch up from this source");
             sources += 1;
         }
     }
-    assert!(sources > 5, "{sources} partitions show it");
+    assert!(sources > 5, "only {sources} partitions have such a source");
 }
 
 #[test]
-fn the_store_that_is_alive_is_admitted_in_the_end_whatever_the_order_of_join_requests() {
-    let mut table = formed(3);
+fn live_store_is_admitted_for_any_order_of_join_requests() {
+    let mut table = table_with_map(3);
     join(&mut table, 22, "store-2");
     join(&mut table, 12, "store-2");
-    assert!(holders(table.map()).contains(&NodeIdentity(12)), "the late hello is taken for the newer one");
+    assert!(
+        stores_with_replicas(table.map()).contains(&NodeIdentity(12)),
+        "the identity that joined last counts as the newer one"
+    );
     for _ in 0..10 {
         join(&mut table, 22, "store-2");
     }
-    assert_eq!(holders(table.map()), BTreeSet::from([1, 3, 22].map(NodeIdentity)));
+    assert_eq!(stores_with_replicas(table.map()), BTreeSet::from([1, 3, 22].map(NodeIdentity)));
     complete_all_moves(&mut table);
-    assert!(complete_quorum_everywhere(table.map()));
+    assert!(all_quorums_complete(table.map()));
 }
--- a/crates/gatekeeper/examples/lease_cost.rs
+++ b/crates/gatekeeper/examples/lease_cost.rs
@@ -13,7 +13,7 @@
 
 /// Resident memory of this process in bytes.
 fn resident_bytes() -> u64 {
-    let status = std::fs::read_to_string("/proc/self/status").expect("/proc of Linux");
+    let status = std::fs::read_to_string("/proc/self/status").expect("Linux");
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("a VmRSS line");
     let kilobytes: u64 = line.trim().trim_end_matches(" kB").parse().expect("VmRSS in kB");
     kilobytes << 10
--- a/crates/gatekeeper/src/feed/view.rs
+++ b/crates/gatekeeper/src/feed/view.rs
@@ -17,7 +17,7 @@
 /// The newest configuration received from control.
 #[derive(Debug, Clone)]
 pub struct NewestConfiguration {
-    /// Generation assigned by the operator.
+    /// Generation as sent by control.
     pub generation: Generation,
     /// Parsed configuration.
     pub configuration: Rc<Configuration>,
--- a/crates/gatekeeper/src/proxy/balance/mod.rs
+++ b/crates/gatekeeper/src/proxy/balance/mod.rs
@@ -207,9 +207,8 @@
 
     /// Ready workers to which the request has not been sent, without the ejected ones unless these are the majority.
     fn candidates(&self, now: Duration, criteria: &SelectionCriteria<'_>) -> Vec<(&WorkerId, &WorkerEntry)> {
-        let ready = || {
-            self.workers.iter().filter(|(id, worker)| worker.is_ready() && !criteria.attempted.contains(id))
-        };
+        let ready =
+            || self.workers.iter().filter(|(id, entry)| entry.is_ready() && !criteria.attempted.contains(id));
         let healthy: Vec<_> =
             ready().filter(|(_, worker)| worker.health.may_attempt(now, criteria.idempotent)).collect();
         // If more than half are ejected, the cause is probably not the workers.
