--- a/crates/control/src/feed/subscribers.rs
+++ b/crates/control/src/feed/subscribers.rs
@@ -11,7 +11,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Time without contact after which a subscriber is no longer active.
+/// Time without contact after which a subscriber no longer counts as active.
 const SUBSCRIBER_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Identifies a subscriber's connection within this process.
--- a/crates/gatekeeper/src/proxy/balance/answer_time.rs
+++ b/crates/gatekeeper/src/proxy/balance/answer_time.rs
@@ -6,7 +6,7 @@
 const NEW_SAMPLE_WEIGHT: f64 = 1.0 / 16.0;
 /// Number of samples below which no limit is given.
 const MIN_SAMPLES: u32 = 16;
-/// Distance of the limit from the mean, in mean deviations.
+/// Distance of the limit from the mean, in mean absolute deviations.
 const NORMAL_DEVIATIONS: f64 = 6.0;
 
 /// Running mean of the time to the start of an answer, with its mean absolute deviation. Both are in seconds.
@@ -19,8 +19,8 @@
 
 impl AnswerTime {
     /// Records the time to the start of an answer, or the time waited so far if it has not started. A sample above the
-    /// limit counts as the limit, so that a few hanging workers hardly raise it. If all workers become slower, repeated
-    /// samples raise it within a few answers.
+    /// limit counts as the limit, so that a few hanging workers hardly raise it. If all workers become slower, it soon
+    /// follows.
     pub fn record(&mut self, elapsed: Duration) {
         let elapsed = self.normal_limit().map_or(elapsed, |limit| elapsed.min(limit)).as_secs_f64();
         self.samples = self.samples.saturating_add(1);
--- a/crates/gatekeeper/src/proxy/balance/health.rs
+++ b/crates/gatekeeper/src/proxy/balance/health.rs
@@ -2,7 +2,7 @@
 //!
 //! Consecutive failures eject a worker for a backoff that doubles each time. After the backoff one request at a time is
 //! attempted at it; during probation this must be an idempotent one. A worker that fails only some of its requests is
-//! not ejected: its recent failures lower its score, and more so for requests that are not idempotent.
+//! not ejected: its recent failures add a penalty to its score, a larger one for requests that are not idempotent.
 
 use crate::proxy::balance::decay::{DecayingValue, HalfLife};
 use std::time::Duration;
@@ -13,7 +13,7 @@
 const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
 /// Longest ejection.
 const MAX_BACKOFF: Duration = Duration::from_secs(3);
-/// Time after an ejection during which an untested worker gets only idempotent requests.
+/// Time after an ejection during which a worker gets only idempotent requests until one of them succeeds.
 const PROBATION: Duration = Duration::from_secs(3);
 /// Time within which the weight of a past failure halves.
 const HALF_LIFE: HalfLife = HalfLife(Duration::from_secs(2));
@@ -103,8 +103,8 @@
         self.possible_failure(now);
     }
 
-    /// Records an outcome that may be due to a failure or to a busy worker. It lowers the score but does not eject the
-    /// worker.
+    /// Records an outcome that may be due to a failure or to a busy worker. It adds a penalty to the score but does not
+    /// eject the worker.
     pub fn possible_failure(&mut self, now: Duration) {
         self.set_failures(now, self.own_failures(now) + 1.0);
     }
