--- a/crates/control/src/feed/connection.rs
+++ b/crates/control/src/feed/connection.rs
@@ -35,7 +35,7 @@
     let FeedRequest::Subscribe { subscriber, positions } = first else { return };
     let id = process.subscribers().borrow_mut().next_connection();
     let mut session = SubscriberSession::new(process, writer, id, subscriber, &positions);
-    session.begin();
+    session.register();
     if let Err(error) = session.run(&mut reader).await {
         tracing::debug!(%error, "a subscriber's connection failed");
     }
@@ -62,7 +62,7 @@
     writer: FrameWriter,
     id: ConnectionId,
     subscriber: Subscriber,
-    /// Offset last sent of each subscribed shard; `None` before the first update.
+    /// Offset up to which the subscriber has each subscribed shard; `None` if it has no state of the shard.
     offsets: BTreeMap<Shard, Option<FeedOffset>>,
     sent_suspects: SentSuspects,
     /// Whether the state was fresh at the last check, which the subscriber was notified of.
@@ -104,7 +104,7 @@
         }
     }
 
-    fn begin(&self) {
+    fn register(&self) {
         let now = self.process.now();
         let mut subscribers = self.process.subscribers().borrow_mut();
         match &self.subscriber {
@@ -216,7 +216,7 @@
     /// registered as shutting down.
     fn join_store(&self) {
         let Subscriber::Store { node, .. } = &self.subscriber else { return };
-        if self.is_join_in_flight.get() || self.is_shutdown_requested.get() || self.is_known(node) {
+        if self.is_join_in_flight.get() || self.is_shutdown_requested.get() || self.is_registered(node) {
             return;
         }
         self.is_join_in_flight.set(true);
@@ -229,7 +229,7 @@
         });
     }
 
-    fn is_known(&self, node: &StoreNode) -> bool {
+    fn is_registered(&self, node: &StoreNode) -> bool {
         self.process.shards().with_configuration(|shard| {
             shard.stores().store(node.identity).is_some_and(|entry| {
                 let known = &entry.node;
--- a/crates/control/src/shards/tests.rs
+++ b/crates/control/src/shards/tests.rs
@@ -213,8 +213,8 @@
 fn malformed_commands_and_snapshots_change_nothing() {
     let shards = Shards::new();
     shards.apply(SESSIONS, LogIndex(1), &session_command(2, 1, 1));
-    assert!(shards.apply(SESSIONS, LogIndex(2), b"no command").is_empty());
-    assert!(shards.restore(SESSIONS, b"no snapshot").is_err());
+    assert!(shards.apply(SESSIONS, LogIndex(2), b"not a command").is_empty());
+    assert!(shards.restore(SESSIONS, b"not a snapshot").is_err());
     assert!(shards.restore(CONFIGURATION_SHARD, &shards.snapshot(SESSIONS)).is_err());
     assert_eq!(shards.with_sessions(SESSIONS, |sessions| sessions.workers().len()), Some(1));
     let outcome: Result<StoreOutcome, _> = decode(b"");
--- a/crates/control/src/store_map/tests.rs
+++ b/crates/control/src/store_map/tests.rs
@@ -560,7 +560,7 @@
     };
     assert!(
         in_three_zones(&two_regions),
-        "two regions can't be kept in_three_zones three times, zones still are"
+        "two regions cannot hold three replicas apart, but the zones differ"
     );
 }
 
--- a/crates/gatekeeper/tests/stores.rs
+++ b/crates/gatekeeper/tests/stores.rs
@@ -25,7 +25,7 @@
 const MAX_UNITS: u64 = 100;
 const USED: u64 = 60;
 
-/// A store served by a task until it is stopped.
+/// A store shared_server by a task until it is stopped.
 struct Store {
     node: StoreNode,
     server: Rc<StoreServer>,
@@ -48,8 +48,8 @@
         };
         // A separate task set, so that the store's connections end with it.
         let tasks = LocalSet::new();
-        let served = Rc::clone(&server);
-        tasks.spawn_local(async move { serve(listener, served).await });
+        let shared_server = Rc::clone(&server);
+        tasks.spawn_local(async move { serve(listener, shared_server).await });
         let task = tokio::task::spawn_local(tasks);
         Self { node, server, task, _temporary_directory: temporary_directory }
     }
