--- a/crates/control/src/configuration_shard/tests.rs
+++ b/crates/control/src/configuration_shard/tests.rs
@@ -1,4 +1,4 @@
-//! The configuration shard under sequences of commands.
+//! The configuration shard (shard 0) under sequences of commands.
 
 use super::{ConfigurationCommand, ConfigurationOutcome, ConfigurationShard};
 use opalrun_wire::{
