--- a/crates/gateway/src/bin/opalrun-gateway/admin.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/admin.rs
@@ -1,8 +1,8 @@
-//! The second address: the operators' calls, one a connection.
+//! The admin API on the gateway's second address: operators' calls, one per connection.
 
 use crate::{
     clients::Clients,
-    config::{history::By, owner::Configuration},
+    config::{history::Cause, owner::Configuration},
     driver::Driver,
     handover_message::HandoverMessage,
 };
@@ -19,16 +19,17 @@
 };
 use tracing::{info, warn};
 
-/// Connections at most. At the edge the one that has been open longest goes: a call takes milliseconds, so
-/// that is one that completes none.
-pub const SEATS: usize = 8;
-/// Longest time for a call to come, and for its answer to be read.
-const PATIENCE: Duration = Duration::from_secs(3);
-/// Longest head, in bytes: hyper's least.
-const MAX_HEAD: usize = 8 * 1024;
-/// Pause after the system had no descriptor left.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Largest number of open connections. Beyond it the oldest is closed: a call takes milliseconds, so the oldest
+/// connection is one that does not complete its call.
+pub const MAX_CONNECTIONS: usize = 8;
+/// Time-out of a connection, from accepting it until its answer is read.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
+/// Longest head in bytes; hyper accepts no smaller limit.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// Delay after a failed accept, such as when the process has no file descriptor left.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
+/// The server of the admin API.
 pub struct Admin {
     driver: Rc<Driver>,
     clients: Rc<Clients>,
@@ -40,23 +41,23 @@
         Rc::new(Self { driver, clients, configuration })
     }
 
-    /// Takes calls for good.
+    /// Accepts connections; never returns.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
-        let seats: RefCell<VecDeque<AbortHandle>> = RefCell::default();
+        let connections: RefCell<VecDeque<AbortHandle>> = RefCell::default();
         loop {
             match listener.accept().await {
                 Ok((socket, _)) => {
-                    let mut seats = seats.borrow_mut();
-                    seats.retain(|s| !s.is_finished());
-                    if seats.len() >= SEATS {
-                        seats.pop_front().iter().for_each(AbortHandle::abort);
+                    let mut connections = connections.borrow_mut();
+                    connections.retain(|s| !s.is_finished());
+                    if connections.len() >= MAX_CONNECTIONS {
+                        connections.pop_front().iter().for_each(AbortHandle::abort);
                     }
-                    let connection = tokio::time::timeout(PATIENCE, self.clone().connection(socket));
-                    seats.push_back(tokio::task::spawn_local(connection).abort_handle());
+                    let connection = tokio::time::timeout(CALL_TIMEOUT, self.clone().connection(socket));
+                    connections.push_back(tokio::task::spawn_local(connection).abort_handle());
                 }
                 Err(e) => {
-                    warn!("second address: {e}");
-                    tokio::time::sleep(PAUSE).await;
+                    warn!("admin API: can't accept a connection: {e}");
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
@@ -75,61 +76,61 @@
             std::future::ready(Ok::<_, Infallible>(response))
         });
         let mut builder = Builder::new();
-        builder.timer(TokioTimer::new()).keep_alive(false).max_buf_size(MAX_HEAD);
-        // How a caller goes is its own affair.
+        builder.timer(TokioTimer::new()).keep_alive(false).max_buf_size(MAX_HEAD_BYTES);
+        // An error here means that the caller has disconnected, which needs no handling.
         let _ = builder.serve_connection(TokioIo::new(socket), service).await;
     }
 
-    /// The answer to one call; its body, if any, is JSON.
+    /// Executes one call. Returns the status and the body, which is JSON or empty.
     fn call(&self, method: &Method, path: &str) -> (StatusCode, String) {
-        let nothing = |status| (status, String::new());
-        let Some(call) = path.strip_prefix("/control/") else { return nothing(StatusCode::NOT_FOUND) };
-        let reads = matches!(call, "ready" | "pools" | "zones" | "config" | "fleet" | "recovery");
-        let wanted = if reads { Method::GET } else { Method::POST };
+        let empty = |status| (status, String::new());
+        let Some(call) = path.strip_prefix("/control/") else { return empty(StatusCode::NOT_FOUND) };
+        let is_query = matches!(call, "ready" | "pools" | "zones" | "config" | "fleet" | "recovery");
+        let expected = if is_query { Method::GET } else { Method::POST };
         if call.starts_with("workers/") {
-            return nothing(self.worker(method, call));
+            return empty(self.worker(method, call));
         }
         let known =
-            reads || matches!(call, "out-of-service" | "in-service" | "config/check" | "config/rollback");
+            is_query || matches!(call, "out-of-service" | "in-service" | "config/check" | "config/rollback");
         if !known {
-            return nothing(StatusCode::NOT_FOUND);
+            return empty(StatusCode::NOT_FOUND);
         }
-        if *method != wanted {
-            return nothing(StatusCode::METHOD_NOT_ALLOWED);
+        if *method != expected {
+            return empty(StatusCode::METHOD_NOT_ALLOWED);
         }
-        let is = |good| if good { StatusCode::OK } else { StatusCode::CONFLICT };
+        let ok_or_conflict = |ok| if ok { StatusCode::OK } else { StatusCode::CONFLICT };
         match call {
-            "ready" if !self.clients.ready() => nothing(StatusCode::SERVICE_UNAVAILABLE),
+            "ready" if !self.clients.ready() => empty(StatusCode::SERVICE_UNAVAILABLE),
             "pools" => (StatusCode::OK, self.driver.pools().report()),
             "zones" => (StatusCode::OK, self.driver.zones()),
             "fleet" => match self.driver.fleet() {
                 Some(fleet) => (StatusCode::OK, fleet.report()),
-                None => nothing(StatusCode::NOT_FOUND),
+                None => empty(StatusCode::NOT_FOUND),
             },
             "recovery" => match self.driver.recovery() {
                 Some(recovery) => (StatusCode::OK, recovery.report()),
-                None => nothing(StatusCode::NOT_FOUND),
+                None => empty(StatusCode::NOT_FOUND),
             },
             "config" => (StatusCode::OK, self.configuration.report()),
             "config/check" => {
-                let (good, body) = self.configuration.check_file();
-                (is(good), body)
+                let (is_accepted, body) = self.configuration.check_file();
+                (ok_or_conflict(is_accepted), body)
             }
             "config/rollback" => {
-                let back = self.configuration.way_back(By::WayBack);
-                (is(back.is_ok()), self.configuration.report())
+                let result = self.configuration.roll_back(Cause::WayBack);
+                (ok_or_conflict(result.is_ok()), self.configuration.report())
             }
             "out-of-service" | "in-service" => {
-                let away = call == "out-of-service";
-                info!("clients are {}", if away { "sent away" } else { "taken again" });
-                self.clients.send_away(away);
-                nothing(StatusCode::OK)
+                let is_out_of_service = call == "out-of-service";
+                info!("gateway set {}", if is_out_of_service { "out of service" } else { "in service" });
+                self.clients.send_away(is_out_of_service);
+                empty(StatusCode::OK)
             }
-            _ => nothing(StatusCode::OK),
+            _ => empty(StatusCode::OK),
         }
     }
 
-    /// `workers/ID/offline` and `workers/ID/online`.
+    /// Executes `workers/ID/offline` and `workers/ID/online`.
     fn worker(&self, method: &Method, path: &str) -> StatusCode {
         let call = path.strip_prefix("workers/").and_then(|rest| rest.rsplit_once('/'));
         let (id, is_offline) = match call {
--- a/crates/gateway/src/bin/opalrun-gateway/clients.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/clients.rs
@@ -1,4 +1,4 @@
-//! Takes the requests of clients apart, hands them over and makes the answers.
+//! The HTTP server for clients: validates requests, passes them to the driver and builds the responses.
 
 use crate::{
     driver::{Answer, ClientRequest, Driver},
@@ -12,32 +12,33 @@
 };
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
-/// Whoever sends no proper request is owed an end within 3 s of connecting.
-const FIRST_TIME: Duration = Duration::from_millis(2700);
-/// How long clients may take. A slow one takes 2 s for a head, and one may be closed that has stood idle for 2 s.
+/// Time for the first request on a connection. A client that sends no valid request is closed within 3 s of connecting.
+const FIRST_REQUEST_TIME: Duration = Duration::from_millis(2700);
+/// Limits of a client's connection. Slow clients take 2 s for a head, and a connection may be closed after 2 s of idling.
 const SETTINGS: Settings = Settings {
     longest_head: 16 * 1024,
     head_time: Duration::from_millis(2600),
-    first_time: FIRST_TIME,
+    first_time: FIRST_REQUEST_TIME,
     idle_time: Duration::from_millis(2200),
     spare_time: Duration::from_millis(500),
     untaken_time: Duration::from_secs(30),
 };
-/// A body has so long beside the time of its bytes; the first on a connection what is left of the head's time,
-/// as bad peers have no more, and the lesser of these at least.
+/// Time for a request body in addition to the time that its length allows: the second value on a connection that has
+/// served a request. The first body of a connection has what is left of `FIRST_REQUEST_TIME`, which bounds misbehaving
+/// clients, but at least the first value.
 const BODY_TIME: (Duration, Duration) = (Duration::from_millis(600), Duration::from_millis(1500));
-/// Highest customer number, exclusive.
-const CUSTOMERS: u64 = 1 << 33;
+/// Upper bound of customer numbers, exclusive.
+const CUSTOMER_NUMBER_END: u64 = 1 << 33;
 
 /// The server for clients.
 pub type Clients = Server<Requests>;
 
-/// A server for clients with `budget` connections at most.
+/// Creates a server for clients with at most `budget` connections.
 pub fn new(driver: Rc<Driver>, budget: usize) -> Rc<Clients> {
     Server::new(Requests { driver }, SETTINGS, budget)
 }
 
-/// Answers requests through the driver.
+/// Answers clients' requests through the driver.
 pub struct Requests {
     driver: Rc<Driver>,
 }
@@ -47,12 +48,12 @@
 
     async fn handle(&self, request: Request<Incoming>, client: Client) -> Response<body::ResponseBody> {
         if request.uri().path() == "/up" {
-            return plain(if client.up { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE });
+            return empty_response(if client.up { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE });
         }
         match self.read_request(request, &client).await {
             Ok(request) => self.answer(request).await,
             Err(status) => {
-                let mut response = plain(status);
+                let mut response = empty_response(status);
                 if matches!(status, StatusCode::PAYLOAD_TOO_LARGE | StatusCode::REQUEST_TIMEOUT) {
                     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
                 }
@@ -65,24 +66,25 @@
 impl Requests {
     async fn answer(&self, request: ClientRequest) -> Response<body::ResponseBody> {
         let (job, receiver) = self.driver.accept(request);
-        let mut waiting = Waiting { driver: &self.driver, job: &job, answered: false };
+        let mut pending = PendingRequest { driver: &self.driver, job: &job, answered: false };
         let answer = receiver.await;
-        waiting.answered = true;
+        pending.answered = true;
         match answer {
             Ok(Answer::Served(body)) => Response::new(body),
             Ok(Answer::Rejected(retry_after)) => {
-                let mut response = plain(StatusCode::TOO_MANY_REQUESTS);
-                let advice = HeaderValue::try_from(format!("{retry_after:.3}"));
-                if let (true, Ok(advice)) = (retry_after > 0.0, advice) {
-                    response.headers_mut().insert(header::RETRY_AFTER, advice);
+                let mut response = empty_response(StatusCode::TOO_MANY_REQUESTS);
+                let retry_after_header = HeaderValue::try_from(format!("{retry_after:.3}"));
+                if let (true, Ok(value)) = (retry_after > 0.0, retry_after_header) {
+                    response.headers_mut().insert(header::RETRY_AFTER, value);
                 }
                 response
             }
-            Ok(Answer::Failed) | Err(_) => plain(StatusCode::BAD_GATEWAY),
+            Ok(Answer::Failed) | Err(_) => empty_response(StatusCode::BAD_GATEWAY),
         }
     }
 
-    /// Reads a request whole and checks it; the module never sees a bad one.
+    /// Reads and validates a request. Returns the status to answer with if it is invalid; the decisions never see such
+    /// a request.
     async fn read_request(
         &self,
         request: Request<Incoming>,
@@ -91,68 +93,71 @@
         let (head, body) = request.into_parts();
         let options = self.driver.options();
         let bad = StatusCode::BAD_REQUEST;
-        let lane = text(&head.headers, "x-lane").ok_or(bad)?;
-        let class = options.classes.iter().position(|c| c == lane).ok_or(bad)?;
-        if head.uri.path().split('/').nth(1) != Some(lane) {
+        let class_name = single_header(&head.headers, "x-lane").ok_or(bad)?;
+        let class = options.classes.iter().position(|c| c == class_name).ok_or(bad)?;
+        if head.uri.path().split('/').nth(1) != Some(class_name) {
             return Err(bad);
         }
-        let plan = text(&head.headers, "x-plan").ok_or(bad)?;
+        let plan = single_header(&head.headers, "x-plan").ok_or(bad)?;
         let plan = options.plans.iter().position(|p| p == plan).ok_or(bad)?;
-        // Digits only: the standard library's reading would also take a sign.
-        let sixteen = |c: &&str| c.len() == 16 && c.bytes().all(|b| b.is_ascii_hexdigit());
-        let customer = text(&head.headers, "x-customer").filter(sixteen).ok_or(bad)?;
+        // Checked by character, as `from_str_radix` would also accept a sign.
+        let is_customer_id = |c: &&str| c.len() == 16 && c.bytes().all(|b| b.is_ascii_hexdigit());
+        let customer = single_header(&head.headers, "x-customer").filter(is_customer_id).ok_or(bad)?;
         let number = u64::from_str_radix(customer, 16).map_err(|_| bad)?;
-        let remaining = text(&head.headers, "x-remaining").and_then(number_from).ok_or(bad)?;
-        let quota = text(&head.headers, "x-quota").and_then(Quota::parse).ok_or(bad)?;
-        let gateways = options.settings.gateway_count;
-        let txn = text(&head.headers, "x-txn").filter(|t| !t.is_empty() && t.len() <= 256).ok_or(bad)?;
+        let remaining =
+            single_header(&head.headers, "x-remaining").and_then(non_negative_number).ok_or(bad)?;
+        let quota = single_header(&head.headers, "x-quota").and_then(Quota::parse).ok_or(bad)?;
+        let gateways = options.settings.gateways;
+        let txn =
+            single_header(&head.headers, "x-txn").filter(|t| !t.is_empty() && t.len() <= 256).ok_or(bad)?;
         let txn = HeaderValue::from_str(txn).map_err(|_| bad)?;
         let key = head.headers.get("idempotency-key").cloned();
-        // The class decides the method, and whether there is a key: what differs is no client's request.
-        let keyed = text(&head.headers, "idempotency-key").is_some();
-        let (method, plain) = (head.method.clone(), key.is_none());
-        let proper =
+        // The effect of the class determines the method and whether an idempotency key is required or forbidden.
+        let has_valid_key = single_header(&head.headers, "idempotency-key").is_some();
+        let (method, has_no_key) = (head.method.clone(), key.is_none());
+        let fits_class =
             |options: &Options, class: usize| match options.settings.classes.get(class).map(|c| c.effect) {
-                Some(Effect::Idempotent) => method == Method::GET,
-                Some(Effect::Deduplicated { .. }) => method == Method::POST && keyed,
-                _ => method == Method::POST && plain,
+                Some(Effect::Safe) => method == Method::GET,
+                Some(Effect::Keyed { .. }) => method == Method::POST && has_valid_key,
+                _ => method == Method::POST && has_no_key,
             };
-        if !proper(&options, class) {
+        if !fits_class(&options, class) {
             return Err(bad);
         }
-        if number >= CUSTOMERS || quota.first >= gateways || !(1..=gateways).contains(&quota.spread) {
+        if number >= CUSTOMER_NUMBER_END || quota.first >= gateways || !(1..=gateways).contains(&quota.spread)
+        {
             return Err(bad);
         }
         let uri = head.uri.path_and_query().cloned().ok_or(bad)?.into();
-        let grace = if client.peer.used() {
+        let body_time = if client.peer.used() {
             BODY_TIME.1
         } else {
-            FIRST_TIME.saturating_sub(client.peer.idle_since().elapsed()).max(BODY_TIME.0)
+            FIRST_REQUEST_TIME.saturating_sub(client.peer.idle_since().elapsed()).max(BODY_TIME.0)
         };
         let (budget, discards) = (self.driver.memory_budget(), self.driver.discards());
-        let (body, upload) = match body::receive(body, budget, grace, discards, client.in_hand.clone()).await
-        {
-            Ok(ReceivedBody::Complete(gathered)) => (Some(gathered), None),
-            Ok(ReceivedBody::Streaming(upload)) => (None, Some(upload)),
-            Err(BodyError::TooSlow) => return Err(StatusCode::REQUEST_TIMEOUT),
-            Err(BodyError::TooLong) => return Err(StatusCode::PAYLOAD_TOO_LARGE),
-            Err(BodyError::Broken) => return Err(bad),
-        };
+        let (body, upload) =
+            match body::receive(body, budget, body_time, discards, client.in_hand.clone()).await {
+                Ok(ReceivedBody::Complete(buffered)) => (Some(buffered), None),
+                Ok(ReceivedBody::Streaming(upload)) => (None, Some(upload)),
+                Err(BodyError::TooSlow) => return Err(StatusCode::REQUEST_TIMEOUT),
+                Err(BodyError::TooLong) => return Err(StatusCode::PAYLOAD_TOO_LARGE),
+                Err(BodyError::Broken) => return Err(bad),
+            };
         if head.method == Method::GET && !body.as_ref().is_some_and(body::BodyBuffer::is_empty) {
             return Err(bad);
         }
         client.peer.use_it();
-        // The settings may have changed while the body came: its class may stand elsewhere, or be gone. Under another
-        // effect it would be handled by rules that its client does not know of; as nothing was sent, it may come again.
+        // The settings may have changed while the body arrived: the class may have another index or be gone. If its
+        // effect has changed so that the request does not fit it, the client is told to retry, as nothing was sent yet.
         let now = self.driver.options();
         let class = now.classes.iter().position(|c| *c == options.classes[class]).ok_or(bad)?;
-        if !proper(&now, class) {
+        if !fits_class(&now, class) {
             return Err(StatusCode::SERVICE_UNAVAILABLE);
         }
         Ok(ClientRequest {
             class,
             plan,
-            // In one spelling, as all gateways name the customer's counts by it.
+            // Normalised to lower case: all gateways derive the names of the customer's counts from it.
             customer: format!("{number:016x}"),
             units: quota.units,
             spread: quota.spread,
@@ -172,24 +177,26 @@
     }
 }
 
-fn plain(status: StatusCode) -> Response<body::ResponseBody> {
+/// A response without a body.
+fn empty_response(status: StatusCode) -> Response<body::ResponseBody> {
     let mut response = Response::new(body::ResponseBody::empty());
     *response.status_mut() = status;
     response
 }
 
-/// The one value of a header; `None` if it is missing, doubled or not text.
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+/// The value of a header that must occur once; `None` if it is missing, repeated or not text.
+fn single_header<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let mut values = headers.get_all(name).iter();
     let value = values.next().filter(|_| values.next().is_none())?;
     value.to_str().ok().map(str::trim)
 }
 
-/// A finite number that is not negative.
-fn number_from(text: &str) -> Option<f64> {
+/// Parses a finite number that is not negative.
+fn non_negative_number(text: &str) -> Option<f64> {
     text.parse().ok().filter(|v: &f64| v.is_finite() && *v >= 0.0)
 }
 
+/// Contents of the `x-quota` header.
 struct Quota {
     units: f64,
     spread: u32,
@@ -197,13 +204,13 @@
 }
 
 impl Quota {
-    /// `units=2,spread=3,first=1`, in any order; what else stands there is passed over.
+    /// Parses `units=2,spread=3,first=1` in any order; other names are ignored.
     fn parse(text: &str) -> Option<Self> {
         let (mut units, mut spread, mut first) = (None, None, None);
         for part in text.split(',') {
             let (name, value) = part.trim().split_once('=')?;
             match name {
-                "units" => units = Some(number_from(value)?),
+                "units" => units = Some(non_negative_number(value)?),
                 "spread" => spread = Some(value.parse().ok()?),
                 "first" => first = Some(value.parse().ok()?),
                 _ => {}
@@ -213,14 +220,14 @@
     }
 }
 
-/// A request that waits for its answer; dropped before, its client has gone.
-struct Waiting<'a> {
+/// A request that waits for its answer. Dropping it unanswered means that the client has disconnected.
+struct PendingRequest<'a> {
     driver: &'a Rc<Driver>,
     job: &'a JobId,
     answered: bool,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
         if !self.answered {
             self.driver.client_left(self.job);
--- a/crates/gateway/src/bin/opalrun-gateway/config/history.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/config/history.rs
@@ -1,68 +1,74 @@
-//! The versions of the configuration: the one that holds and the last few before it. No I/O.
+//! The configuration's history: the version in force and the last few before it. Does no I/O.
 
 use opalrun_gateway::Time;
 use serde::Serialize;
 use sha2::{Digest, Sha256};
 use std::{collections::VecDeque, rc::Rc};
 
-/// Versions held at most, and bytes of their files.
-const MOST: (usize, usize) = (8, 1 << 20);
+/// Largest number of versions, the one in force included, and of bytes that the files of earlier versions may take.
+const MAX_HISTORY: (usize, usize) = (8, 1 << 20);
 
-/// By what a version was taken.
+/// What put a version in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum By {
+pub enum Cause {
+    /// The process was started with it.
     Start,
-    /// At a start whose file was broken.
+    /// The process was started with an invalid file and used the last good configuration instead.
     LastGood,
+    /// The file was reloaded on SIGHUP.
     Signal,
-    /// A process that takes over from another.
+    /// The process took over from another one.
     Upgrade,
+    /// An operator rolled the version before it back.
     WayBack,
-    /// The way back of a version that did worse.
+    /// The version before it failed its trial and was rolled back.
     Trial,
 }
 
+/// A version of the configuration that is or was in force.
 #[derive(Debug, Clone, Serialize)]
 pub struct Version {
     pub number: u64,
     pub sha256: String,
-    /// Unix seconds.
+    /// When the version was put in force, in Unix seconds.
     pub taken: Time,
-    pub by: By,
+    pub by: Cause,
+    /// Length of the file.
     pub bytes: usize,
-    /// Where the way back leads from here.
+    /// Number of the version that a rollback of this one restores.
     pub before: Option<u64>,
-    /// Its file, while there is room for it.
+    /// The file; `None` once it was dropped to limit the memory used.
     #[serde(skip)]
     pub text: Option<Rc<[u8]>>,
 }
 
-/// A file's bytes and their sum.
+/// A file's bytes and their SHA-256 in hexadecimal.
 #[derive(Debug, Clone)]
-pub struct Text {
+pub struct ConfigText {
     pub text: Rc<[u8]>,
     pub sha256: String,
 }
 
-impl From<Vec<u8>> for Text {
+impl From<Vec<u8>> for ConfigText {
     fn from(text: Vec<u8>) -> Self {
         let sha256 = Sha256::digest(&text).iter().map(|b| format!("{b:02x}")).collect();
         Self { text: text.into(), sha256 }
     }
 }
 
+/// The version in force and earlier ones.
 #[derive(Debug)]
 pub struct History {
-    holds: Version,
-    /// The oldest first.
+    in_force: Version,
+    /// Earlier versions, the oldest first.
     earlier: VecDeque<Version>,
 }
 
 impl History {
-    pub fn new(file: Text, taken: Time, by: By) -> Self {
+    pub fn new(file: ConfigText, taken: Time, by: Cause) -> Self {
         let earlier = VecDeque::new();
-        let holds = Version {
+        let in_force = Version {
             number: 1,
             sha256: file.sha256,
             taken,
@@ -71,37 +77,39 @@
             before: None,
             text: Some(file.text),
         };
-        Self { holds, earlier }
+        Self { in_force, earlier }
     }
 
-    pub fn holds(&self) -> &Version {
-        &self.holds
+    /// The version in force.
+    pub fn in_force(&self) -> &Version {
+        &self.in_force
     }
 
+    /// Earlier versions, the newest first.
     pub fn earlier(&self) -> impl Iterator<Item = &Version> {
         self.earlier.iter().rev()
     }
 
-    /// This process goes on from where another had come to.
-    pub fn follow(&mut self, number: u64) {
-        (self.holds.number, self.holds.by) = (number.saturating_add(1), By::Upgrade);
+    /// Numbers the present version after `number`, the version of the process that this one takes over from.
+    pub fn continue_from(&mut self, number: u64) {
+        (self.in_force.number, self.in_force.by) = (number.saturating_add(1), Cause::Upgrade);
     }
 
-    /// Where the way back leads, if it is still held.
-    pub fn way_back(&self) -> Option<&Version> {
-        let before = self.holds.before?;
+    /// The version that a rollback restores; `None` if there is none or its file was dropped.
+    pub fn rollback_target(&self) -> Option<&Version> {
+        let before = self.in_force.before?;
         self.earlier.iter().find(|v| v.number == before).filter(|v| v.text.is_some())
     }
 
-    /// Another version holds now. After a way back the next one leads to what stood before its target, so
-    /// that two of them do not go back and forth.
-    pub fn take(&mut self, file: Text, taken: Time, by: By) {
+    /// Puts another version in force. After a rollback, the next one restores the version before the restored one, so
+    /// that repeated rollbacks go further back instead of alternating.
+    pub fn put_in_force(&mut self, file: ConfigText, taken: Time, by: Cause) {
         let before = match by {
-            By::WayBack | By::Trial => self.way_back().and_then(|v| v.before),
-            _ => Some(self.holds.number),
+            Cause::WayBack | Cause::Trial => self.rollback_target().and_then(|v| v.before),
+            _ => Some(self.in_force.number),
         };
         let next = Version {
-            number: self.holds.number + 1,
+            number: self.in_force.number + 1,
             sha256: file.sha256,
             taken,
             by,
@@ -109,14 +117,14 @@
             before,
             text: Some(file.text),
         };
-        self.earlier.push_back(std::mem::replace(&mut self.holds, next));
-        while self.earlier.len() >= MOST.0 {
+        self.earlier.push_back(std::mem::replace(&mut self.in_force, next));
+        while self.earlier.len() >= MAX_HISTORY.0 {
             self.earlier.pop_front();
         }
-        let mut room = MOST.1;
+        let mut remaining_bytes = MAX_HISTORY.1;
         for version in self.earlier.iter_mut().rev() {
-            match room.checked_sub(version.bytes) {
-                Some(left) if version.text.is_some() => room = left,
+            match remaining_bytes.checked_sub(version.bytes) {
+                Some(remaining) if version.text.is_some() => remaining_bytes = remaining,
                 _ => version.text = None,
             }
         }
@@ -128,46 +136,46 @@
     use super::*;
 
     #[test]
-    fn a_way_back_leads_on_to_what_stood_before_its_target() {
-        let mut history = History::new(b"one".to_vec().into(), 0.0, By::Start);
-        assert!(history.way_back().is_none());
-        history.take(b"two".to_vec().into(), 1.0, By::Signal);
-        history.take(b"three".to_vec().into(), 2.0, By::Signal);
+    fn repeated_rollbacks_restore_successively_earlier_versions() {
+        let mut history = History::new(b"one".to_vec().into(), 0.0, Cause::Start);
+        assert!(history.rollback_target().is_none());
+        history.put_in_force(b"two".to_vec().into(), 1.0, Cause::Signal);
+        history.put_in_force(b"three".to_vec().into(), 2.0, Cause::Signal);
         for (number, text) in [(2, b"two"), (1, b"one")] {
-            let back = history.way_back().expect("one before");
+            let back = history.rollback_target().expect("an earlier version");
             assert_eq!((back.number, back.text.as_deref()), (number, Some(&text[..])));
-            history.take(text.to_vec().into(), 3.0, By::WayBack);
+            history.put_in_force(text.to_vec().into(), 3.0, Cause::WayBack);
         }
-        assert!(history.way_back().is_none(), "there is none before the first");
-        assert_eq!((history.holds().number, history.holds().sha256.len()), (5, 64));
-        history.take(b"six".to_vec().into(), 4.0, By::Signal);
-        assert_eq!(history.way_back().map(|v| v.number), Some(5));
+        assert!(history.rollback_target().is_none(), "the first version can't be rolled back");
+        assert_eq!((history.in_force().number, history.in_force().sha256.len()), (5, 64));
+        history.put_in_force(b"six".to_vec().into(), 4.0, Cause::Signal);
+        assert_eq!(history.rollback_target().map(|v| v.number), Some(5));
     }
 
     #[test]
-    fn whatever_comes_it_is_bounded_and_the_way_back_leads_to_an_earlier_file() {
+    fn history_is_bounded_and_rollbacks_restore_earlier_files() {
         for seed in 0..12 {
             let mut rng = fastrand::Rng::with_seed(seed);
-            let mut history = History::new(b"0".to_vec().into(), 0.0, By::Start);
-            // A model: the files that the way back would lead through.
+            let mut history = History::new(b"0".to_vec().into(), 0.0, Cause::Start);
+            // Model: the files that successive rollbacks restore.
             let mut stack: Vec<Vec<u8>> = vec![b"0".to_vec()];
             for i in 1..60 {
                 if rng.u32(..3) > 0 {
-                    let length = if rng.u32(..8) == 0 { MOST.1 / 2 } else { rng.usize(1..2000) };
+                    let length = if rng.u32(..8) == 0 { MAX_HISTORY.1 / 2 } else { rng.usize(1..2000) };
                     let text = vec![(i % 251) as u8; length];
-                    history.take(text.clone().into(), f64::from(i), By::Signal);
+                    history.put_in_force(text.clone().into(), f64::from(i), Cause::Signal);
                     stack.push(text);
-                } else if let Some(text) = history.way_back().and_then(|v| v.text.clone()) {
+                } else if let Some(text) = history.rollback_target().and_then(|v| v.text.clone()) {
                     stack.pop();
                     assert_eq!(stack.last().map(Vec::as_slice), Some(&*text));
-                    history.take(text.to_vec().into(), f64::from(i), By::WayBack);
+                    history.put_in_force(text.to_vec().into(), f64::from(i), Cause::WayBack);
                 }
-                assert!(history.earlier.len() < MOST.0);
+                assert!(history.earlier.len() < MAX_HISTORY.0);
                 let kept = history.earlier.iter().filter(|v| v.text.is_some()).map(|v| v.bytes);
-                assert!(kept.sum::<usize>() <= MOST.1);
-                assert_eq!(history.holds().text.as_deref(), stack.last().map(Vec::as_slice));
+                assert!(kept.sum::<usize>() <= MAX_HISTORY.1);
+                assert_eq!(history.in_force().text.as_deref(), stack.last().map(Vec::as_slice));
                 let numbers: Vec<u64> = history.earlier.iter().map(|v| v.number).collect();
-                assert!(numbers.is_sorted() && numbers.iter().all(|n| *n < history.holds().number));
+                assert!(numbers.is_sorted() && numbers.iter().all(|n| *n < history.in_force().number));
             }
         }
     }
--- a/crates/gateway/src/bin/opalrun-gateway/config/mod.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/config/mod.rs
@@ -1,4 +1,4 @@
-//! What a gateway is told: the file's form, and the one check that every configuration passes before it holds.
+//! The gateway's configuration: its format, and the validation that every version passes before it takes effect.
 
 pub mod file;
 pub mod history;
@@ -7,15 +7,15 @@
 mod strict;
 pub mod trial;
 
-use crate::{events::Form, fleet};
+use crate::{events::LogFormat, fleet::FleetSettings};
 use opalrun_gateway::Options;
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use serde_json::Value;
 use std::{fmt, net::SocketAddr, path::PathBuf};
-use strict::At;
-use trial::Terms;
+use strict::JsonPath;
+use trial::TrialSettings;
 
-/// A worker as discovery shows it.
+/// A worker in discovery's list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WorkerEntry {
     pub id: String,
@@ -30,7 +30,7 @@
     pub started_ms: f64,
 }
 
-/// A list of workers in discovery's form.
+/// Discovery's list of workers, or the changes since an earlier version of it.
 #[derive(Debug, Clone, Deserialize)]
 pub struct WorkerList {
     pub version: u64,
@@ -38,64 +38,66 @@
     pub servers: Vec<WorkerEntry>,
 }
 
+/// A valid configuration.
 #[derive(Debug, Clone)]
 pub struct Config {
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// Largest number of file descriptors that the process may have open.
     pub sockets: usize,
-    /// Bytes that it may use.
+    /// Memory limit of the process, in bytes.
     pub memory: usize,
     pub counter: Option<SocketAddr>,
-    /// Where the operators' calls are taken, if anywhere.
+    /// Address of the admin API, if it is served.
     pub admin: Option<SocketAddr>,
+    /// Workers to start with, before discovery has answered.
     pub known: Vec<WorkerEntry>,
-    /// The version of that list, if it is a whole one.
+    /// Discovery's version of `known`, if that is a full list.
     pub known_version: Option<u64>,
     pub options: Options,
-    /// A new version that does worse goes back by itself, on these terms.
-    pub trial: Option<Terms>,
-    /// Where the last good configuration is kept.
+    /// Settings of the trial after which a new version that causes more failures is rolled back; `None`: no trials.
+    pub trial: Option<TrialSettings>,
+    /// Folder for the gateway's state, such as the last good configuration.
     pub state: Option<PathBuf>,
-    /// How the log is written.
-    pub log: Option<Form>,
-    /// The other gateways, where they are to know each other.
-    pub fleet: Option<fleet::Terms>,
-    /// The file as it was read: one that replaces it must hold what it held.
-    text: Value,
+    /// Format and level of the log.
+    pub log: Option<LogFormat>,
+    /// Settings of the exchange with other gateways, if there is to be one.
+    pub fleet: Option<FleetSettings>,
+    /// The file's contents. A version that replaces this one must have all of its keys.
+    document: Value,
 }
 
 impl Config {
-    /// What may be meant, and hardly is.
+    /// Warnings about valid contents that are probably a mistake.
     pub fn notes(&self) -> Vec<Problem> {
         let empty = [("settings.Classes", &self.options.classes), ("settings.Plans", &self.options.plans)];
         let empty = empty.into_iter().filter(|(_, names)| names.is_empty());
-        empty.map(|(key, _)| Problem::of(key, "is empty: every request is refused")).collect()
+        empty.map(|(key, _)| Problem::new(key, "is empty: every request is refused")).collect()
     }
 }
 
-/// The fewest descriptors that leave some for clients and workers.
-pub const LEAST_SOCKETS: u64 = 64;
-/// What is told of one file at most: its errors, and the bytes of each.
-const TOLD: (usize, usize) = (50, 300);
-/// Changes that a plan names at most.
-const NAMED: usize = 200;
-/// What holds from the next start on only.
-const WAITS: [&str; 7] = ["name", "listen", "seed", "limits", "admin", "known", "state"];
+/// Smallest limit of file descriptors that leaves some for clients and workers.
+pub const MIN_SOCKETS: u64 = 64;
+/// Largest number of errors that are reported for one file, and of characters in each.
+const MAX_ERRORS: (usize, usize) = (50, 300);
+/// Largest number of changes that a plan lists.
+const MAX_LISTED_CHANGES: usize = 200;
+/// Top-level keys whose changes take effect at the next start only.
+const RESTART_KEYS: [&str; 7] = ["name", "listen", "seed", "limits", "admin", "known", "state"];
 
-/// One thing that is wrong with a configuration.
+/// One error in a configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Problem {
-    /// The key; empty: the file as a whole.
+    /// Path of the key; empty if the error concerns the file as a whole.
     pub path: String,
     pub reason: String,
 }
 
 impl Problem {
-    pub fn of(path: impl Into<String>, reason: impl fmt::Display) -> Self {
-        let cut = |text: String| text.chars().take(TOLD.1).collect();
+    pub fn new(path: impl Into<String>, reason: impl fmt::Display) -> Self {
+        let cut = |text: String| text.chars().take(MAX_ERRORS.1).collect();
         Self { path: cut(path.into()), reason: cut(reason.to_string()) }
     }
 }
@@ -110,30 +112,31 @@
     }
 }
 
-/// All that is wrong with a configuration; never empty.
+/// All errors in a configuration; never empty.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Problems(Vec<Problem>);
 
 impl Problems {
     pub fn one(path: &str, reason: impl fmt::Display) -> Self {
-        Self(vec![Problem::of(path, reason)])
+        Self(vec![Problem::new(path, reason)])
     }
 
-    fn all(mut problems: Vec<Problem>) -> Result<(), Self> {
+    /// Returns `Err` with the problems, shortened to `MAX_ERRORS`, if there are any.
+    fn check(mut problems: Vec<Problem>) -> Result<(), Self> {
         if problems.is_empty() {
             return Ok(());
         }
-        let rest = problems.len().saturating_sub(TOLD.0);
-        problems.truncate(TOLD.0);
+        let rest = problems.len().saturating_sub(MAX_ERRORS.0);
+        problems.truncate(MAX_ERRORS.0);
         if rest > 0 {
-            problems.push(Problem::of("", format!("{rest} more")));
+            problems.push(Problem::new("", format!("{rest} more")));
         }
         Err(Self(problems))
     }
 }
 
 impl fmt::Display for Problems {
-    /// One line, whatever the file held.
+    /// Writes one line: control characters from the file are replaced.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (i, problem) in self.0.iter().enumerate() {
             let line = problem.to_string().replace(char::is_control, " ");
@@ -143,81 +146,83 @@
     }
 }
 
+/// Kind of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum What {
+pub enum ChangeKind {
     Added,
     Removed,
     Changed,
 }
 
+/// A value that differs between two configurations.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Change {
     pub path: String,
-    pub what: What,
+    pub what: ChangeKind,
 }
 
-/// What a configuration would change.
+/// The changes that a new configuration would make to the one in force.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Plan {
     pub changes: Vec<Change>,
-    /// Changes that are not named, as there are too many.
+    /// Number of changes beyond those listed.
     pub more: usize,
-    /// Keys that wait for the next start.
+    /// Changed keys that take effect at the next start only.
     pub waits: Vec<String>,
-    /// What would be taken and is hardly meant.
+    /// Warnings about valid contents that are probably a mistake.
     pub notes: Vec<Problem>,
 }
 
 impl Plan {
-    fn note(&mut self, at: At, what: What) {
-        if self.changes.len() < NAMED {
-            let path = at.to_string().chars().take(TOLD.1).collect();
+    fn add(&mut self, at: JsonPath, what: ChangeKind) {
+        if self.changes.len() < MAX_LISTED_CHANGES {
+            let path = at.to_string().chars().take(MAX_ERRORS.1).collect();
             self.changes.push(Change { path, what });
         } else {
             self.more += 1;
         }
     }
 
-    fn compare(&mut self, at: At, old: &Value, new: &Value) {
+    fn compare(&mut self, at: JsonPath, old: &Value, new: &Value) {
         match (old, new) {
             (Value::Object(old), Value::Object(new)) => {
                 for (key, value) in old {
                     match new.get(key) {
-                        Some(new) => self.compare(At::Key(&at, key), value, new),
-                        None => self.note(At::Key(&at, key), What::Removed),
+                        Some(new) => self.compare(JsonPath::Key(&at, key), value, new),
+                        None => self.add(JsonPath::Key(&at, key), ChangeKind::Removed),
                     }
                 }
                 let added = new.keys().filter(|k| !old.contains_key(*k));
-                added.for_each(|key| self.note(At::Key(&at, key), What::Added));
+                added.for_each(|key| self.add(JsonPath::Key(&at, key), ChangeKind::Added));
             }
             (Value::Array(old), Value::Array(new)) => {
                 for i in 0..old.len().max(new.len()) {
-                    let at = At::Index(&at, i);
+                    let at = JsonPath::Index(&at, i);
                     match (old.get(i), new.get(i)) {
                         (Some(old), Some(new)) => self.compare(at, old, new),
-                        (Some(_), None) => self.note(at, What::Removed),
-                        (None, _) => self.note(at, What::Added),
+                        (Some(_), None) => self.add(at, ChangeKind::Removed),
+                        (None, _) => self.add(at, ChangeKind::Added),
                     }
                 }
             }
             _ if old == new => {}
-            _ => self.note(at, What::Changed),
+            _ => self.add(at, ChangeKind::Changed),
         }
     }
 
     fn between(old: &Value, new: &Value) -> Self {
-        let mut plan = Self { waits: waits(old, new), ..Self::default() };
-        plan.compare(At::Top, old, new);
+        let mut plan = Self { waits: keys_for_restart(old, new), ..Self::default() };
+        plan.compare(JsonPath::Root, old, new);
         plan
     }
 }
 
-/// The keys of `new` that wait for the next start.
-fn waits(old: &Value, new: &Value) -> Vec<String> {
+/// KeyReader of `new` that differ from `old` and take effect at the next start only.
+fn keys_for_restart(old: &Value, new: &Value) -> Vec<String> {
     let differs = |key: &&str| old.get(*key) != new.get(*key);
-    let mut waits: Vec<String> = WAITS.into_iter().filter(differs).map(str::to_owned).collect();
-    // One that was not there at the start has no connections, one that goes keeps them.
+    let mut waits: Vec<String> = RESTART_KEYS.into_iter().filter(differs).map(str::to_owned).collect();
+    // The counter's client is created at the start only: its address may change, but it can't be added or removed.
     let has = |file: &Value| file.get("counter").is_some_and(|c| !c.is_null());
     if has(old) != has(new) {
         waits.push("counter".to_owned());
@@ -225,129 +230,142 @@
     waits
 }
 
-/// The keys of a file, read one by one so that all that is wrong is found.
-struct Keys<'a> {
+/// Reads a file key by key and collects the problems, so that all of them can be reported together.
+struct KeyReader<'a> {
     file: &'a Value,
     problems: Vec<Problem>,
 }
 
-impl<'a> Keys<'a> {
+impl<'a> KeyReader<'a> {
+    /// The value at a path of keys; `None` if it is missing or null.
     fn at(&self, path: &str) -> Option<&'a Value> {
         path.split('.').try_fold(self.file, |v, key| v.get(key)).filter(|v| !v.is_null())
     }
 
-    fn may<T: DeserializeOwned>(&mut self, path: &str) -> Option<T> {
+    /// Reads an optional value.
+    fn optional<T: DeserializeOwned>(&mut self, path: &str) -> Option<T> {
         match T::deserialize(self.at(path)?) {
             Ok(value) => Some(value),
             Err(e) => {
-                self.problems.push(Problem::of(path, e));
+                self.problems.push(Problem::new(path, e));
                 None
             }
         }
     }
 
-    fn need<T: DeserializeOwned>(&mut self, path: &str) -> Option<T> {
+    /// Reads a required value.
+    fn required<T: DeserializeOwned>(&mut self, path: &str) -> Option<T> {
         let before = self.problems.len();
-        let value = self.may(path);
+        let value = self.optional(path);
         if value.is_none() && self.problems.len() == before {
-            self.problems.push(Problem::of(path, "is missing"));
+            self.problems.push(Problem::new(path, "is missing"));
         }
         value
     }
 
+    /// Reads `known`: the workers, and the list's version if the list is a full one.
     fn known(&mut self) -> (Vec<WorkerEntry>, Option<u64>) {
-        let (version, full) = (self.need("known.version"), self.need("known.full"));
+        let (version, full) = (self.required("known.version"), self.required("known.full"));
         let mut entries = Vec::new();
         let servers = self.at("known.servers").and_then(Value::as_array);
         if servers.is_none() {
-            self.problems.push(Problem::of("known.servers", "is no list"));
+            self.problems.push(Problem::new("known.servers", "is not a list"));
         }
         for (i, entry) in servers.into_iter().flatten().enumerate() {
             match WorkerEntry::deserialize(entry) {
                 Ok(entry) => entries.push(entry),
-                Err(e) => self.problems.push(Problem::of(format!("known.servers[{i}]"), e)),
+                Err(e) => self.problems.push(Problem::new(format!("known.servers[{i}]"), e)),
             }
         }
         (entries, version.filter(|_| full == Some(true)))
     }
 
+    /// Reads and checks `settings`.
     fn options(&mut self) -> Option<Options> {
         let Some(settings) = self.at("settings").filter(|s| s.is_object()) else {
-            self.problems.push(Problem::of("settings", "is missing, or no object"));
+            self.problems.push(Problem::new("settings", "is missing or not an object"));
             return None;
         };
         let options = match Options::read(settings) {
             Ok(options) => options,
             Err(errors) => {
                 let problem =
-                    |e: &opalrun_gateway::OptionsError| Problem::of(format!("settings.{}", e.path), e.fault);
+                    |e: &opalrun_gateway::OptionsError| Problem::new(format!("settings.{}", e.path), e.fault);
                 self.problems.extend(errors.iter().map(problem));
                 return None;
             }
         };
-        // Under a millisecond nothing would be kept, or come up.
-        let times =
-            [("ConnIdle", options.connection_idle_timeout), ("ConnectTimeout", options.connect_timeout)];
+        // Below a millisecond no connection would be kept or opened.
+        let times = [("ConnIdle", options.conn_idle), ("ConnectTimeout", options.connect_timeout)];
         for (key, _) in times.into_iter().filter(|(_, v)| !(1e-3..=3600.0).contains(v)) {
-            self.problems.push(Problem::of(format!("settings.Limits.{key}"), "is no usable time"));
+            self.problems
+                .push(Problem::new(format!("settings.Limits.{key}"), "must be from 0.001 to 3600 seconds"));
         }
         if let Err(e) = options.settings.check() {
-            self.problems.push(Problem::of("settings", e));
+            self.problems.push(Problem::new("settings", e));
         }
         Some(options)
     }
 }
 
-/// Reads a configuration and checks all of it, against the one that holds where there is one: the
-/// configuration and what it changes, or all that is wrong with it.
-pub fn check(text: &[u8], present: Option<&Config>) -> Result<(Config, Plan), Problems> {
-    let (text, doubled) =
+/// Parses and validates a configuration, and compares it with the one in force, if any. Returns the configuration and
+/// its changes, or all problems.
+pub fn check(text: &[u8], current: Option<&Config>) -> Result<(Config, Plan), Problems> {
+    let (document, duplicates) =
         strict::parse(text).map_err(|e| Problems::one("", format!("the configuration is malformed: {e}")))?;
-    let problems = doubled.into_iter().map(|path| Problem::of(path, "stands more than once")).collect();
-    let mut keys = Keys { file: &text, problems };
-    let (name, listen, discovery) = (keys.need("name"), keys.need("listen"), keys.need("discovery"));
-    let seed = keys.need::<String>("seed").map(|seed| u64::from_str_radix(&seed, 16));
+    let problems = duplicates.into_iter().map(|path| Problem::new(path, "occurs more than once")).collect();
+    let mut keys = KeyReader { file: &document, problems };
+    let (name, listen, discovery) =
+        (keys.required("name"), keys.required("listen"), keys.required("discovery"));
+    let seed = keys.required::<String>("seed").map(|seed| u64::from_str_radix(&seed, 16));
     if let Some(Err(_)) = seed {
-        keys.problems.push(Problem::of("seed", "is not a hexadecimal number"));
+        keys.problems.push(Problem::new("seed", "is not a hexadecimal number"));
     }
-    let (memory, sockets) = (keys.need::<f64>("limits.memory_mb"), keys.need::<u64>("limits.sockets"));
-    if let Some(n) = sockets.filter(|n| *n < LEAST_SOCKETS) {
-        keys.problems
-            .push(Problem::of("limits.sockets", format!("{n} are too few: {LEAST_SOCKETS} at least")));
+    let (memory, sockets) =
+        (keys.required::<f64>("limits.memory_mb"), keys.required::<u64>("limits.sockets"));
+    if let Some(n) = sockets.filter(|n| *n < MIN_SOCKETS) {
+        keys.problems.push(Problem::new("limits.sockets", format!("is {n}, must be at least {MIN_SOCKETS}")));
     }
-    let (counter, admin, state) = (keys.may("counter"), keys.may("admin"), keys.may("state"));
-    let (trial, log) = (keys.may::<Terms>("trial"), keys.may::<Form>("log"));
-    let fleet = keys.may::<fleet::Terms>("fleet");
-    if trial.as_ref().is_some_and(|t| !t.usable()) {
+    let (counter, admin, state) = (keys.optional("counter"), keys.optional("admin"), keys.optional("state"));
+    let (trial, log) = (keys.optional::<TrialSettings>("trial"), keys.optional::<LogFormat>("log"));
+    let fleet = keys.optional::<FleetSettings>("fleet");
+    if trial.as_ref().is_some_and(|t| !t.is_valid()) {
         keys.problems
-            .push(Problem::of("trial", "length_s, worse_by and least must be above 0, worse_by under 1"));
+            .push(Problem::new("trial", "length_s, worse_by and least must be above 0, worse_by under 1"));
     }
     let ((known, known_version), options) = (keys.known(), keys.options());
     let mut problems = keys.problems;
-    if let Some(present) = present {
-        let mut gone = Vec::new();
-        missing(At::Top, &present.text, &text, &mut gone);
-        let told = |path: &String| !problems.iter().any(|p| p.path == *path);
-        let gone: Vec<String> = gone.into_iter().filter(told).collect();
+    if let Some(current) = current {
+        let mut missing_paths = Vec::new();
+        find_missing(JsonPath::Root, &current.document, &document, &mut missing_paths);
+        let is_new = |path: &String| !problems.iter().any(|p| p.path == *path);
+        let missing_paths: Vec<String> = missing_paths.into_iter().filter(is_new).collect();
         problems.extend(
-            gone.into_iter().map(|path| Problem::of(path, "is missing, or of another kind than it was")),
+            missing_paths
+                .into_iter()
+                .map(|path| Problem::new(path, "is missing, or of another type than before")),
         );
         if let Some(options) = &options {
-            let old = &present.options;
+            let old = &current.options;
             if options.classes.is_empty() {
-                problems.push(Problem::of("settings.Classes", "is empty"));
+                problems.push(Problem::new("settings.Classes", "is empty"));
             }
             if !options.plans.starts_with(&old.plans) {
-                problems
-                    .push(Problem::of("settings.Plans", "may only grow at its end: its places are in use"));
+                problems.push(Problem::new(
+                    "settings.Plans",
+                    "may only be extended at its end: indices are in use",
+                ));
             }
             if !options.zones.starts_with(&old.zones) {
-                problems.push(Problem::of("settings.Dcs", "may only grow at its end: its places are in use"));
+                problems.push(Problem::new(
+                    "settings.Dcs",
+                    "may only be extended at its end: indices are in use",
+                ));
             }
         }
     }
-    Problems::all(problems)?;
-    let whole = (|| {
+    Problems::check(problems)?;
+    let complete = (|| {
         Some(Config {
             name: name?,
             listen: listen?,
@@ -364,23 +382,23 @@
             state,
             log,
             fleet,
-            text,
+            document,
         })
     })();
-    let config = whole.ok_or_else(|| Problems::one("", "the configuration is incomplete"))?;
-    let mut plan = present.map(|p| Plan::between(&p.text, &config.text)).unwrap_or_default();
+    let config = complete.ok_or_else(|| Problems::one("", "the configuration is incomplete"))?;
+    let mut plan = current.map(|p| Plan::between(&p.document, &config.document)).unwrap_or_default();
     plan.notes = config.notes();
     Ok((config, plan))
 }
 
-/// The keys of `old` that `new` lacks or holds as another kind of value, at any depth. Of a list's entries
-/// each new one needs what every old one had.
-fn missing(at: At, old: &Value, new: &Value, found: &mut Vec<String>) {
+/// Collects the paths of `old`, at any depth, that `new` lacks or holds as another type of value. An entry of a list
+/// must have the keys that all entries of the old list have.
+fn find_missing(at: JsonPath, old: &Value, new: &Value, found: &mut Vec<String>) {
     match (old, new) {
         (Value::Null, _) => {}
         (Value::Object(old), Value::Object(new)) => {
             for (key, value) in old {
-                missing(At::Key(&at, key), value, new.get(key).unwrap_or(&Value::Null), found);
+                find_missing(JsonPath::Key(&at, key), value, new.get(key).unwrap_or(&Value::Null), found);
             }
         }
         (Value::Array(old), Value::Array(new)) => {
@@ -394,7 +412,7 @@
                 other => other.clone(),
             };
             for (i, entry) in new.iter().enumerate() {
-                missing(At::Index(&at, i), &common, entry, found);
+                find_missing(JsonPath::Index(&at, i), &common, entry, found);
             }
         }
         (old, new) if std::mem::discriminant(old) != std::mem::discriminant(new) => {
@@ -409,7 +427,7 @@
     use super::*;
     use serde_json::json;
 
-    /// A good file of every key.
+    /// A valid file that has every required key.
     pub fn file() -> Value {
         json!({
             "name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "8c1f",
@@ -428,31 +446,34 @@
     }
 
     fn config() -> Config {
-        check(file().to_string().as_bytes(), None).expect("a good file").0
+        check(file().to_string().as_bytes(), None).expect("the file is valid").0
     }
 
-    fn refused(new: &Value) -> Vec<String> {
+    fn rejected_paths(new: &Value) -> Vec<String> {
         let problems = check(new.to_string().as_bytes(), Some(&config())).expect_err("refused").0;
         problems.into_iter().map(|p| p.path).collect()
     }
 
     #[test]
-    fn a_key_that_is_gone_or_of_another_kind_is_found_at_any_depth() {
+    fn missing_keys_and_changed_types_are_found_at_any_depth() {
         let old = json!({"a": {"b": 1, "c": null}, "list": [{"x": 1, "odd": 2}, {"x": 2}], "on": true});
-        let lacks = |new: Value| {
+        let missing = |new: Value| {
             let mut found = Vec::new();
-            missing(At::Top, &old, &new, &mut found);
+            find_missing(JsonPath::Root, &old, &new, &mut found);
             found
         };
-        assert_eq!(lacks(old.clone()), Vec::<String>::new());
-        assert!(lacks(json!({"a": {"b": 2.5}, "list": [{"x": 3}], "on": false, "new": 1})).is_empty());
-        assert_eq!(lacks(json!({"a": {}, "list": []})), ["a.b", "on"]);
-        assert_eq!(lacks(json!({"a": {"b": "1"}, "list": [{"x": 1}, {}], "on": true})), ["a.b", "list[1].x"]);
-        assert_eq!(lacks(json!([])), [""]);
+        assert_eq!(missing(old.clone()), Vec::<String>::new());
+        assert!(missing(json!({"a": {"b": 2.5}, "list": [{"x": 3}], "on": false, "new": 1})).is_empty());
+        assert_eq!(missing(json!({"a": {}, "list": []})), ["a.b", "on"]);
+        assert_eq!(
+            missing(json!({"a": {"b": "1"}, "list": [{"x": 1}, {}], "on": true})),
+            ["a.b", "list[1].x"]
+        );
+        assert_eq!(missing(json!([])), [""]);
     }
 
     #[test]
-    fn all_that_is_wrong_is_told_at_once_each_with_its_key() {
+    fn all_problems_are_reported_together_with_their_keys() {
         let mut bad = file();
         bad["seed"] = json!("xyz");
         bad["limits"]["sockets"] = json!(3);
@@ -464,7 +485,7 @@
         bad["known"]["servers"][0] = json!({"id": 5});
         bad["trial"] = json!({"length_s": 0, "worse_by": 0.1, "least": 10});
         bad.as_object_mut().expect("an object").remove("name");
-        let found = refused(&bad);
+        let found = rejected_paths(&bad);
         for path in [
             "name",
             "seed",
@@ -479,41 +500,42 @@
         ] {
             assert_eq!(found.iter().filter(|p| *p == path).count(), 1, "{path} in {found:?}");
         }
-        let double = file().to_string().replacen("\"Me\":0", "\"Me\":0,\"Me\":1", 1);
-        let problems = check(double.as_bytes(), None).expect_err("a doubled key");
-        assert_eq!(problems.to_string(), "settings.Me: stands more than once");
+        let duplicate = file().to_string().replacen("\"Me\":0", "\"Me\":0,\"Me\":1", 1);
+        let problems = check(duplicate.as_bytes(), None).expect_err("a duplicate key");
+        assert_eq!(problems.to_string(), "settings.Me: occurs more than once");
         let many = json!({"settings": {"Classes": vec![json!({"Effect": 1}); 500]}});
-        let problems = check(many.to_string().as_bytes(), None).expect_err("all of it is wrong").0;
-        assert_eq!(problems.len(), TOLD.0 + 1, "bounded");
+        let problems = check(many.to_string().as_bytes(), None).expect_err("every class is invalid").0;
+        assert_eq!(problems.len(), MAX_ERRORS.0 + 1, "the number of errors is bounded");
     }
 
     #[test]
-    fn what_customers_hang_on_may_only_grow_at_its_end() {
+    fn lists_with_indices_in_use_may_only_be_extended_at_their_end() {
         for (key, value) in [("Plans", json!([])), ("Dcs", json!(["b", "a"])), ("Classes", json!([]))] {
             let mut bad = file();
             bad["settings"][key] = value;
-            assert_eq!(refused(&bad), [format!("settings.{key}")]);
+            assert_eq!(rejected_paths(&bad), [format!("settings.{key}")]);
         }
         let mut more = file();
         more["settings"]["Dcs"] = json!(["a", "b"]);
         more["limits"]["memory_mb"] = json!(32);
         more["counter"] = json!("127.0.0.1:9");
-        let (config, plan) = check(more.to_string().as_bytes(), Some(&config())).expect("it grows");
+        let (config, plan) =
+            check(more.to_string().as_bytes(), Some(&config())).expect("the lists are only extended");
         assert_eq!(config.options.zones, ["a", "b"]);
-        let paths: Vec<(&str, What)> = plan.changes.iter().map(|c| (&*c.path, c.what)).collect();
-        let changed = |path| (path, What::Changed);
+        let paths: Vec<(&str, ChangeKind)> = plan.changes.iter().map(|c| (&*c.path, c.what)).collect();
+        let changed = |path| (path, ChangeKind::Changed);
         assert_eq!(
             paths,
-            [changed("counter"), changed("limits.memory_mb"), ("settings.Dcs[1]", What::Added)]
+            [changed("counter"), changed("limits.memory_mb"), ("settings.Dcs[1]", ChangeKind::Added)]
         );
         assert_eq!(plan.waits, ["limits"]);
     }
 
     #[test]
-    fn no_bytes_make_it_panic_and_what_it_takes_is_what_the_file_says() {
+    fn mutated_files_never_panic_and_accepted_ones_are_read_exactly() {
         let good = file().to_string().into_bytes();
-        let present = config();
-        let mut taken = 0;
+        let current = config();
+        let mut accepted = 0;
         for seed in 0..4000 {
             let mut rng = fastrand::Rng::with_seed(seed);
             let mut bytes = good.clone();
@@ -522,7 +544,7 @@
                 match rng.u32(..6) {
                     0 => bytes.truncate(at.max(1)),
                     4 | 5 => {
-                        // Another number, where there is one.
+                        // Changes a digit, so that many mutated files stay valid.
                         if let Some(digit) = bytes[at..].iter_mut().find(|b| b.is_ascii_digit()) {
                             *digit = b'0' + rng.u8(..10);
                         }
@@ -535,20 +557,20 @@
                     break;
                 }
             }
-            if let Ok((config, plan)) = check(&bytes, Some(&present)) {
-                taken += 1;
-                let (text, _) = strict::parse(&bytes).expect("it was read");
-                assert_eq!(config.text, text);
-                assert_eq!(plan.changes.is_empty(), text == present.text);
-                assert_eq!(config.options, Options::read(&text["settings"]).expect("it was read"));
-                // Taken once, it changes nothing more.
-                let (_, again) = check(&bytes, Some(&config)).expect("it fits itself");
+            if let Ok((config, plan)) = check(&bytes, Some(&current)) {
+                accepted += 1;
+                let (document, _) = strict::parse(&bytes).expect("valid JSON");
+                assert_eq!(config.document, document);
+                assert_eq!(plan.changes.is_empty(), document == current.document);
+                assert_eq!(config.options, Options::read(&document["settings"]).expect("valid settings"));
+                // Compared with itself, the file changes nothing.
+                let (_, again) = check(&bytes, Some(&config)).expect("valid against itself");
                 assert_eq!(again, Plan::default());
             } else {
-                let problems = check(&bytes, Some(&present)).expect_err("the same again");
-                assert!(problems.to_string().lines().count() == 1, "one line");
+                let problems = check(&bytes, Some(&current)).expect_err("rejected the second time as well");
+                assert!(problems.to_string().lines().count() == 1, "problems are printed as one line");
             }
         }
-        assert!(taken > 100, "{taken} of them are files all the same");
+        assert!(accepted > 100, "only {accepted} mutated files were accepted");
     }
 }
--- a/crates/gateway/src/bin/opalrun-gateway/config/store.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/config/store.rs
@@ -1,5 +1,5 @@
-//! The last good configuration on disk: written aside, synced and renamed, so that a crash or a power loss
-//! leaves the old one or the new one; checked whole when it is read.
+//! Stores the last good configuration on disk. It is written to a temporary file, synced and renamed, so that a crash or
+//! power loss leaves either the old or the new one. A checksum is verified when it is read.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
@@ -11,26 +11,33 @@
     path::{Path, PathBuf},
 };
 
-/// Names the form of the file, so that another form is not misread.
-const FORM: u32 = 1;
-const NAME: &str = "last-good.config";
-/// Longest first line, in bytes.
-const MOST_HEAD: usize = 1024;
+/// Version of the file format; a file with another one is not read.
+const FORMAT_VERSION: u32 = 1;
+const FILE_NAME: &str = "last-good.config";
+/// Largest header in bytes, without its line feed.
+const MAX_HEADER_BYTES: usize = 1024;
 
+/// First line of the file, as JSON; the configuration follows.
 #[derive(Serialize, Deserialize)]
-struct Head {
-    form: u32,
+struct Header {
+    #[serde(rename = "form")]
+    format_version: u32,
+    /// Number of the configuration's version.
     version: u64,
+    /// Length of the configuration in bytes.
     length: usize,
+    /// Checksum over version and configuration.
     sha256: String,
 }
 
+/// Why the last good configuration could not be read.
 #[derive(Debug)]
 pub enum StoreError {
     System(io::Error),
-    /// It was cut off, or a byte of it is not what it was.
+    /// The file is truncated or its checksum is wrong.
     Damaged,
-    Form(u32),
+    /// The file has this other format version.
+    Format(u32),
 }
 
 impl fmt::Display for StoreError {
@@ -38,13 +45,15 @@
         match self {
             Self::System(e) => e.fmt(f),
             Self::Damaged => f.write_str("it is damaged"),
-            Self::Form(form) => write!(f, "it has form {form}, and this program knows {FORM}"),
+            Self::Format(version) => {
+                write!(f, "it has format {version}, this program reads {FORMAT_VERSION}")
+            }
         }
     }
 }
 
-/// Covers the version as well as the text.
-fn sum(version: u64, text: &[u8]) -> String {
+/// SHA-256 of version and text, in hexadecimal.
+fn checksum(version: u64, text: &[u8]) -> String {
     let mut digest = Sha256::new();
     digest.update(version.to_le_bytes());
     digest.update(text);
@@ -52,49 +61,54 @@
 }
 
 fn encode(version: u64, text: &[u8]) -> io::Result<Vec<u8>> {
-    let head = Head { form: FORM, version, length: text.len(), sha256: sum(version, text) };
-    let mut whole = serde_json::to_vec(&head)?;
-    whole.push(b'\n');
-    whole.extend_from_slice(text);
-    Ok(whole)
+    let header = Header {
+        format_version: FORMAT_VERSION,
+        version,
+        length: text.len(),
+        sha256: checksum(version, text),
+    };
+    let mut bytes = serde_json::to_vec(&header)?;
+    bytes.push(b'\n');
+    bytes.extend_from_slice(text);
+    Ok(bytes)
 }
 
-fn decode(whole: &[u8]) -> Result<(u64, Vec<u8>), StoreError> {
-    let end = whole.iter().take(MOST_HEAD).position(|b| *b == b'\n').ok_or(StoreError::Damaged)?;
-    let (head, text) = (&whole[..end], &whole[end + 1..]);
-    let head: Head = serde_json::from_slice(head).map_err(|_| StoreError::Damaged)?;
-    if head.form != FORM {
-        return Err(StoreError::Form(head.form));
+fn decode(bytes: &[u8]) -> Result<(u64, Vec<u8>), StoreError> {
+    let end = bytes.iter().take(MAX_HEADER_BYTES).position(|b| *b == b'\n').ok_or(StoreError::Damaged)?;
+    let (header, text) = (&bytes[..end], &bytes[end + 1..]);
+    let header: Header = serde_json::from_slice(header).map_err(|_| StoreError::Damaged)?;
+    if header.format_version != FORMAT_VERSION {
+        return Err(StoreError::Format(header.format_version));
     }
-    if head.length != text.len() || head.sha256 != sum(head.version, text) {
+    if header.length != text.len() || header.sha256 != checksum(header.version, text) {
         return Err(StoreError::Damaged);
     }
-    Ok((head.version, text.to_vec()))
+    Ok((header.version, text.to_vec()))
 }
 
-/// Keeps `text` as the last good configuration.
+/// Saves `text` as the last good configuration.
 pub fn save(folder: &Path, version: u64, text: &[u8]) -> io::Result<()> {
-    let (path, aside) = (folder.join(NAME), folder.join(format!("{NAME}.new")));
-    let mut file = OpenOptions::new().write(true).create(true).truncate(true).mode(0o600).open(&aside)?;
+    let (path, temporary) = (folder.join(FILE_NAME), folder.join(format!("{FILE_NAME}.new")));
+    let mut file = OpenOptions::new().write(true).create(true).truncate(true).mode(0o600).open(&temporary)?;
     file.write_all(&encode(version, text)?)?;
     file.sync_all()?;
     drop(file);
-    std::fs::rename(&aside, &path)?;
-    // Without this the rename itself may be lost.
+    std::fs::rename(&temporary, &path)?;
+    // Syncs the folder, without which the rename may be lost in a power loss.
     File::open(folder)?.sync_all()
 }
 
-/// The last good configuration and its version's number.
+/// Reads the last good configuration. Returns the number of its version and the file's text.
 pub fn load(folder: &Path) -> Result<(u64, Vec<u8>), StoreError> {
-    let file = File::open(folder.join(NAME)).map_err(StoreError::System)?;
-    let most = super::file::MOST + MOST_HEAD as u64;
-    let mut whole = Vec::new();
-    file.take(most + 1).read_to_end(&mut whole).map_err(StoreError::System)?;
-    decode(&whole)
+    let file = File::open(folder.join(FILE_NAME)).map_err(StoreError::System)?;
+    let max_bytes = super::file::MAX_FILE_BYTES + MAX_HEADER_BYTES as u64;
+    let mut bytes = Vec::new();
+    file.take(max_bytes + 1).read_to_end(&mut bytes).map_err(StoreError::System)?;
+    decode(&bytes)
 }
 
-/// The folder that the environment names.
-pub fn named() -> Option<PathBuf> {
+/// The state folder that the environment variable `NODE_STATE` names.
+pub fn folder_from_environment() -> Option<PathBuf> {
     std::env::var_os("NODE_STATE").filter(|f| !f.is_empty()).map(PathBuf::from)
 }
 
@@ -105,39 +119,39 @@
     use super::*;
 
     #[test]
-    fn a_file_cut_at_any_length_or_with_any_byte_flipped_is_not_taken() {
+    fn truncated_files_and_flipped_bits_are_detected() {
         let text = b"{\"name\": \"n0\"}";
-        let whole = encode(7, text).expect("a small file");
-        assert_eq!(decode(&whole).expect("whole"), (7, text.to_vec()));
-        for at in 0..whole.len() {
-            assert!(decode(&whole[..at]).is_err(), "cut at {at}");
+        let bytes = encode(7, text).expect("a small file");
+        assert_eq!(decode(&bytes).expect("an intact file"), (7, text.to_vec()));
+        for at in 0..bytes.len() {
+            assert!(decode(&bytes[..at]).is_err(), "truncated to {at} bytes");
             for bit in 0..8 {
-                let mut flipped = whole.clone();
+                let mut flipped = bytes.clone();
                 flipped[at] ^= 1 << bit;
                 assert!(decode(&flipped).map_or(true, |(v, t)| (v, &t[..]) == (7, &text[..])), "{at}.{bit}");
             }
         }
-        let other = String::from_utf8(whole).expect("text").replacen("\"form\":1", "\"form\":2", 1);
-        assert!(matches!(decode(other.as_bytes()), Err(StoreError::Form(2))));
+        let other = String::from_utf8(bytes).expect("text").replacen("\"form\":1", "\"form\":2", 1);
+        assert!(matches!(decode(other.as_bytes()), Err(StoreError::Format(2))));
     }
 
     #[test]
-    fn a_save_that_fails_or_dies_half_way_leaves_the_old_one() {
+    fn interrupted_or_failed_save_leaves_the_former_file() {
         let folder = std::env::temp_dir().join(format!("opalrun-gateway-store-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a writable folder");
         assert!(matches!(load(&folder), Err(StoreError::System(_))));
         save(&folder, 1, b"one").expect("saved");
-        // Killed while it wrote aside.
-        std::fs::write(folder.join(format!("{NAME}.new")), &encode(2, b"two").expect("small")[..9])
+        // The state after a kill during the write of the temporary file.
+        std::fs::write(folder.join(format!("{FILE_NAME}.new")), &encode(2, b"two").expect("small")[..9])
             .expect("a file");
-        assert_eq!(load(&folder).expect("the old one"), (1, b"one".to_vec()));
-        save(&folder, 3, b"three").expect("saved over it");
-        assert_eq!(load(&folder).expect("the new one"), (3, b"three".to_vec()));
-        // Full: nothing can be written aside.
-        std::fs::remove_file(folder.join(format!("{NAME}.new"))).unwrap_or_default();
-        std::fs::create_dir(folder.join(format!("{NAME}.new"))).expect("in its way");
+        assert_eq!(load(&folder).expect("the former file"), (1, b"one".to_vec()));
+        save(&folder, 3, b"three").expect("saved");
+        assert_eq!(load(&folder).expect("the new file"), (3, b"three".to_vec()));
+        // As on a full disk, the temporary file can't be written: a folder has its name.
+        std::fs::remove_file(folder.join(format!("{FILE_NAME}.new"))).unwrap_or_default();
+        std::fs::create_dir(folder.join(format!("{FILE_NAME}.new"))).expect("a folder");
         assert!(save(&folder, 4, b"four").is_err());
-        assert_eq!(load(&folder).expect("still"), (3, b"three".to_vec()));
+        assert_eq!(load(&folder).expect("the former file"), (3, b"three".to_vec()));
         assert!(save(&folder.join("nowhere"), 1, b"x").is_err());
         std::fs::remove_dir_all(&folder).expect("its own folder");
     }
--- a/crates/gateway/src/bin/opalrun-gateway/config/strict.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/config/strict.rs
@@ -1,51 +1,51 @@
-//! Reads JSON as it stands in a configuration: a key that stands twice is an error, as one of the two would
-//! be passed over in silence.
+//! Parses JSON and reports duplicate keys, of which serde_json would silently keep only the last.
 
 use serde::de::{DeserializeSeed, Deserializer, Error, MapAccess, SeqAccess, Visitor};
 use serde_json::{Map, Number, Value};
 use std::{cell::RefCell, fmt};
 
-/// Where a value stands; written out only where it is told.
+/// Path of a value in the document, formatted only when it is reported.
 #[derive(Clone, Copy)]
-pub enum At<'a> {
-    Top,
-    Key(&'a At<'a>, &'a str),
-    Index(&'a At<'a>, usize),
+pub enum JsonPath<'a> {
+    Root,
+    Key(&'a JsonPath<'a>, &'a str),
+    Index(&'a JsonPath<'a>, usize),
 }
 
-impl fmt::Display for At<'_> {
+impl fmt::Display for JsonPath<'_> {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Top => Ok(()),
-            Self::Key(Self::Top, key) => f.write_str(key),
-            Self::Key(within, key) => write!(f, "{within}.{key}"),
-            Self::Index(within, i) => write!(f, "{within}[{i}]"),
+            Self::Root => Ok(()),
+            Self::Key(Self::Root, key) => f.write_str(key),
+            Self::Key(parent, key) => write!(f, "{parent}.{key}"),
+            Self::Index(parent, i) => write!(f, "{parent}[{i}]"),
         }
     }
 }
 
-/// The value, and the paths of all keys that stand more than once.
+/// Parses a document. Returns its value and the paths of all duplicate keys.
 pub fn parse(text: &[u8]) -> Result<(Value, Vec<String>), serde_json::Error> {
-    let doubled = RefCell::default();
+    let duplicates = RefCell::default();
     let mut reader = serde_json::Deserializer::from_slice(text);
-    let value = Seed { at: At::Top, doubled: &doubled }.deserialize(&mut reader)?;
+    let value = ValueSeed { at: JsonPath::Root, duplicates: &duplicates }.deserialize(&mut reader)?;
     reader.end()?;
-    Ok((value, doubled.take()))
+    Ok((value, duplicates.take()))
 }
 
-struct Seed<'a> {
-    at: At<'a>,
-    doubled: &'a RefCell<Vec<String>>,
+/// Deserializes the value at a path and collects the duplicate keys in it.
+struct ValueSeed<'a> {
+    at: JsonPath<'a>,
+    duplicates: &'a RefCell<Vec<String>>,
 }
 
-impl<'de> DeserializeSeed<'de> for Seed<'_> {
+impl<'de> DeserializeSeed<'de> for ValueSeed<'_> {
     type Value = Value;
     fn deserialize<D: Deserializer<'de>>(self, from: D) -> Result<Value, D::Error> {
         from.deserialize_any(self)
     }
 }
 
-impl<'de> Visitor<'de> for Seed<'_> {
+impl<'de> Visitor<'de> for ValueSeed<'_> {
     type Value = Value;
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -76,7 +76,7 @@
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Value, A::Error> {
         let mut list = Vec::new();
         loop {
-            let seed = Seed { at: At::Index(&self.at, list.len()), doubled: self.doubled };
+            let seed = ValueSeed { at: JsonPath::Index(&self.at, list.len()), duplicates: self.duplicates };
             match seq.next_element_seed(seed)? {
                 Some(value) => list.push(value),
                 None => return Ok(Value::Array(list)),
@@ -87,11 +87,11 @@
     fn visit_map<A: MapAccess<'de>>(self, mut keys: A) -> Result<Value, A::Error> {
         let mut map = Map::new();
         while let Some(key) = keys.next_key::<String>()? {
-            let at = At::Key(&self.at, &key);
+            let at = JsonPath::Key(&self.at, &key);
             if map.contains_key(&key) {
-                self.doubled.borrow_mut().push(at.to_string());
+                self.duplicates.borrow_mut().push(at.to_string());
             }
-            let value = keys.next_value_seed(Seed { at, doubled: self.doubled })?;
+            let value = keys.next_value_seed(ValueSeed { at, duplicates: self.duplicates })?;
             map.insert(key, value);
         }
         Ok(Value::Object(map))
@@ -103,16 +103,16 @@
     use super::*;
 
     #[test]
-    fn all_is_read_as_it_stands_and_what_stands_twice_is_named() {
+    fn values_are_parsed_exactly_and_duplicate_keys_are_reported() {
         let text = br#"{"a": [1, -2, 2.5, true, null, "x"], "b": {"c": {}, "d": 1e3}}"#;
-        let (value, doubled) = parse(text).expect("JSON");
-        assert_eq!((value, doubled.len()), (serde_json::from_slice(text).expect("JSON"), 0));
-        let (_, doubled) = parse(br#"{"a": 1, "b": [{"c": 1, "c": 2}], "a": 3}"#).expect("JSON");
-        assert_eq!(doubled, ["b[0].c", "a"]);
+        let (value, duplicates) = parse(text).expect("JSON");
+        assert_eq!((value, duplicates.len()), (serde_json::from_slice(text).expect("JSON"), 0));
+        let (_, duplicates) = parse(br#"{"a": 1, "b": [{"c": 1, "c": 2}], "a": 3}"#).expect("JSON");
+        assert_eq!(duplicates, ["b[0].c", "a"]);
         for bad in ["", "{", "{} {}", "{\"a\":1e999}", "nul", "[1,]", "\u{feff}{}"] {
             assert!(parse(bad.as_bytes()).is_err(), "{bad}");
         }
         let deep = "[".repeat(100_000);
-        assert!(parse(deep.as_bytes()).is_err(), "no deeper than the reader goes");
+        assert!(parse(deep.as_bytes()).is_err(), "the nesting depth is limited");
     }
 }
--- a/crates/gateway/src/bin/opalrun-gateway/config/trial.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/config/trial.rs
@@ -1,72 +1,75 @@
-//! The trial of a new version: whether it does worse than the one before did. No I/O, no clock.
+//! Trial of a new configuration: compares its share of failed answers with that before the change. Uses no I/O or clock.
 
 use opalrun_gateway::Time;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Seconds before a change that it is compared with, at most.
-const LONGEST: f64 = 600.0;
-/// How many deviations of chance the difference has to exceed.
-const SURE: f64 = 3.0;
+/// Longest trial, in seconds; answers are recorded for as long to compare with.
+const MAX_TRIAL_S: f64 = 600.0;
+/// Number of standard deviations that the difference of the failure ratios has to exceed.
+const SIGNIFICANCE: f64 = 3.0;
 
-/// On which terms a new version is tried.
+/// Settings of a trial: `trial` in the configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Terms {
-    /// Seconds that it is watched for, and compared with before.
+pub struct TrialSettings {
+    /// Length of the trial in seconds, and of the period before the change that it is compared with.
     pub length_s: f64,
-    /// How much larger the share of failed answers may become.
+    /// Largest accepted increase of the failure ratio.
     pub worse_by: f64,
-    /// Answers that either side must have.
+    /// Smallest number of answers in each period for a comparison.
     pub least: u64,
 }
 
-impl Terms {
-    pub fn usable(&self) -> bool {
+impl TrialSettings {
+    pub fn is_valid(&self) -> bool {
         self.length_s > 0.0
-            && self.length_s <= LONGEST
+            && self.length_s <= MAX_TRIAL_S
             && self.worse_by > 0.0
             && self.worse_by < 1.0
             && self.least > 0
     }
 }
 
-/// Answers, and those of them that failed.
+/// Number of answers, and of failures among them.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
-pub struct Tally {
+pub struct AnswerCounts {
     pub answers: u64,
     pub failed: u64,
 }
 
-impl Tally {
-    fn share(self) -> f64 {
+impl AnswerCounts {
+    /// The share of failures, from 0 to 1.
+    fn failure_ratio(self) -> f64 {
         self.failed as f64 / self.answers.max(1) as f64
     }
 
-    /// The variance of that share; one more of either kind, so that none seen is not held to be none at all.
+    /// Variance of the failure ratio. One success and one failure are added, so that the estimate is not 0 when no
+    /// failures were seen.
     fn variance(self) -> f64 {
         let (n, failed) = (self.answers as f64 + 2.0, self.failed as f64 + 1.0);
         failed / n * (1.0 - failed / n) / n
     }
 }
 
-/// What was answered of late, in steps of whoever counts.
+/// Answers of the last `MAX_TRIAL_S` seconds, as they were counted.
 #[derive(Debug, Default)]
-pub struct Recent {
-    steps: VecDeque<(Time, Tally)>,
+pub struct RecentAnswers {
+    /// When each count was taken, and the answers since the one before.
+    steps: VecDeque<(Time, AnswerCounts)>,
 }
 
-impl Recent {
-    pub fn note(&mut self, now: Time, step: Tally) {
+impl RecentAnswers {
+    pub fn record(&mut self, now: Time, step: AnswerCounts) {
         self.steps.push_back((now, step));
-        while self.steps.front().is_some_and(|(at, _)| *at < now - LONGEST) {
+        while self.steps.front().is_some_and(|(at, _)| *at < now - MAX_TRIAL_S) {
             self.steps.pop_front();
         }
     }
 
-    /// What was answered in the last `length` seconds.
-    pub fn within(&self, now: Time, length: f64) -> Tally {
-        let mut sum = Tally::default();
+    /// Answers of the last `length` seconds.
+    pub fn within(&self, now: Time, length: f64) -> AnswerCounts {
+        let mut sum = AnswerCounts::default();
         for (_, step) in self.steps.iter().rev().take_while(|(at, _)| *at > now - length) {
             (sum.answers, sum.failed) = (sum.answers + step.answers, sum.failed + step.failed);
         }
@@ -74,40 +77,49 @@
     }
 }
 
+/// State of a trial.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Verdict {
+    /// The trial continues.
     Going,
-    /// Its time is over, and it did no worse as far as is known.
+    /// The trial is over, and no increase of failures was found.
     Passed,
+    /// The failure ratio has increased by more than accepted and than chance explains.
     Worse,
 }
 
-/// One version's trial.
+/// Trial of one version.
 #[derive(Debug, Clone, Serialize)]
 pub struct Trial {
-    /// The version that is tried.
+    /// Number of the version on trial.
     pub version: u64,
+    /// When the trial ends.
     pub until: Time,
-    pub before: Tally,
-    pub after: Tally,
-    terms: Terms,
+    /// Answers in the period before the change.
+    pub before: AnswerCounts,
+    /// Answers since the change.
+    pub after: AnswerCounts,
+    #[serde(rename = "terms")]
+    settings: TrialSettings,
 }
 
 impl Trial {
-    pub fn begin(version: u64, now: Time, terms: Terms, recent: &Recent) -> Self {
-        let before = recent.within(now, terms.length_s);
-        Self { version, until: now + terms.length_s, before, after: Tally::default(), terms }
+    /// Starts a trial at `now`.
+    pub fn start(version: u64, now: Time, settings: TrialSettings, recent: &RecentAnswers) -> Self {
+        let before = recent.within(now, settings.length_s);
+        Self { version, until: now + settings.length_s, before, after: AnswerCounts::default(), settings }
     }
 
-    pub fn note(&mut self, now: Time, step: Tally) -> Verdict {
+    /// Adds the answers of the last `step` and judges the trial.
+    pub fn record(&mut self, now: Time, step: AnswerCounts) -> Verdict {
         self.after.answers += step.answers;
         self.after.failed += step.failed;
         let (before, after) = (self.before, self.after);
-        let enough = before.answers.min(after.answers) >= self.terms.least;
-        let more = after.share() - before.share();
-        let chance = SURE * (before.variance() + after.variance()).sqrt();
-        if enough && more > self.terms.worse_by.max(chance) {
+        let enough = before.answers.min(after.answers) >= self.settings.least;
+        let increase = after.failure_ratio() - before.failure_ratio();
+        let chance = SIGNIFICANCE * (before.variance() + after.variance()).sqrt();
+        if enough && increase > self.settings.worse_by.max(chance) {
             Verdict::Worse
         } else if now >= self.until {
             Verdict::Passed
@@ -121,47 +133,59 @@
 mod tests {
     use super::*;
 
-    fn terms() -> Terms {
-        Terms { length_s: 10.0, worse_by: 0.05, least: 50 }
+    fn settings() -> TrialSettings {
+        TrialSettings { length_s: 10.0, worse_by: 0.05, least: 50 }
     }
 
-    fn tried(before: Tally, after: Tally) -> Verdict {
-        let mut recent = Recent::default();
-        recent.note(99.0, before);
-        let mut trial = Trial::begin(2, 100.0, terms(), &recent);
-        trial.note(101.0, after)
+    fn judge(before: AnswerCounts, after: AnswerCounts) -> Verdict {
+        let mut recent = RecentAnswers::default();
+        recent.record(99.0, before);
+        let mut trial = Trial::start(2, 100.0, settings(), &recent);
+        trial.record(101.0, after)
     }
 
-    fn of(answers: u64, failed: u64) -> Tally {
-        Tally { answers, failed }
+    fn counts(answers: u64, failed: u64) -> AnswerCounts {
+        AnswerCounts { answers, failed }
     }
 
     #[test]
-    fn it_is_worse_only_beyond_the_bound_beyond_chance_and_on_enough_answers() {
-        assert_eq!(tried(of(1000, 10), of(1000, 100)), Verdict::Worse);
-        assert_eq!(tried(of(1000, 10), of(1000, 55)), Verdict::Going, "within the bound");
-        assert_eq!(tried(of(1000, 400), of(1000, 400)), Verdict::Going, "as bad as before: no fault of this");
-        assert_eq!(tried(of(1000, 10), of(40, 40)), Verdict::Going, "too few");
-        assert_eq!(tried(of(10, 0), of(1000, 500)), Verdict::Going, "too few to compare with");
-        assert_eq!(tried(of(60, 3), of(60, 8)), Verdict::Going, "as may come by chance");
+    fn version_fails_only_beyond_bound_and_chance_with_enough_answers() {
+        assert_eq!(judge(counts(1000, 10), counts(1000, 100)), Verdict::Worse);
+        assert_eq!(judge(counts(1000, 10), counts(1000, 55)), Verdict::Going, "within the bound");
+        assert_eq!(
+            judge(counts(1000, 400), counts(1000, 400)),
+            Verdict::Going,
+            "the failure ratio was the same before"
+        );
+        assert_eq!(
+            judge(counts(1000, 10), counts(40, 40)),
+            Verdict::Going,
+            "too few answers after the change"
+        );
+        assert_eq!(
+            judge(counts(10, 0), counts(1000, 500)),
+            Verdict::Going,
+            "too few answers before the change"
+        );
+        assert_eq!(judge(counts(60, 3), counts(60, 8)), Verdict::Going, "the difference may be chance");
     }
 
     #[test]
-    fn its_time_ends_and_only_the_time_before_counts() {
-        let mut recent = Recent::default();
-        recent.note(10.0, of(1000, 1000));
-        recent.note(95.0, of(100, 0));
-        let mut trial = Trial::begin(2, 100.0, terms(), &recent);
-        assert_eq!(trial.before, of(100, 0));
-        assert_eq!(trial.note(105.0, of(30, 0)), Verdict::Going);
-        assert_eq!(trial.note(110.0, of(30, 0)), Verdict::Passed);
-        (0..2000).for_each(|i| recent.note(f64::from(i), of(1, 0)));
-        assert!(recent.steps.len() <= LONGEST as usize + 2, "bounded");
+    fn trial_ends_in_time_and_compares_with_the_period_before_it() {
+        let mut recent = RecentAnswers::default();
+        recent.record(10.0, counts(1000, 1000));
+        recent.record(95.0, counts(100, 0));
+        let mut trial = Trial::start(2, 100.0, settings(), &recent);
+        assert_eq!(trial.before, counts(100, 0));
+        assert_eq!(trial.record(105.0, counts(30, 0)), Verdict::Going);
+        assert_eq!(trial.record(110.0, counts(30, 0)), Verdict::Passed);
+        (0..2000).for_each(|i| recent.record(f64::from(i), counts(1, 0)));
+        assert!(recent.steps.len() <= MAX_TRIAL_S as usize + 2, "the record of answers is bounded");
     }
 
     #[test]
-    fn senseless_terms_are_not_usable() {
-        assert!(terms().usable());
+    fn settings_out_of_range_are_invalid() {
+        assert!(settings().is_valid());
         for (length_s, worse_by, least) in [
             (0.0, 0.1, 1),
             (-1.0, 0.1, 1),
@@ -171,7 +195,7 @@
             (1.0, 1.0, 1),
             (1.0, 0.1, 0),
         ] {
-            assert!(!Terms { length_s, worse_by, least }.usable(), "{length_s} {worse_by} {least}");
+            assert!(!TrialSettings { length_s, worse_by, least }.is_valid(), "{length_s} {worse_by} {least}");
         }
     }
 }
--- a/crates/gateway/src/bin/opalrun-gateway/counter.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/counter.rs
@@ -1,8 +1,7 @@
-//! The counter's client: calls written one behind another, answers matched in their order.
+//! Client of the counter service. Calls are pipelined on a connection, and answers are matched to calls in order.
 //!
-//! There are a few lines (connections). A call takes the first line on which no answer is overdue, so a stuck
-//! one does not stall the rest; calls for one name that are still waited for stay on one line, as their
-//! answers must come in order.
+//! There are a few connections. A call uses the first one on which no answer is overdue, so that a stuck connection
+//! does not delay the rest. Pending calls for the same count share a connection, as their answers must arrive in order.
 
 use opalrun_gateway::{Event, Status};
 use opalrun_transport::connection::connect;
@@ -21,48 +20,58 @@
 };
 use tracing::warn;
 
-/// Lines at most; the counter holds 32 of a gateway.
-pub const LINES: usize = 4;
-/// Between pings, well under the shortest idle time after which the counter closes.
-const PING: Duration = Duration::from_secs(2);
-/// A line that owes an answer for so many of a call's time limits is given up: its far end is gone. Few, as
-/// the other lines may get stuck too, and nobody waits for its answers any more.
-const STUCK_LIMITS: u32 = 4;
-/// First and longest wait between two connections.
+/// Largest number of connections; the counter accepts 32 of each gateway.
+pub const MAX_CONNECTIONS: usize = 4;
+/// Interval between pings, well below the shortest idle time after which the counter closes a connection.
+const PING_INTERVAL: Duration = Duration::from_secs(2);
+/// A connection is given up when an answer on it is missing for this many call time-outs. The number is small, as the
+/// other connections may get stuck too and the calls on it have timed out long before.
+const STUCK_CALL_TIMEOUTS: u32 = 4;
+/// First and longest delay before a connection is opened again.
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(20), Duration::from_secs(1));
-/// Longest answer line.
-const MAX_LINE: usize = 256;
+/// Longest answer, in bytes, without its line feed.
+const MAX_ANSWER_BYTES: usize = 256;
 
+/// A call or ping that is to be written or waits for its answer.
 struct Call {
     /// The count's name; `None` for a ping.
     name: Option<u64>,
+    /// Number by which the caller expires the call; 0 for a ping.
     number: u64,
     since: Instant,
+    /// The call as it is sent.
     text: Vec<u8>,
+    /// Bytes of `text` that are written.
     written: usize,
+    /// Whether the caller knows the result and ignores a later answer; always so for a ping.
     reported: bool,
 }
 
+/// One connection, kept open across reconnects, and its calls in order.
 #[derive(Default)]
-struct Line {
+struct CounterConnection {
+    /// Write half of the socket while the connection is up.
     socket: Option<Rc<OwnedWriteHalf>>,
     calls: VecDeque<Call>,
+    /// Whether the task that maintains the connection runs.
     started: bool,
-    /// The counter is elsewhere now: this connection only ends what it has begun.
-    leaving: bool,
+    /// The counter's address has changed: the connection only completes the calls that are partly written or waiting.
+    is_retiring: bool,
+    /// Wakes the task that maintains the connection, to write or to close.
     wake: Rc<Notify>,
 }
 
-impl Line {
-    fn overdue(&self, limit: Duration) -> bool {
+impl CounterConnection {
+    /// Whether the oldest call has waited for its answer longer than `limit`.
+    fn is_overdue(&self, limit: Duration) -> bool {
         self.calls.front().is_some_and(|c| c.since.elapsed() > limit)
     }
 
-    /// Writes what the socket takes; `false`: the connection is broken.
+    /// Writes as much as the socket accepts. Returns `false` if the connection is broken.
     fn flush(&mut self) -> bool {
         let Some(socket) = &self.socket else { return true };
-        let leaving = self.leaving;
-        let due = |c: &&mut Call| c.written < c.text.len() && (c.written > 0 || !leaving);
+        let is_retiring = self.is_retiring;
+        let due = |c: &&mut Call| c.written < c.text.len() && (c.written > 0 || !is_retiring);
         for call in self.calls.iter_mut().filter(due) {
             while call.written < call.text.len() {
                 match socket.try_write(&call.text[call.written..]) {
@@ -76,35 +85,41 @@
         true
     }
 
-    /// The socket has not taken all that it should.
-    fn unwritten(&self) -> bool {
-        let due = |c: &Call| c.written < c.text.len() && (c.written > 0 || !self.leaving);
+    /// Whether calls remain to be written on this connection.
+    fn has_unwritten(&self) -> bool {
+        let due = |c: &Call| c.written < c.text.len() && (c.written > 0 || !self.is_retiring);
         self.calls.iter().rev().any(due)
     }
 
-    /// An answer that somebody waits for is still to come on this connection.
-    fn owed(&self) -> bool {
+    /// Whether a call written on this connection still waits for its answer.
+    fn awaits_answer(&self) -> bool {
         self.calls.iter().any(|c| c.written > 0 && !c.reported)
     }
 }
 
+/// The client of the counter service.
 pub struct Counter {
     addr: watch::Sender<SocketAddr>,
-    limit: Cell<Duration>,
-    lines: RefCell<Vec<Line>>,
-    numbers: Cell<u64>,
-    /// It has answered something since the start.
-    answers: Cell<bool>,
+    /// Time-out of a call.
+    call_timeout: Cell<Duration>,
+    connections: RefCell<Vec<CounterConnection>>,
+    /// Number of the next call.
+    next_number: Cell<u64>,
+    /// Whether any call has been answered since the start.
+    has_answered: Cell<bool>,
 }
 
 /// An answer of the counter.
 enum Answer {
+    /// The amount was added; the count's new total.
     Total(f64),
+    /// The counter is busy or refused the call, and added nothing.
     NothingAdded,
     Pong,
 }
 
-fn answer(line: &[u8]) -> Option<Answer> {
+/// Parses an answer; `None`: it is none of the known ones.
+fn parse_answer(line: &[u8]) -> Option<Answer> {
     let text = std::str::from_utf8(line).ok()?.trim_end_matches('\r');
     match text.split_once(' ') {
         Some(("ok", total)) => total.parse().ok().filter(|t: &f64| t.is_finite()).map(Answer::Total),
@@ -115,138 +130,140 @@
     }
 }
 
-/// Whoever calls the counter.
+/// Owner of the counter's client, which receives the results of calls.
 pub trait CounterCaller: 'static {
-    /// The counter that is called; `None`: there is none.
+    /// The client; `None` if no counter is configured.
     fn counter(&self) -> Option<&Counter>;
 
-    /// A call has ended.
-    fn counted(self: &Rc<Self>, event: Event);
+    /// Receives the result of a call.
+    fn call_ended(self: &Rc<Self>, event: Event);
 }
 
 impl Counter {
-    pub fn new(addr: SocketAddr, limit: Duration) -> Self {
-        let lines = RefCell::new((0..LINES).map(|_| Line::default()).collect());
-        let (addr, limit) = (watch::Sender::new(addr), Cell::new(limit));
-        Self { addr, limit, lines, numbers: Cell::default(), answers: Cell::default() }
+    pub fn new(addr: SocketAddr, call_timeout: Duration) -> Self {
+        let connections = RefCell::new((0..MAX_CONNECTIONS).map(|_| CounterConnection::default()).collect());
+        let (addr, call_timeout) = (watch::Sender::new(addr), Cell::new(call_timeout));
+        Self { addr, call_timeout, connections, next_number: Cell::default(), has_answered: Cell::default() }
     }
 
-    /// Whether it has answered anything yet.
-    pub fn answers(&self) -> bool {
-        self.answers.get()
+    /// Whether the counter has answered any call since the start.
+    pub fn has_answered(&self) -> bool {
+        self.has_answered.get()
     }
 
-    /// From now on the counter is at `addr`: each line connects there once its answers have come.
-    pub fn move_to(&self, addr: SocketAddr) {
+    /// Changes the counter's address. Each connection moves there once the answers that it waits for have arrived.
+    pub fn set_address(&self, addr: SocketAddr) {
         self.addr.send_if_modified(|now| std::mem::replace(now, addr) != addr);
     }
 
-    /// From now on a call is given up after `limit`.
-    pub fn retune(&self, limit: Duration) {
-        self.limit.set(limit);
+    /// Changes the time-out of calls.
+    pub fn set_call_timeout(&self, call_timeout: Duration) {
+        self.call_timeout.set(call_timeout);
     }
 
-    /// Connects the first line.
+    /// Opens the first connection.
     pub fn start(&self, caller: &Rc<impl CounterCaller>) {
-        self.lines.borrow_mut()[0].started = true;
-        tokio::task::spawn_local(keep(0, caller.clone()));
+        self.connections.borrow_mut()[0].started = true;
+        tokio::task::spawn_local(maintain(0, caller.clone()));
     }
 
-    /// Begins a call; the event that answers it comes by `caller`. Returns the call's number, to be named to
-    /// [`Counter::expire`] when its time is up.
+    /// Starts a call that adds `amount` to the count `name`, which the counter keeps for `ttl` seconds. The result goes to
+    /// `caller`. Returns the call's number, to be passed to [`Counter::expire`] at the call's time-out.
     pub fn call(&self, caller: &Rc<impl CounterCaller>, name: u64, amount: f64, ttl: f64) -> u64 {
-        let number = self.numbers.get();
-        self.numbers.set(number + 1);
-        let life = (ttl * 1000.0).round().clamp(1.0, 60_000.0) as u64;
-        let text = format!("bump {name} {amount} {life}\r\n").into_bytes();
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
+        let ttl_ms = (ttl * 1000.0).round().clamp(1.0, 60_000.0) as u64;
+        let text = format!("bump {name} {amount} {ttl_ms}\r\n").into_bytes();
         let call =
             Call { name: Some(name), number, since: Instant::now(), text, written: 0, reported: false };
-        let mut lines = self.lines.borrow_mut();
-        let waits = |l: &Line| l.calls.iter().any(|c| c.name == Some(name) && !c.reported);
-        let free = |l: &Line| !l.overdue(self.limit.get());
-        let chosen = lines
+        let mut connections = self.connections.borrow_mut();
+        let waits = |l: &CounterConnection| l.calls.iter().any(|c| c.name == Some(name) && !c.reported);
+        let free = |l: &CounterConnection| !l.is_overdue(self.call_timeout.get());
+        let chosen = connections
             .iter()
             .position(waits)
-            .or_else(|| lines.iter().position(|l| l.socket.is_some() && free(l)))
-            .or_else(|| lines.iter().position(free))
-            .or_else(|| (0..lines.len()).min_by_key(|i| lines[*i].calls.len()))
+            .or_else(|| connections.iter().position(|l| l.socket.is_some() && free(l)))
+            .or_else(|| connections.iter().position(free))
+            .or_else(|| (0..connections.len()).min_by_key(|i| connections[*i].calls.len()))
             .unwrap_or(0);
-        let line = &mut lines[chosen];
-        line.calls.push_back(call);
-        if !line.started {
-            line.started = true;
-            tokio::task::spawn_local(keep(chosen, caller.clone()));
-        } else if !line.flush() || line.unwritten() {
-            line.wake.notify_one();
+        let connection = &mut connections[chosen];
+        connection.calls.push_back(call);
+        if !connection.started {
+            connection.started = true;
+            tokio::task::spawn_local(maintain(chosen, caller.clone()));
+        } else if !connection.flush() || connection.has_unwritten() {
+            connection.wake.notify_one();
         }
         number
     }
 
-    /// Whether the call is still waited for.
-    pub fn waits(&self, number: u64) -> bool {
-        let calls = |l: &Line| l.calls.iter().any(|c| c.number == number && !c.reported);
-        self.lines.borrow().iter().any(calls)
+    /// Whether the call has no result yet.
+    pub fn is_waiting(&self, number: u64) -> bool {
+        let calls = |l: &CounterConnection| l.calls.iter().any(|c| c.number == number && !c.reported);
+        self.connections.borrow().iter().any(calls)
     }
 
-    /// A call's time is up. Its answer is still to come and is passed over then.
+    /// Reports a call as timed out. If any of it is written, its answer still arrives later and is ignored.
     pub fn expire(&self, caller: &Rc<impl CounterCaller>, number: u64) {
-        let mut lines = self.lines.borrow_mut();
-        for line in lines.iter_mut() {
-            let Some(at) = line.calls.iter().position(|c| c.number == number && c.name.is_some()) else {
+        let mut connections = self.connections.borrow_mut();
+        for connection in connections.iter_mut() {
+            let Some(at) = connection.calls.iter().position(|c| c.number == number && c.name.is_some())
+            else {
                 continue;
             };
-            let call = &mut line.calls[at];
+            let call = &mut connection.calls[at];
             if call.reported {
                 return;
             }
             call.reported = true;
-            if line.leaving {
-                line.wake.notify_one();
+            if connection.is_retiring {
+                connection.wake.notify_one();
             }
-            let call = &line.calls[at];
+            let call = &connection.calls[at];
             let (name, spent) = (call.name, call.since.elapsed());
             let status = if call.written == 0 {
-                // Not a byte has gone out, and none will: nothing is added.
-                line.calls.remove(at);
+                // Nothing of the call was sent, and nothing will be, so the counter can't have added the amount.
+                connection.calls.remove(at);
                 Status::ConnectFailed
             } else {
                 Status::Timeout
             };
-            drop(lines);
+            drop(connections);
             report(caller, name, status, 0.0, spent);
             return;
         }
     }
 
-    /// Takes the answer that a line has read; `false`: it fits no call.
-    fn answered(&self, index: usize, answer: &Answer, caller: &Rc<impl CounterCaller>) -> bool {
-        let Some(call) = self.lines.borrow_mut()[index].calls.pop_front() else { return false };
+    /// Matches an answer to the oldest call of its connection. Returns `false` if it does not fit that call.
+    fn handle_answer(&self, index: usize, answer: &Answer, caller: &Rc<impl CounterCaller>) -> bool {
+        let Some(call) = self.connections.borrow_mut()[index].calls.pop_front() else { return false };
         let (status, total) = match (answer, call.name) {
             (Answer::Pong, None) => return true,
             (Answer::Total(total), Some(_)) => (Status::Ok, *total),
             (Answer::NothingAdded, Some(_)) => (Status::Rejected, 0.0),
             _ => {
-                self.lines.borrow_mut()[index].calls.push_front(call);
+                self.connections.borrow_mut()[index].calls.push_front(call);
                 return false;
             }
         };
-        self.answers.set(true);
+        self.has_answered.set(true);
         if !call.reported {
             report(caller, call.name, status, total, call.since.elapsed());
         }
         true
     }
 
-    /// The line's connection is gone or never came up: its calls end, each by how far it had been written.
-    fn broken(&self, index: usize, caller: &Rc<impl CounterCaller>) {
+    /// Ends the calls of a connection that was lost or could not be opened. A call that was written completely may have
+    /// been counted, so it ends as a time-out; the others end as not sent.
+    fn connection_lost(&self, index: usize, caller: &Rc<impl CounterCaller>) {
         let calls: VecDeque<Call> = {
-            let line = &mut self.lines.borrow_mut()[index];
-            line.socket = None;
-            // A connection that was left keeps what it has not begun for the next one.
-            let leaving = std::mem::take(&mut line.leaving);
-            let kept = |c: &Call| leaving && c.written == 0 && !c.reported;
-            let (kept, ended) = std::mem::take(&mut line.calls).into_iter().partition(kept);
-            line.calls = kept;
+            let connection = &mut self.connections.borrow_mut()[index];
+            connection.socket = None;
+            // After a change of address, calls of which nothing is written are sent on the next connection.
+            let is_retiring = std::mem::take(&mut connection.is_retiring);
+            let kept = |c: &Call| is_retiring && c.written == 0 && !c.reported;
+            let (kept, ended) = std::mem::take(&mut connection.calls).into_iter().partition(kept);
+            connection.calls = kept;
             ended
         };
         for call in calls.into_iter().filter(|c| !c.reported) {
@@ -257,49 +274,49 @@
     }
 
     fn ping(&self, index: usize) {
-        let line = &mut self.lines.borrow_mut()[index];
+        let connection = &mut self.connections.borrow_mut()[index];
         let text = b"ping\r\n".to_vec();
         let since = Instant::now();
-        line.calls.push_back(Call { name: None, number: 0, since, text, written: 0, reported: true });
+        connection.calls.push_back(Call { name: None, number: 0, since, text, written: 0, reported: true });
     }
 }
 
 fn report(caller: &Rc<impl CounterCaller>, name: Option<u64>, status: Status, total: f64, spent: Duration) {
     if let Some(counter) = name {
-        caller.counted(Event::CounterAnswered { counter, status, total, elapsed: spent.as_secs_f64() });
+        caller.call_ended(Event::Counted { counter, status, total, spent: spent.as_secs_f64() });
     }
 }
 
-/// Keeps one line connected for good.
-async fn keep(index: usize, caller: Rc<impl CounterCaller>) {
+/// Maintains one connection, opening it again whenever it ends; never returns while a counter is configured.
+async fn maintain(index: usize, caller: Rc<impl CounterCaller>) {
     let Some(counter) = caller.counter() else { return };
     let mut addr = counter.addr.subscribe();
-    let (mut wait, mut well) = (BACKOFF.0, true);
+    let (mut wait, mut warns) = (BACKOFF.0, true);
     loop {
         let now = *addr.borrow_and_update();
-        let end = match tokio::time::timeout(counter.limit.get() * 5, connect(now)).await {
+        let end = match tokio::time::timeout(counter.call_timeout.get() * 5, connect(now)).await {
             Ok(Ok(socket)) => run(counter, index, socket, &caller, &mut wait, &mut addr).await,
             Ok(Err(e)) => e,
             Err(_) => ErrorKind::TimedOut.into(),
         };
         let moved = *addr.borrow() != now;
-        counter.broken(index, &caller);
+        counter.connection_lost(index, &caller);
         if moved {
-            (wait, well) = (BACKOFF.0, true);
+            (wait, warns) = (BACKOFF.0, true);
             continue;
         }
-        if well {
+        if warns {
             warn!("counter: {end}");
         }
-        // One complaint a silence: the wait is back at its first value once an answer has come.
-        well = wait == BACKOFF.0;
+        // Only the first of several failures in a row is logged: the delay is reset by an answer.
+        warns = wait == BACKOFF.0;
         tokio::select! { () = tokio::time::sleep(wait) => {}, _ = addr.changed() => {} }
         wait = (wait * 2).min(BACKOFF.1);
-        // What was called meanwhile is still unwritten and goes out with the new connection, or expires.
+        // Calls made meanwhile are unwritten; they are sent on the new connection or expire.
     }
 }
 
-/// Writes and reads on one connection until it ends; returns why it did.
+/// Writes calls and reads answers on one connection until it ends. Returns why it ended.
 async fn run(
     counter: &Counter,
     index: usize,
@@ -311,56 +328,56 @@
     let (mut reader, writer) = socket.into_split();
     let writer = Rc::new(writer);
     let wake = {
-        let line = &mut counter.lines.borrow_mut()[index];
-        line.socket = Some(writer.clone());
-        line.wake.clone()
+        let connection = &mut counter.connections.borrow_mut()[index];
+        connection.socket = Some(writer.clone());
+        connection.wake.clone()
     };
     let (mut read, mut buffer) = (Vec::new(), [0; 4096]);
-    let mut ping = tokio::time::interval(PING);
-    let stuck = counter.limit.get() * STUCK_LIMITS;
+    let mut ping = tokio::time::interval(PING_INTERVAL);
+    let stuck = counter.call_timeout.get() * STUCK_CALL_TIMEOUTS;
     loop {
         let (unwritten, given_up) = {
-            let line = &mut counter.lines.borrow_mut()[index];
-            if !line.flush() {
+            let connection = &mut counter.connections.borrow_mut()[index];
+            if !connection.flush() {
                 return ErrorKind::BrokenPipe.into();
             }
-            if line.overdue(stuck) {
+            if connection.is_overdue(stuck) {
                 return ErrorKind::TimedOut.into();
             }
-            if line.leaving && !line.owed() {
+            if connection.is_retiring && !connection.awaits_answer() {
                 return ErrorKind::NotConnected.into();
             }
-            (line.unwritten(), line.calls.front().map(|c| c.since + stuck))
+            (connection.has_unwritten(), connection.calls.front().map(|c| c.since + stuck))
         };
-        let came = tokio::select! {
-            came = reader.read(&mut buffer) => came,
+        let received = tokio::select! {
+            received = reader.read(&mut buffer) => received,
             ready = writer.writable(), if unwritten => match ready {
                 Ok(()) => continue,
                 Err(e) => return e,
             },
             () = wake.notified() => continue,
             () = tokio::time::sleep_until(given_up.unwrap_or_else(Instant::now).into()), if given_up.is_some() => continue,
-            // One that owes an answer is not idle.
+            // A connection that waits for an answer is not idle and needs no ping.
             _ = ping.tick(), if given_up.is_none() => { counter.ping(index); continue }
-            Ok(()) = addr.changed() => { counter.lines.borrow_mut()[index].leaving = true; continue }
+            Ok(()) = addr.changed() => { counter.connections.borrow_mut()[index].is_retiring = true; continue }
         };
-        match came {
+        match received {
             Ok(0) => return ErrorKind::UnexpectedEof.into(),
             Ok(n) => read.extend_from_slice(&buffer[..n]),
             Err(e) => return e,
         }
         let mut from = 0;
         while let Some(len) = read[from..].iter().position(|b| *b == b'\n') {
-            let said = answer(&read[from..from + len]);
-            // What is no answer puts all that follows in doubt: the connection ends, its calls with it.
-            if !said.is_some_and(|said| counter.answered(index, &said, caller)) {
+            let parsed = parse_answer(&read[from..from + len]);
+            // After an invalid answer the later ones can't be matched to calls, so the connection is closed.
+            if !parsed.is_some_and(|parsed| counter.handle_answer(index, &parsed, caller)) {
                 return ErrorKind::InvalidData.into();
             }
             from += len + 1;
             *wait = BACKOFF.0;
         }
         read.drain(..from);
-        if read.len() > MAX_LINE {
+        if read.len() > MAX_ANSWER_BYTES {
             return ErrorKind::InvalidData.into();
         }
     }
@@ -371,16 +388,16 @@
     use super::*;
 
     #[test]
-    fn only_the_counters_own_words_are_answers() {
-        assert!(matches!(answer(b"ok 41.5\r"), Some(Answer::Total(t)) if t == 41.5));
-        assert!(matches!(answer(b"ok -2"), Some(Answer::Total(t)) if t == -2.0));
-        assert!(matches!(answer(b"busy\r"), Some(Answer::NothingAdded)));
-        assert!(matches!(answer(b"error no such call\r"), Some(Answer::NothingAdded)));
-        assert!(matches!(answer(b"pong\r"), Some(Answer::Pong)));
-        // A total that is no number must not reach the quotas.
+    fn only_known_answers_with_finite_totals_are_accepted() {
+        assert!(matches!(parse_answer(b"ok 41.5\r"), Some(Answer::Total(t)) if t == 41.5));
+        assert!(matches!(parse_answer(b"ok -2"), Some(Answer::Total(t)) if t == -2.0));
+        assert!(matches!(parse_answer(b"busy\r"), Some(Answer::NothingAdded)));
+        assert!(matches!(parse_answer(b"error no such call\r"), Some(Answer::NothingAdded)));
+        assert!(matches!(parse_answer(b"pong\r"), Some(Answer::Pong)));
+        // A total that is not a finite number would corrupt the quotas.
         for garbage in ["ok", "ok ", "ok NaN", "ok inf", "ok 1 2", "okay 1", "", "\u{fffd}"] {
-            assert!(answer(garbage.as_bytes()).is_none(), "{garbage}");
+            assert!(parse_answer(garbage.as_bytes()).is_none(), "{garbage}");
         }
-        assert!(answer(&[0xff, 0xfe]).is_none());
+        assert!(parse_answer(&[0xff, 0xfe]).is_none());
     }
 }
--- a/crates/gateway/src/bin/opalrun-gateway/driver/actions.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/driver/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the decisions want.
+//! Executes the actions that the decisions return.
 
 use super::{
     Driver,
@@ -6,13 +6,13 @@
     requests::AttemptCaller,
     timer_queue::Due,
 };
-use crate::workers::{Terms, Trace};
+use crate::workers::{AttemptLimits, Trace};
 use opalrun_gateway::{Action, Event, JobId, Load, ServerId, Status, Time};
 use std::{rc::Rc, time::Duration};
 use tracing::{Level, debug, enabled, info, warn};
 
 impl Driver {
-    pub(super) fn carry_out(self: &Rc<Self>, now: Time, action: Action) {
+    pub(super) fn execute(self: &Rc<Self>, now: Time, action: Action) {
         match action {
             Action::Send { job, server, timeout, send_by, paid_from } => {
                 self.log_request(&job, "sent", Some(&server), paid_from.text());
@@ -44,13 +44,13 @@
                 }
             },
             Action::Log(text) => info!("{text}"),
-            // The list is always followed.
-            Action::Subscribe => {}
-            other => warn!("an action is unknown: {other:?}"),
+            // The program follows discovery's list all the time, without being asked to.
+            Action::Watch => {}
+            other => warn!("ignored unknown action of the decisions: {other:?}"),
         }
     }
 
-    /// Says what becomes of a request, under the id that its client gave it; costs nothing while nobody listens.
+    /// Logs one step of a request at level debug, under the client's transaction id. Returns at once when that level is off.
     pub(super) fn log_request(&self, job: &JobId, what: &str, worker: Option<&ServerId>, why: &str) {
         if !enabled!(Level::DEBUG) {
             return;
@@ -63,26 +63,27 @@
         }
     }
 
-    /// A request that goes out for the first time takes its units: the other gateways hear of it, and the disk.
+    /// Reports a request's units to the fleet and the journal when its first attempt is sent; later attempts report nothing.
     fn report_spending(&self, job: &JobId) {
         let spending = self.open.borrow_mut().get_mut(job).and_then(|open| open.unreported_spending.take());
         let Some(Spending { customer, plan, units }) = spending else { return };
-        self.fleet.borrow().iter().for_each(|fleet| fleet.spent(&customer, plan, units));
+        self.fleet.borrow().iter().for_each(|fleet| fleet.record_spending(&customer, plan, units));
         self.recovery.borrow().iter().for_each(|recovery| recovery.sent(&customer));
     }
 
+    /// Sends the final answer of a request, unless it has had one, and cancels its attempts that are not sent yet.
     pub(super) fn answer(self: &Rc<Self>, job: &JobId, answer: Answer) {
         let sender = self.open.borrow_mut().get_mut(job).and_then(|o| o.answer.take());
         if let Some(sender) = sender {
             self.count_answer(matches!(answer, Answer::Failed));
-            // As above: a client that is gone says so itself.
+            // A closed receiver means that the client has disconnected, which `client_left` handles.
             let _ = sender.send(answer);
             self.cancel_unsent(job);
             self.forget(job);
         }
     }
 
-    /// Drops a request that is answered and has no attempt out.
+    /// Removes a request that is answered and has no attempt in flight.
     pub(super) fn forget(&self, job: &JobId) {
         let mut table = self.open.borrow_mut();
         if table.get(job).is_some_and(|o| o.answer.is_none() && o.attempts.iter().all(Option::is_none)) {
@@ -95,11 +96,11 @@
         let known = self.pools.addr(&server).is_some();
         let Some(open) = table.get_mut(&job) else { return };
         let number = open.attempts.len() as u32;
-        // No time-out of its own means the client's; none is longer.
-        let left = open.expires - now;
-        let wait = if timeout == 0.0 { left } else { timeout.min(left) };
+        // A time-out of 0 means the time that is left until the request expires, which also bounds any other time-out.
+        let remaining = open.expires - now;
+        let attempt_timeout = if timeout == 0.0 { remaining } else { timeout.min(remaining) };
         let over = open.answer.is_none();
-        if !known || over || wait <= 0.0 {
+        if !known || over || attempt_timeout <= 0.0 {
             open.attempts.push(None);
             drop(table);
             self.forget(&job);
@@ -117,25 +118,32 @@
             return self.events.borrow_mut().push_back(event);
         }
         let (driver, trace, forward) = (self.clone(), Trace::default(), open.forward.clone());
-        let until = send_by.is_finite().then(|| self.clock.instant(send_by));
+        let send_by = until.is_finite().then(|| self.clock.instant(until));
         let task = tokio::task::spawn_local({
             let (caller, trace, server) =
                 (AttemptCaller { driver, job: job.clone(), number }, trace.clone(), server.clone());
             async move {
-                let terms = Terms { wait, until };
+                let limits = AttemptLimits { timeout: attempt_timeout, send_by };
                 let ending = caller
                     .driver
                     .workers
-                    .attempt(&server, &forward, terms, &trace, &caller.driver.budget, &caller)
+                    .attempt(&server, &forward, limits, &trace, &caller.driver.budget, &caller)
                     .await;
                 caller.driver.attempt_ended(&caller.job, number, ending);
             }
         });
         let (is_uploading, task) = (open.upload_timeout.is_some(), task.abort_handle());
-        open.attempts.push(Some(Attempt { server, sent: now, timeout: wait, forwarded: None, trace, task }));
+        open.attempts.push(Some(Attempt {
+            server,
+            sent: now,
+            timeout: attempt_timeout,
+            forwarded: None,
+            trace,
+            task,
+        }));
         drop(table);
         if !is_uploading {
-            self.set_timer(now + wait, Due::Attempt(job, number));
+            self.set_timer(now + attempt_timeout, Due::Attempt(job, number));
         }
     }
 
--- a/crates/gateway/src/bin/opalrun-gateway/driver/handover.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/driver/handover.rs
@@ -1,4 +1,4 @@
-//! What the driver does where two processes of one gateway follow each other.
+//! The driver's side of a handover between two processes of one gateway.
 
 use super::Driver;
 use crate::handover_message::HandoverMessage;
@@ -7,58 +7,58 @@
 use tokio::sync::mpsc;
 
 impl Driver {
-    /// Gives up all that is known and granted, with the workers' addresses. Connections to workers are no
-    /// longer kept, and no more are held than clients that may need one.
+    /// Hands over the decisions' state, leases included, and the workers' addresses. From then on idle connections to
+    /// workers are closed instead of kept for reuse.
     pub fn hand_over(&self) -> (State, BTreeMap<ServerId, SocketAddr>) {
         self.pools.keep_none(true);
-        self.leaving.set(true);
+        self.has_handed_over.set(true);
         self.recovery.borrow().iter().for_each(|r| r.release());
         let state = self.gateway.borrow_mut().hand_over(self.clock.now());
         (state, self.pools.addrs())
     }
 
-    /// The process that took over has ended: this one serves again.
+    /// Resumes service after the process that had taken over has ended.
     pub fn take_back(&self) {
         self.other_process.take();
-        self.leaving.set(false);
+        self.has_handed_over.set(false);
         self.recovery.borrow().iter().for_each(|r| r.resume());
         self.pools.keep_none(false);
         self.gateway.borrow_mut().resume(self.clock.now());
     }
 
-    /// Goes on from what another process has handed over.
+    /// Continues from the state that another process has handed over.
     pub fn take_over(&self, state: State, addrs: &BTreeMap<ServerId, SocketAddr>) {
         self.gateway.borrow_mut().take_over(state);
         self.pools.told(addrs);
     }
 
-    /// Attempts in flight here, by customer.
+    /// Number of attempts in flight at this process, by customer.
     pub fn attempts_in_flight(&self) -> Vec<(CustomerId, u32)> {
         self.gateway.borrow().attempts_in_flight()
     }
 
-    /// Attempts that are in flight at the other process, by customer.
-    pub fn set_attempts_elsewhere(&self, out: &[(CustomerId, u32)]) {
-        self.gateway.borrow_mut().set_attempts_elsewhere(out);
+    /// Sets the number of attempts in flight at the other process, by customer.
+    pub fn set_attempts_elsewhere(&self, attempts: &[(CustomerId, u32)]) {
+        self.gateway.borrow_mut().out_elsewhere(attempts);
     }
 
-    /// What the other process is to be told from now on.
+    /// Returns the messages that are to be sent to the other process from now on.
     pub fn subscribe_to_handover_messages(&self) -> mpsc::UnboundedReceiver<HandoverMessage> {
         let (sender, messages) = mpsc::unbounded_channel();
         self.other_process.replace(Some(sender));
         messages
     }
 
-    /// Tells the other process, if there is one.
+    /// Queues a message for the other process; does nothing if there is none.
     pub fn send_to_other_process(&self, message: HandoverMessage) {
         if let Some(sender) = &*self.other_process.borrow() {
-            // One that has gone needs to hear nothing.
+            // A closed channel means that the other process has ended.
             let _ = sender.send(message);
         }
     }
 
-    /// Descriptors for clients and workers together.
+    /// File descriptors for connections to clients and to workers together.
     pub fn descriptor_share(&self) -> usize {
-        self.share
+        self.connection_descriptors
     }
 }
--- a/crates/gateway/src/bin/opalrun-gateway/driver/mod.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/driver/mod.rs
@@ -1,5 +1,5 @@
-//! The I/O side of a gateway: owns the one [`Gateway`], its clock, its timers and the requests in hand, turns what happens
-//! into events and carries out the actions. It decides nothing.
+//! The I/O side of a gateway: owns the [`Gateway`] with its decisions, the clock, the timers and the open requests. It
+//! turns what happens into events for the decisions and executes the actions that they return; it decides nothing itself.
 
 mod actions;
 mod handover;
@@ -15,7 +15,7 @@
 pub use open_request::{Answer, ClientRequest};
 
 use crate::{
-    config::{Config, WorkerEntry, WorkerList, trial::Tally},
+    config::{Config, WorkerEntry, WorkerList, trial::AnswerCounts},
     counter::{Counter, CounterCaller},
     fleet::Fleet,
     handover_message::HandoverMessage,
@@ -47,10 +47,10 @@
 use tokio::sync::{Notify, mpsc};
 use tracing::info;
 
-/// One over the share of the memory that may buffer bodies: there may be two processes.
-const BUFFER_SHARE: usize = 10;
+/// The process's memory limit divided by this is the budget for buffered bodies. During a handover two processes run.
+const BODY_MEMORY_DIVISOR: usize = 10;
 
-/// What the settings say of the connections to workers.
+/// Settings of the connection pools, from the gateway's options.
 fn pool_settings(options: &Options) -> pool::Settings {
     pool::Settings {
         idle_limit: options.connection_idle_timeout,
@@ -59,7 +59,7 @@
     }
 }
 
-/// Events are being handed to the decisions; ends when it is dropped.
+/// Guard that marks the driver as handling events, and clears the mark when it is dropped.
 struct HandlingEvents<'a>(&'a Cell<bool>);
 
 impl Drop for HandlingEvents<'_> {
@@ -68,18 +68,19 @@
     }
 }
 
-/// Rate and burst of each plan.
+/// Rate in units per second and burst in units of each plan, in the order of the settings.
 pub fn plans(options: &Options) -> Vec<(f64, f64)> {
     options.settings.plans.iter().map(|p| (p.rate, p.burst)).collect()
 }
 
-/// Options that all parts can change to.
+/// Options that the decisions have accepted, ready for [`Driver::commit`].
 pub struct PreparedOptions {
     retune: PreparedSettings,
     options: Rc<Options>,
 }
 
-/// See the module. All of it runs on one thread; no borrow is kept across an await.
+/// Connects the decisions to sockets, timers and the other parts of the program. Everything runs on one thread, and no
+/// `RefCell` borrow is kept across an await.
 pub struct Driver {
     options: RefCell<Rc<Options>>,
     clock: Clock,
@@ -90,41 +91,43 @@
     jobs: Cell<u64>,
     timers: RefCell<TimerQueue>,
     lag: RecentLag,
-    /// A timer was set that is earlier than all others.
+    /// Notified when a timer is set that is due before all others.
     earlier_timer: Notify,
     pools: Rc<Pools>,
     workers: Workers,
     counter: Option<Counter>,
-    /// Descriptors for clients and for workers together.
-    share: usize,
-    /// By class, whether clients have used it.
-    used: RefCell<Vec<bool>>,
-    answers: Cell<Tally>,
-    leaving: Cell<bool>,
-    /// The process is about to be killed: what comes now is answered at once.
-    ending: Cell<bool>,
-    /// What may be buffered of bodies.
+    /// File descriptors for connections to clients and to workers together.
+    connection_descriptors: usize,
+    /// By index of the class, whether clients have used it.
+    used_classes: RefCell<Vec<bool>>,
+    answers: Cell<AnswerCounts>,
+    /// Whether another process has taken over from this one.
+    has_handed_over: Cell<bool>,
+    /// Whether the process is about to be killed: requests that still arrive are rejected at once.
+    is_shutting_down: Cell<bool>,
+    /// Memory for buffered request and answer bodies.
     budget: MemoryBudget,
-    /// Bodies that nobody wants any more.
+    /// Takes request bodies whose remainder is to be read and dropped.
     discards: mpsc::UnboundedSender<DiscardedBody>,
     seed: u64,
-    /// The other gateways, where they are heard of.
+    /// Exchange of spending and worker failures with the other gateways; `None` unless the configuration turns it on.
     fleet: RefCell<Option<Rc<Fleet>>>,
-    /// What is kept on disk, where the configuration has a folder for it.
+    /// Journal on disk; `None` where no state folder is configured.
     recovery: RefCell<Option<Rc<Recovery>>>,
-    /// Discovery has told the whole list.
-    listed: Cell<bool>,
-    /// Messages to the other process of this gateway, while there are two.
+    /// Whether discovery has sent a full list since the start.
+    has_full_list: Cell<bool>,
+    /// Sends messages to the other process of this gateway during a handover.
     other_process: RefCell<Option<mpsc::UnboundedSender<HandoverMessage>>>,
 }
 
 impl Driver {
-    pub fn new(config: &Config, share: usize) -> Result<Rc<Self>, SettingsError> {
+    pub fn new(config: &Config, connection_descriptors: usize) -> Result<Rc<Self>, SettingsError> {
         let gateway = Gateway::new(config.options.settings.clone(), config.seed)?;
         let limit = Duration::from_secs_f64(config.options.settings.counter_timeout);
         let counter = config.counter.filter(|_| config.options.settings.has_counter);
         let clock = Clock::unix();
-        let pools = Pools::new(share / 2, pool_settings(&config.options), clock, config.seed);
+        let pools =
+            Pools::new(connection_descriptors / 2, pool_settings(&config.options), clock, config.seed);
         let (discards, discarded) = mpsc::unbounded_channel();
         tokio::task::spawn_local(body::discard_all(discarded));
         let driver = Rc::new(Self {
@@ -140,33 +143,33 @@
             workers: Workers::new(pools.clone()),
             pools,
             counter: counter.map(|addr| Counter::new(addr, limit)),
-            share,
-            used: RefCell::new(vec![false; config.options.classes.len()]),
+            connection_descriptors,
+            used_classes: RefCell::new(vec![false; config.options.classes.len()]),
             answers: Cell::default(),
-            leaving: Cell::new(false),
-            ending: Cell::new(false),
-            budget: MemoryBudget::new(config.memory / BUFFER_SHARE),
+            has_handed_over: Cell::new(false),
+            is_shutting_down: Cell::new(false),
+            budget: MemoryBudget::new(config.memory / BODY_MEMORY_DIVISOR),
             discards,
             seed: config.seed,
             fleet: RefCell::default(),
             recovery: RefCell::default(),
-            listed: Cell::new(false),
+            has_full_list: Cell::new(false),
             other_process: RefCell::default(),
             options: RefCell::new(Rc::new(config.options.clone())),
         });
-        driver.list(ListKind::Stale, config.known.clone());
+        driver.update_workers(ListKind::Stale, config.known.clone());
         Ok(driver)
     }
 
-    /// Connects to the counter before the first call needs it.
+    /// Opens a connection to the counter before the first call needs it.
     pub fn start_counter(self: &Rc<Self>) {
         if let Some(counter) = &self.counter {
             counter.start(self);
         }
     }
 
-    /// How many requests wait for their answer.
-    pub fn in_hand(&self) -> usize {
+    /// Number of requests that have not been answered yet.
+    pub fn waiting_requests(&self) -> usize {
         self.open.borrow().values().filter(|o| o.answer.is_some()).count()
     }
 
@@ -174,54 +177,54 @@
         self.options.borrow().clone()
     }
 
-    /// Whether the parts can change to `options`. Nothing changes before [`Driver::commit`].
+    /// Checks whether the decisions can change to `options`. Nothing changes before [`Driver::commit`].
     pub fn prepare(&self, options: Options) -> Result<PreparedOptions, SettingsError> {
         let retune = self.gateway.borrow().prepare(options.settings.clone())?;
         Ok(PreparedOptions { retune, options: Rc::new(options) })
     }
 
-    /// Changes all parts at once; nothing here can fail.
+    /// Applies prepared options and the counter's address to all parts. It can't fail, so either all parts change or none.
     pub fn commit(&self, prepared: PreparedOptions, counter: Option<SocketAddr>) {
         let PreparedOptions { retune, options } = prepared;
         self.gateway.borrow_mut().commit(retune);
         self.pools.retune(pool_settings(&options));
-        self.fleet.borrow().iter().for_each(|f| f.retune(plans(&options)));
+        self.fleet.borrow().iter().for_each(|f| f.set_plans(plans(&options)));
         if let Some(part) = &self.counter {
-            part.retune(Duration::from_secs_f64(options.settings.counter_timeout));
-            counter.into_iter().for_each(|addr| part.move_to(addr));
+            part.set_call_timeout(Duration::from_secs_f64(options.settings.count_limit));
+            counter.into_iter().for_each(|addr| part.set_address(addr));
         }
-        // A class is in use under its effect: another one makes it a new class.
+        // A class whose effect changes counts as a new one that no client has used.
         let before = self.options.replace(options.clone());
         let used = |name: &String, class: &Class| {
             let was = before.classes.iter().position(|n| n == name)?;
             let same = before.settings.classes.get(was)?.effect == class.effect;
-            self.used.borrow().get(was).copied().filter(|_| same)
+            self.used_classes.borrow().get(was).copied().filter(|_| same)
         };
         let classes = options.classes.iter().zip(&options.settings.classes);
         let used = classes.map(|(name, class)| used(name, class).unwrap_or(false)).collect();
-        self.used.replace(used);
+        self.used_classes.replace(used);
     }
 
-    /// Whether clients have used the class of that name, under its present effect.
-    pub fn uses(&self, class: &str) -> bool {
+    /// Whether clients have used the class of that name with its present effect.
+    pub fn is_class_used(&self, class: &str) -> bool {
         let options = self.options.borrow();
         let at = options.classes.iter().position(|c| c == class);
-        at.is_some_and(|at| self.used.borrow().get(at).copied().unwrap_or(false))
+        at.is_some_and(|at| self.used_classes.borrow().get(at).copied().unwrap_or(false))
     }
 
-    /// Answers given since the start, and those of them that failed.
-    pub fn answers(&self) -> Tally {
+    /// Answers sent to clients since the start, and how many of them reported a failure.
+    pub fn answers(&self) -> AnswerCounts {
         self.answers.get()
     }
 
-    /// Another process has taken over from this one.
-    pub fn leaving(&self) -> bool {
-        self.leaving.get()
+    /// Whether another process has taken over from this one.
+    pub fn has_handed_over(&self) -> bool {
+        self.has_handed_over.get()
     }
 
     fn count_answer(&self, failed: bool) {
-        let Tally { answers, failed: before } = self.answers.get();
-        self.answers.set(Tally { answers: answers + 1, failed: before + u64::from(failed) });
+        let AnswerCounts { answers, failed: before } = self.answers.get();
+        self.answers.set(AnswerCounts { answers: answers + 1, failed: before + u64::from(failed) });
     }
 
     pub fn memory_budget(&self) -> &MemoryBudget {
@@ -240,18 +243,19 @@
         self.clock.now()
     }
 
-    /// What the module knows of the zones, as JSON.
+    /// State of all zones as the decisions see it, as JSON for the admin API.
     pub fn zones(&self) -> String {
         let (options, now) = (self.options(), self.clock.now());
         let name = |zone: u32| usize::try_from(zone).ok().and_then(|z| options.zones.get(z).cloned());
-        let told = |z: &ZoneStatus| {
+        let zone_json = |z: &ZoneView| {
             json!({
                 "zone": name(z.zone), "own": z.zone == options.settings.zone, "usable": z.usable, "cold": z.warming_up,
                 "left_workers": z.servers - z.usable, "weight": z.weight, "share": z.traffic_share,
                 "left": z.ejected.map(|(since, how)| json!({"since": since, "for_s": now - since, "why": how})),
             })
         };
-        json!({ "zones": self.gateway.borrow().zones(now).iter().map(told).collect::<Vec<_>>() }).to_string()
+        json!({ "zones": self.gateway.borrow().zones(now).iter().map(zone_json).collect::<Vec<_>>() })
+            .to_string()
     }
 
     pub fn clock(&self) -> Clock {
@@ -266,14 +270,16 @@
         self.recovery.borrow().clone()
     }
 
-    /// Goes on from what an earlier process left on disk, and writes down there what is sent on from now on.
-    pub fn set_recovery(&self, recovery: Rc<Recovery>, kept: Option<RecoveredState>) {
+    /// Restores the state that an earlier process left on disk, if any, and from now on records in the journal what
+    /// customers spend.
+    pub fn set_recovery(&self, recovery: Rc<Recovery>, kept: Option<Kept>) {
         kept.into_iter().for_each(|kept| self.gateway.borrow_mut().recover(self.clock.now(), kept));
         self.recovery.replace(Some(recovery));
     }
 
-    /// What others are known to have left of a customer's quota.
-    fn view(&self, customer: &str) -> Option<PeerView> {
+    /// The fleet's estimate of a customer's remaining quota, and the part of the other gateways that it covers; `None`:
+    /// there is no estimate.
+    fn fleet_view(&self, customer: &str) -> Option<View> {
         let fleet = self.fleet()?;
         let known = fleet.spending(customer)?;
         let others = self.options.borrow().settings.gateway_count.saturating_sub(1).max(1);
@@ -281,40 +287,41 @@
         Some(PeerView { level: known.level, age: known.age, coverage: part })
     }
 
-    /// Hands the decisions one event and carries out what it wants; events that this leads to come after it.
+    /// Passes one event to the decisions and executes the resulting actions. Events posted meanwhile are queued behind it.
     pub fn post(self: &Rc<Self>, event: Event) {
         self.events.borrow_mut().push_back(event);
         if self.is_handling.replace(true) {
             return;
         }
-        // Given back also if the decisions panic: the requests of others go on.
+        // Cleared on a panic of the decisions as well, so that other requests are still served.
         let _busy = HandlingEvents(&self.is_handling);
         let mut actions = Vec::new();
         loop {
             let Some(event) = self.events.borrow_mut().pop_front() else { break };
             let now = self.clock.now();
             self.gateway.borrow_mut().handle(now, event, &mut actions);
-            actions.drain(..).for_each(|action| self.carry_out(now, action));
+            actions.drain(..).for_each(|action| self.execute(now, action));
         }
     }
 
-    /// Discovery sent a list.
-    pub fn discovery_listed(self: &Rc<Self>, list: WorkerList) {
-        self.listed.set(self.listed.get() || list.full);
+    /// Applies a list of workers that discovery has sent.
+    pub fn apply_discovery_list(self: &Rc<Self>, list: WorkerList) {
+        self.has_full_list.set(self.has_full_list.get() || list.full);
         self.recovery.borrow().iter().for_each(|r| r.listed(&list));
-        self.list(if list.full { ListKind::Full } else { ListKind::Changes }, list.servers);
+        self.update_workers(if list.full { ListKind::Full } else { ListKind::Changes }, list.servers);
     }
 
-    /// News of the workers. Names are mapped to addresses here, which are each gateway's own.
-    pub fn list(self: &Rc<Self>, kind: ListKind, entries: Vec<WorkerEntry>) {
+    /// Applies changes of workers to the pools, the fleet and the decisions. Only the pools learn addresses, as those
+    /// may differ between gateways.
+    pub fn update_workers(self: &Rc<Self>, kind: ListKind, entries: Vec<WorkerEntry>) {
         let (mut servers, options) = (Vec::with_capacity(entries.len()), self.options());
         for entry in entries {
             let Some(server) = worker_list::server(&entry, &options.zones) else { continue };
-            // Without a readable address what was known of it stays.
+            // An entry without a readable address leaves the known address in place.
             let (addr, lifecycle) = (entry.addr.parse().ok(), server.lifecycle);
             let (wanted, gone) = (lifecycle == Lifecycle::Running, lifecycle == Lifecycle::Gone);
             self.pools.listed(&server.id, addr, server.started, wanted, gone);
-            self.fleet.borrow().iter().for_each(|f| f.names(&server.id));
+            self.fleet.borrow().iter().for_each(|f| f.register_worker(&server.id));
             servers.push(server);
         }
         if kind != ListKind::Changes {
@@ -324,19 +331,22 @@
         self.post(Event::List { kind, servers });
     }
 
-    /// Takes a worker out by hand, or puts it back; `false`: no list has ever named it.
-    pub fn set_worker_offline(&self, id: &str, out: bool) -> bool {
-        let known = self.gateway.borrow_mut().set_offline(self.clock.now(), id, out);
+    /// Sets a worker offline or online for an operator. Returns `false` if no list has ever named it.
+    pub fn set_worker_offline(&self, id: &str, is_offline: bool) -> bool {
+        let known = self.gateway.borrow_mut().set_aside(self.clock.now(), id, is_offline);
         if known {
-            self.pools.set_aside(id, out);
+            self.pools.set_aside(id, is_offline);
         }
-        self.recovery.borrow().iter().filter(|_| known).for_each(|r| r.hand(id, out));
-        let what = if out { "offline" } else { "online" };
-        info!("worker {id:?} {what}: {}", if known { "done" } else { "no list has named it" });
+        self.recovery.borrow().iter().filter(|_| known).for_each(|r| r.hand(id, is_offline));
+        let state = if is_offline { "offline" } else { "online" };
+        info!(
+            "worker {id:?} {state}: {}",
+            if known { "done" } else { "unknown worker, not in any list so far" }
+        );
         known
     }
 
-    /// Closes idle connections that are due or no longer wanted.
+    /// Closes connections to workers that have been idle for too long or are no longer needed.
     pub fn sweep(&self) {
         self.pools.sweep();
     }
@@ -347,7 +357,7 @@
         self.counter.as_ref()
     }
 
-    fn counted(self: &Rc<Self>, event: Event) {
+    fn call_ended(self: &Rc<Self>, event: Event) {
         self.post(event);
     }
 }
--- a/crates/gateway/src/bin/opalrun-gateway/driver/request_deadline.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/driver/request_deadline.rs
@@ -1,34 +1,34 @@
-//! When a request has to end, so that its answer reaches the client in time.
+//! Computes how long a request may take so that its answer reaches the client in time.
 
 use opalrun_gateway::Time;
 use std::cell::Cell;
 
-/// The longest time that a client may name, in seconds: more is reduced to it.
+/// Longest time in seconds that a client may wait; larger values are reduced to it.
 pub const MAX_CLIENT_TIMEOUT: f64 = 3600.0;
 
-/// Seconds after a request's end at which it fails, should the decisions not have answered.
+/// Seconds after a request's expiry at which the driver fails it if the decisions have not answered it.
 pub const LAST_RESORT_DELAY: f64 = 0.004;
 
-/// Seconds before its client's time is up at which a request is to end: the timers' grain, the last resort, and the
-/// answer's way. A client that gets nothing until then has gone a moment later, whatever comes.
+/// Seconds before the client's time-out at which a request expires. Covers the timers' resolution, `LAST_RESORT_DELAY`
+/// and the transfer of the answer: a client without an answer by then disconnects a moment later.
 const ANSWER_MARGIN: f64 = 0.006;
 
-/// Share of a client's time that is reserved for that at most, however late this process has run recently.
+/// Largest share of the client's waiting time that the margin may take, whatever the lag.
 const MAX_MARGIN_SHARE: f64 = 0.25;
 
-/// Seconds over which it is forgotten how late this process ran.
+/// Time constant in seconds with which the recorded lag decays.
 const LAG_MEMORY: f64 = 10.0;
 
-/// The most lag that counts, in seconds: a process that was suspended for longer is not one that runs late.
+/// Largest lag in seconds that is recorded. A longer delay means that the process was suspended, not that it runs late.
 const MAX_LAG: f64 = 0.05;
 
-/// How long a request may take whose client waits for `remaining` seconds, where this process runs up to `lag` late: it
-/// may read the request so late, and notice so late that its time is up.
+/// Seconds that a request may take if its client waits for `remaining` seconds and this process runs up to `lag` seconds
+/// late. The lag counts twice: the request may be read late, and its expiry may be noticed late.
 pub fn time_to_answer(remaining: f64, lag: f64) -> f64 {
     remaining - (ANSWER_MARGIN + 2.0 * lag).min(MAX_MARGIN_SHARE * remaining)
 }
 
-/// How late this process has run recently, in seconds at most.
+/// The largest recent delay of this process's timers, in seconds, decaying with time.
 #[derive(Debug, Default)]
 pub struct RecentLag {
     max: Cell<f64>,
@@ -36,7 +36,7 @@
 }
 
 impl RecentLag {
-    /// The lag at `now`.
+    /// Decayed lag at `now`, in seconds.
     pub fn at(&self, now: Time) -> f64 {
         self.max.get() * (-(now - self.at.get()).max(0.0) / LAG_MEMORY).exp()
     }
--- a/crates/gateway/src/bin/opalrun-gateway/driver/requests.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/driver/requests.rs
@@ -1,4 +1,4 @@
-//! The way of a request: it is accepted, decided on, and given one final answer.
+//! The life cycle of a request: accepted from a client, passed to the decisions, sent to workers, answered once.
 
 use super::{
     Driver,
@@ -12,7 +12,7 @@
 use std::{rc::Rc, time::Instant};
 use tokio::sync::{mpsc, oneshot};
 
-/// The side of an attempt that its exchange with a worker reports to.
+/// Receives the progress of one attempt from its exchange with a worker.
 pub(super) struct AttemptCaller {
     pub(super) driver: Rc<Driver>,
     pub(super) job: JobId,
@@ -20,18 +20,18 @@
 }
 
 impl Caller for AttemptCaller {
-    fn begun(&self) {
+    fn upload_started(&self) {
         self.driver.post(Event::Unrepeatable { job: self.job.clone() });
     }
 
-    fn answers(
+    fn forward_answer(
         &self,
         buffer: BodyBuffer,
         length: Option<u64>,
-        last: Instant,
+        last_received: Instant,
     ) -> Option<(mpsc::Sender<Chunk>, Rc<Forwarding>)> {
         let (chunks, rest) = mpsc::channel(1);
-        let progress = Rc::new(Forwarding::new(length, buffer.len() as usize, last));
+        let progress = Rc::new(Forwarding::new(length, buffer.len() as usize, last_received));
         {
             let mut table = self.driver.open.borrow_mut();
             let open = table.get_mut(&self.job)?;
@@ -48,26 +48,27 @@
     }
 }
 
-/// Whether an attempt that ended so was answered or failed by its worker; `None`: it says nothing of it.
+/// Whether the worker answered (`true`) or failed (`false`) an attempt that ended with `status`; `None`: the status is no
+/// evidence about the worker.
 fn worker_answered(status: Status) -> Option<bool> {
     match status {
         Status::Ok => Some(true),
         Status::Error | Status::Reset | Status::ConnectFailed => Some(false),
-        // Turned away and timed out are what a full fleet does, too.
+        // Healthy workers at capacity reject attempts and let them time out as well.
         _ => None,
     }
 }
 
 impl Driver {
-    /// Takes a client's request; its final answer comes by the receiver.
+    /// Accepts a client's request. Returns its id and the receiver of its final answer.
     pub fn accept(self: &Rc<Self>, request: ClientRequest) -> (JobId, oneshot::Receiver<Answer>) {
         self.jobs.set(self.jobs.get() + 1);
-        self.used.borrow_mut().get_mut(request.class).into_iter().for_each(|used| *used = true);
+        self.used_classes.borrow_mut().get_mut(request.class).into_iter().for_each(|used| *used = true);
         let job: JobId = self.jobs.get().to_string().into();
         let remaining = request.remaining.min(MAX_CLIENT_TIMEOUT);
         let (answer, receiver) = oneshot::channel();
-        if self.ending.get() {
-            // Nobody has to hear of it but its client, which waits right here.
+        if self.is_shutting_down.get() {
+            // The decisions never see this request: only its client needs the answer.
             let _ = answer.send(Answer::Rejected(0.0));
             return (job, receiver);
         }
@@ -77,7 +78,7 @@
             upload.on_end(move || driver.upgrade().iter().for_each(|driver| driver.upload_ended(&job)));
             remaining
         });
-        // A request's time runs from its last byte on.
+        // The client's time starts with the request's last byte, so a request that is still uploaded has no end yet.
         let now = self.clock.now();
         let expires = now
             + if upload_timeout.is_some() {
@@ -92,7 +93,7 @@
             plan: request.plan,
             units: request.units,
         });
-        let view = self.view(&customer);
+        let view = self.fleet_view(&customer);
         let open = OpenRequest {
             answer: Some(answer),
             forward,
@@ -104,7 +105,7 @@
             unreported_spending,
         };
         self.open.borrow_mut().insert(job.clone(), open);
-        // After the time-outs that are cut to the same moment: the module's own answer comes first.
+        // Later than attempt time-outs that end at `expires`, so that the decisions can answer first.
         self.set_timer(expires + LAST_RESORT_DELAY, Due::Deadline(job.clone()));
         self.post(Event::Request(Request {
             job: job.clone(),
@@ -121,7 +122,7 @@
         (job, receiver)
     }
 
-    /// The last byte of a request has come that was taken before: its time begins.
+    /// Starts the deadline of a request and the time-outs of its attempts, once its last byte has arrived.
     fn upload_ended(&self, job: &JobId) {
         let now = self.clock.now();
         let mut due = Vec::new();
@@ -143,7 +144,7 @@
         due.into_iter().for_each(|(at, due)| self.set_timer(at, due));
     }
 
-    /// The client is gone before its answer.
+    /// Cleans up after a client that has disconnected before its answer.
     pub fn client_left(self: &Rc<Self>, job: &JobId) {
         let waiting = self.open.borrow_mut().get_mut(job).is_some_and(|o| o.answer.take().is_some());
         if waiting {
@@ -154,10 +155,9 @@
         }
     }
 
-    /// Gives every request in hand its final answer, and those that still come theirs at once: the process is about to
-    /// be killed.
+    /// Fails all open requests, and has later ones rejected on arrival, as the process is about to be killed.
     pub fn fail_all(self: &Rc<Self>) {
-        self.ending.set(true);
+        self.is_shutting_down.set(true);
         let jobs: Vec<JobId> = self.open.borrow().keys().cloned().collect();
         for job in jobs {
             self.answer(&job, Answer::Failed);
@@ -165,6 +165,7 @@
         }
     }
 
+    /// Records the end of an attempt: answers the client if it brought a complete answer, and informs fleet and decisions.
     pub(super) fn attempt_ended(self: &Rc<Self>, job: &JobId, number: u32, ending: Ending) {
         let mut table = self.open.borrow_mut();
         let Some(open) = table.get_mut(job) else { return };
@@ -172,7 +173,7 @@
         let answer = ending.body.and_then(|body| Some((body, open.answer.take()?)));
         if let Some((body, answer)) = answer {
             self.count_answer(false);
-            // A receiver that is gone belongs to a client that is gone, and says so itself.
+            // A closed receiver means that the client has disconnected, which `client_left` handles.
             let _ = answer.send(Answer::Served(ResponseBody::complete(body)));
         }
         let over = open.answer.is_none();
@@ -182,7 +183,7 @@
         }
         self.forget(job);
         if let (Some(fleet), Some(answered)) = (&*self.fleet.borrow(), worker_answered(ending.status)) {
-            fleet.saw(&attempt.server, answered);
+            fleet.record_attempt(&attempt.server, answered);
         }
         self.post(Event::AttemptEnded {
             job: job.clone(),
@@ -198,8 +199,8 @@
         });
     }
 
-    /// Calls off the attempts of a request that are not with a worker yet, such as one that waits for a connection:
-    /// its final answer is given, or its client has gone, and nothing may be sent on after that.
+    /// Cancels the attempts of a request that are not fully written to a worker yet, such as one that waits for a
+    /// connection. Called once the request is answered or its client has disconnected, as nothing may be sent after that.
     pub(super) fn cancel_unsent(self: &Rc<Self>, job: &JobId) {
         let unsent: Vec<u32> = {
             let table = self.open.borrow();
@@ -210,7 +211,7 @@
         unsent.into_iter().for_each(|number| self.stop_attempt(job, number, Status::NotSent));
     }
 
-    /// Ends an attempt from this side, unless its answer has begun to go to the client.
+    /// Aborts an attempt, unless its answer is already being forwarded to the client.
     pub(super) fn stop_attempt(self: &Rc<Self>, job: &JobId, number: u32, status: Status) {
         let begun = |o: &OpenRequest| o.attempts.get(number as usize)?.as_ref()?.forwarded.as_ref().map(drop);
         if self.open.borrow().get(job).and_then(begun).is_none() {
@@ -218,7 +219,7 @@
         }
     }
 
-    /// Ends an attempt from this side: dropping its task closes the connection.
+    /// Aborts an attempt. Aborting its task closes the connection to the worker.
     pub(super) fn end_attempt(self: &Rc<Self>, job: &JobId, number: u32, status: Status) {
         let stopped = {
             let table = self.open.borrow();
@@ -234,8 +235,8 @@
             })
         };
         if let Some(may_have_run) = stopped {
-            // Not written whole: it was never sent, whatever ended it.
-            let status = if may_have_run { status } else { Status::NotSent };
+            // A worker never runs a request that it has received in part, so such an attempt counts as not sent.
+            let status = if may_have_run { status } else { Status::Moot };
             self.attempt_ended(job, number, Ending::of(status));
         }
     }
--- a/crates/gateway/src/bin/opalrun-gateway/driver/sites.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/driver/sites.rs
@@ -1,4 +1,4 @@
-//! What other parts of the program ask of the driver: the fleet of gateways, and recovery.
+//! The driver's side of the interfaces that the fleet and recovery modules define.
 
 use super::{Driver, plans};
 use crate::{
@@ -12,22 +12,22 @@
 use std::rc::Rc;
 
 impl Site for Rc<Driver> {
-    fn facts(&self) -> (u32, u64, Vec<(f64, f64)>) {
+    fn parameters(&self) -> (u32, u64, Vec<(f64, f64)>) {
         let options = self.options();
         (options.settings.gateway_index, self.seed, plans(&options))
     }
 
     fn set_fleet(&self, fleet: Option<Rc<Fleet>>) {
         if let Some(fleet) = &fleet {
-            self.gateway.borrow().server_names().for_each(|id| fleet.names(id));
+            self.gateway.borrow().server_names().for_each(|id| fleet.register_worker(id));
         }
         self.fleet.replace(fleet);
     }
 
-    fn failing(&self, worker: &str) {
-        let Some(sight) = self.fleet().map(|f| f.sight(worker)) else { return };
-        let (answered, failed, members) = (sight.answered, sight.failed, sight.members);
-        self.post(Event::FleetObservation { server: worker.into(), answered, failed, members });
+    fn worker_failed_elsewhere(&self, worker: &str) {
+        let Some(summary) = self.fleet().map(|f| f.worker_summary(worker)) else { return };
+        let (answered, failed, members) = (summary.answered, summary.failed, summary.members);
+        self.post(Event::Sight { server: worker.into(), answered, failed, members });
     }
 }
 
@@ -48,8 +48,8 @@
     fn progress(&self) -> Progress {
         let zones = self.gateway.borrow().zones(self.clock.now());
         Progress {
-            listed: self.listed.get(),
-            counted: self.counter.as_ref().map(Counter::answers),
+            listed: self.has_full_list.get(),
+            counted: self.counter.as_ref().map(Counter::has_answered),
             members: self.fleet().map(|f| f.members()),
             usable: zones.iter().map(|z| z.usable).sum(),
             cold: zones.iter().map(|z| z.warming_up).sum(),
@@ -60,8 +60,8 @@
         let known: FnvHashSet<String> =
             self.gateway.borrow().server_names().map(|id| id.to_string()).collect();
         workers.retain(|w| !known.contains(&w.id));
-        // Each may have restarted since, and nobody has told.
+        // A worker may have restarted since it was saved, so it counts as started now.
         workers.iter_mut().for_each(|w| w.started_ms = self.clock.now() * 1e3);
-        self.list(ListKind::Changes, workers);
+        self.update_workers(ListKind::Changes, workers);
     }
 }
--- a/crates/gateway/src/bin/opalrun-gateway/driver/tests.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/driver/tests.rs
@@ -1,4 +1,4 @@
-//! The driver alone, without sockets.
+//! Tests of the driver without sockets.
 
 use super::{
     open_request::{Answer, ClientRequest},
@@ -31,29 +31,31 @@
     }
 }
 
-fn with_driver(play: impl FnOnce(Rc<Driver>)) {
+fn with_driver(test: impl FnOnce(Rc<Driver>)) {
     let (config, _) = crate::config::check(crate::config::tests::file().to_string().as_bytes(), None)
-        .unwrap_or_else(|_| panic!("a good configuration"));
+        .unwrap_or_else(|_| panic!("the configuration is valid"));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build_local(Default::default());
-    runtime.expect("a runtime").block_on(async { play(Driver::new(&config, 64).expect("usable settings")) });
+    runtime
+        .expect("a runtime")
+        .block_on(async { test(Driver::new(&config, 64).expect("the settings are valid")) });
 }
 
 #[test]
-fn timers_of_requests_that_have_ended_are_not_kept_for_as_long_as_their_clients_would_have_waited() {
+fn timers_of_ended_requests_are_removed_before_they_are_due() {
     with_driver(|driver| {
         for _ in 0..10 * MAX_STALE_TIMERS {
             let (job, _answer) = driver.accept(request(&driver));
             driver.client_left(&job);
         }
-        assert_eq!(driver.in_hand(), 0);
+        assert_eq!(driver.waiting_requests(), 0);
         let kept = driver.timers.borrow().len();
         assert!(kept <= 2 * MAX_STALE_TIMERS, "{kept}");
     });
 }
 
-/// Between the last answers and the end there is no event that a client could wait for.
+/// After `fail_all` no event follows that could end a request, so one accepted then would never be answered.
 #[test]
-fn what_comes_once_the_process_is_about_to_end_is_answered_at_once() {
+fn requests_after_fail_all_are_rejected_at_once() {
     with_driver(|driver| {
         let request = || request(&driver);
         let (_, mut before) = driver.accept(request());
@@ -61,6 +63,6 @@
         let (_, mut after) = driver.accept(request());
         assert!(matches!(before.try_recv(), Ok(Answer::Failed)));
         assert!(matches!(after.try_recv(), Ok(Answer::Rejected(_))));
-        assert_eq!(driver.in_hand(), 0);
+        assert_eq!(driver.waiting_requests(), 0);
     });
 }
--- a/crates/gateway/src/bin/opalrun-gateway/driver/timers.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/driver/timers.rs
@@ -5,7 +5,7 @@
     open_request::{Answer, OpenRequest},
     timer_queue::Due,
 };
-use crate::workers::KEPT_BACK;
+use crate::workers::ANSWER_BUFFERING_TIME;
 use opalrun_gateway::{Event, JobId, Status, Time};
 use std::rc::Rc;
 
@@ -17,11 +17,11 @@
         }
     }
 
-    /// A timer for what has ended need not wake anybody.
+    /// Whether the timer's request, attempt or counter call has ended, so that the timer needs not fire.
     fn is_stale(&self, due: &Due) -> bool {
         match due {
             Due::Decision(_) => false,
-            Due::CounterCall(number) => self.counter.as_ref().is_none_or(|c| !c.waits(*number)),
+            Due::CounterCall(number) => self.counter.as_ref().is_none_or(|c| !c.is_waiting(*number)),
             Due::Attempt(job, number) => {
                 let open = self.open.borrow();
                 let attempt =
@@ -47,7 +47,8 @@
         }
     }
 
-    /// A request's time is up. The module answers before: this is the last resort, so that no client waits for nothing.
+    /// Ends a request that is past its expiry. The decisions normally answer before; this last resort makes sure that
+    /// every client gets an answer.
     fn overdue(self: &Rc<Self>, job: JobId) {
         if self.is_stale(&Due::Deadline(job.clone())) {
             return;
@@ -58,20 +59,20 @@
                 self.answer(&job, Answer::Failed);
                 self.post(Event::ClientDisconnected { job });
             }
-            // What has begun can't be told otherwise any more. Its client can tell by its end that it is not whole.
-            Some((number, stalled)) if stalled >= KEPT_BACK => {
+            // The status is already sent. Closing the connection early shows the client that the body is incomplete.
+            Some((number, stalled)) if stalled >= ANSWER_BUFFERING_TIME => {
                 self.log_request(&job, "cut off", None, "its worker stopped half way");
                 self.end_attempt(&job, number, Status::Timeout);
             }
-            // Its worker still gives.
+            // The worker is still sending: check again when it could have stalled for long enough.
             Some((_, stalled)) => {
-                let again = self.clock.now() + (KEPT_BACK - stalled).as_secs_f64();
+                let again = self.clock.now() + (ANSWER_BUFFERING_TIME - stalled).as_secs_f64();
                 self.set_timer(again, Due::Deadline(job));
             }
         }
     }
 
-    /// Fires timers for good.
+    /// Fires timers as they become due; never returns.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
             let next = self.timers.borrow_mut().next_due(|due| self.is_stale(due));
--- a/crates/gateway/src/bin/opalrun-gateway/events.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/events.rs
@@ -1,6 +1,6 @@
-//! The log: one line an event on standard error, as text for people or as JSON for programs.
+//! The log: one line per event on standard error, as text or as JSON.
 //!
-//! An event below the level costs no formatting: the level is looked at before anything else.
+//! The level is checked first, so events below it are never formatted.
 
 use serde::Deserialize;
 use serde_json::{Map, Value};
@@ -26,23 +26,24 @@
     util::SubscriberInitExt,
 };
 
-/// How the log is written, and from which level on.
+/// Format and level of the log: `log` in the configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Form {
-    pub form: Shape,
+pub struct LogFormat {
+    pub form: LogStyle,
     pub level: Level,
 }
 
+/// Format of the log's lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Shape {
+pub enum LogStyle {
     #[default]
     Text,
     Json,
 }
 
-/// The least level that is written.
+/// The lowest level that is written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Level {
@@ -50,25 +51,25 @@
     Warn,
     #[default]
     Info,
-    /// Also what becomes of each request.
+    /// Includes the steps of each request.
     Debug,
 }
 
-impl FromStr for Form {
+impl FromStr for LogFormat {
     type Err = &'static str;
 
-    /// Reads `FORM:LEVEL`, such as `json:debug`; either may be missing with its colon.
+    /// Parses `FORM:LEVEL`, such as `json:debug`; either part may be omitted together with the colon.
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let mut form = Self::default();
         for word in text.split(':') {
             match word {
-                "text" => form.form = Shape::Text,
-                "json" => form.form = Shape::Json,
+                "text" => form.form = LogStyle::Text,
+                "json" => form.form = LogStyle::Json,
                 "error" => form.level = Level::Error,
                 "warn" => form.level = Level::Warn,
                 "info" => form.level = Level::Info,
                 "debug" => form.level = Level::Debug,
-                _ => return Err("is no form (text, json) and level (error, warn, info, debug)"),
+                _ => return Err("must be FORM:LEVEL, form text or json, level error, warn, info or debug"),
             }
         }
         Ok(form)
@@ -89,39 +90,39 @@
 static JSON: AtomicBool = AtomicBool::new(false);
 static LEVEL: OnceLock<reload::Handle<LevelFilter, Registry>> = OnceLock::new();
 
-/// What `NODE_LOG` wants, whatever the configuration says.
-fn wanted() -> Result<Option<Form>, &'static str> {
+/// Format and level from `NODE_LOG`, which override the configuration; `None` if it is not set.
+fn from_environment() -> Result<Option<LogFormat>, &'static str> {
     let Some(text) = std::env::var_os("NODE_LOG").filter(|t| !t.is_empty()) else { return Ok(None) };
-    text.to_str().ok_or("is no text")?.parse().map(Some)
+    text.to_str().ok_or("is not valid UTF-8")?.parse().map(Some)
 }
 
-/// Begins the log; once a process.
+/// Installs the log; to be called once per process.
 ///
 /// # Errors
-/// What is wrong with `NODE_LOG`; the log is in its default form then.
-pub fn begin() -> Result<(), &'static str> {
+/// `NODE_LOG` is invalid; the log then has its default format and level.
+pub fn init() -> Result<(), &'static str> {
     let (level, handle) = reload::Layer::new(Level::default().filter());
-    let lines = tracing_subscriber::fmt::layer().with_writer(std::io::stderr).event_format(Line);
+    let lines = tracing_subscriber::fmt::layer().with_writer(std::io::stderr).event_format(LineFormatter);
     tracing_subscriber::registry().with(level).with(lines).init();
     LEVEL.get_or_init(|| handle);
-    wanted().map(|form| set(form.unwrap_or_default()))
+    from_environment().map(|form| set(form.unwrap_or_default()))
 }
 
-/// Writes the log as the configuration says from now on, or as `NODE_LOG` does.
-pub fn follow(configured: Option<Form>) {
-    set(wanted().ok().flatten().or(configured).unwrap_or_default());
+/// Applies the format and level of `NODE_LOG`, else of the configuration, else the default.
+pub fn apply(configured: Option<LogFormat>) {
+    set(from_environment().ok().flatten().or(configured).unwrap_or_default());
 }
 
-fn set(form: Form) {
-    JSON.store(form.form == Shape::Json, Ordering::Relaxed);
-    // The subscriber lives as long as the process.
+fn set(form: LogFormat) {
+    JSON.store(form.form == LogStyle::Json, Ordering::Relaxed);
+    // Fails only if the subscriber is gone, which lives as long as the process.
     let _ = LEVEL.get().map(|level| level.reload(form.level.filter()));
 }
 
-/// One line an event.
-struct Line;
+/// Formats an event as one line.
+struct LineFormatter;
 
-impl<S, N> FormatEvent<S, N> for Line
+impl<S, N> FormatEvent<S, N> for LineFormatter
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
@@ -142,12 +143,13 @@
     }
 }
 
+/// Collects an event's fields as JSON values.
 #[derive(Default)]
 struct Fields(Map<String, Value>);
 
 impl Visit for Fields {
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
-        // One line, whatever a file or peer has put into it.
+        // Control characters from a file or peer must not break the line.
         let text = format!("{value:?}").replace(char::is_control, " ");
         self.0.insert(field.name().into(), text.into());
     }
@@ -170,10 +172,10 @@
     use super::*;
 
     #[test]
-    fn a_form_is_a_shape_and_a_level_in_any_order() {
-        assert_eq!("json:debug".parse(), Ok(Form { form: Shape::Json, level: Level::Debug }));
-        assert_eq!("warn".parse(), Ok(Form { form: Shape::Text, level: Level::Warn }));
-        assert_eq!("text".parse(), Ok(Form::default()));
-        assert!("xml".parse::<Form>().is_err() && "".parse::<Form>().is_err());
+    fn node_log_is_parsed_as_format_and_level_in_any_order() {
+        assert_eq!("json:debug".parse(), Ok(LogFormat { form: LogStyle::Json, level: Level::Debug }));
+        assert_eq!("warn".parse(), Ok(LogFormat { form: LogStyle::Text, level: Level::Warn }));
+        assert_eq!("text".parse(), Ok(LogFormat::default()));
+        assert!("xml".parse::<LogFormat>().is_err() && "".parse::<LogFormat>().is_err());
     }
 }
--- a/crates/gateway/src/bin/opalrun-gateway/fleet/membership.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/fleet/membership.rs
@@ -1,7 +1,7 @@
-//! Who is in the fleet: SWIM by the `foca` crate, without sockets and clock. Datagrams and times go in; datagrams,
-//! news and the time of the next look come out.
+//! Membership of the fleet by the SWIM protocol of the `foca` crate, without sockets or clock. Takes datagrams and the
+//! time; produces datagrams to send, membership events and the time of the next timer.
 
-use super::wire::{HEAD, MOST};
+use super::wire::{HEADER_BYTES, MAX_DATAGRAM_BYTES};
 use foca::{
     AccumulatingRuntime, Codec, Config, Error, Foca, Identity, Member, NoCustomBroadcast, OwnedNotification,
     PeriodicParams, PostcardCodec, State, Timer,
@@ -17,36 +17,38 @@
     time::Duration,
 };
 
-/// Between two probes of a random member; a round trip and the indirect probes fit in.
-const PROBE: Duration = Duration::from_millis(500);
-const ROUND_TRIP: Duration = Duration::from_millis(150);
-/// A suspected member has so long to say that it lives.
-const SUSPECT: Duration = Duration::from_millis(1500);
-/// Members that have left are remembered so long; one that comes back does so under a new start.
-const REMEMBER: Duration = Duration::from_secs(600);
-/// Members that probe in one's place, and times that news is passed on.
-const INDIRECT: usize = 3;
-const PASSED_ON: u8 = 10;
-/// Seeds that are asked at a time while nobody is known, and seconds between.
-const ASK: (usize, Time) = (3, 1.0);
-/// Members that are known at most, down ones included: who makes up more is nobody's gateway.
-const MOST_MEMBERS: usize = 1024;
-
-/// A member: where the others reach it, which gateway it is, and which of its starts.
+/// Interval between probes of a random member. A direct probe and the indirect ones after it fit in.
+const PROBE_INTERVAL: Duration = Duration::from_millis(500);
+/// Time-out of a direct probe.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
+/// Time after which a suspected member that has not refuted the suspicion is considered down.
+const SUSPICION_TIMEOUT: Duration = Duration::from_millis(1500);
+/// How long members that are down are remembered; a member that returns has a new incarnation.
+const DOWN_RETENTION: Duration = Duration::from_secs(600);
+/// Number of members that are asked to probe a member that has not answered a direct probe.
+const INDIRECT_PROBES: usize = 3;
+/// How many times each member sends an update.
+const MAX_TRANSMISSIONS: u8 = 10;
+/// While no other member is known: number of seeds contacted at a time, and the interval in seconds.
+const SEED_CONTACT: (usize, Time) = (3, 1.0);
+/// Largest number of known members, down ones included. Bounds memory if invented members are announced.
+const MAX_MEMBERS: usize = 1024;
+
+/// Identity of a member: address, gateway number and incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Id {
     pub addr: SocketAddr,
-    /// Its number in the settings.
+    /// Number of the gateway in the settings.
     pub me: u32,
-    /// Later starts have greater numbers; milliseconds at the first, by its clock.
+    /// Incarnation: the start of the process in Unix milliseconds, increased on each rejoin.
     pub start: u64,
 }
 
 impl Identity for Id {
     type Addr = SocketAddr;
 
-    /// Past what the others have in the place of this: by a thousandth, which is weeks, as an earlier start's clock
-    /// may have been far ahead and each step costs a round.
+    /// Increases the incarnation beyond the one that the other members consider down. The step is a thousandth of the
+    /// value, which is weeks: the clock of an earlier process may have been far ahead, and each step takes a round trip.
     fn renew(&self) -> Option<Self> {
         Some(Self { start: self.start.saturating_add(1 + self.start / 1000), ..self.clone() })
     }
@@ -60,37 +62,38 @@
     }
 }
 
-/// What has changed.
+/// A change of the membership.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum News {
+pub enum MembershipEvent {
+    /// A member is alive.
     Joined(Id),
-    /// Nobody could reach it, or it has said good-bye.
+    /// A member is down: no member could reach it, or it has left.
     Lost(Id),
-    /// It is there again under a new start.
+    /// A member that was alive has a new incarnation.
     Restarted(Id),
-    /// The others took this one for lost; it has joined anew.
+    /// The others considered this member down; it has rejoined with a new incarnation.
     Rejoined,
-    /// Nobody else is there any more.
+    /// No other member is alive any more.
     Alone,
 }
 
-/// A member as `GET /control/fleet` shows it.
+/// A member as `GET /control/fleet` reports it.
 #[derive(Debug, Clone, Serialize)]
-pub struct Seen {
+pub struct MemberReport {
     pub me: u32,
     pub addr: String,
     pub start: u64,
     pub state: &'static str,
 }
 
-/// What is to be done: datagrams' bodies to be sent, and news.
+/// Output of the protocol: bodies of datagrams to send with their destinations, and events.
 #[derive(Debug, Default)]
-pub struct Todo {
+pub struct Output {
     pub sends: Vec<(SocketAddr, Vec<u8>)>,
-    pub news: Vec<News>,
+    pub events: Vec<MembershipEvent>,
 }
 
-/// A timer, the earliest first; those of one moment by their order.
+/// A timer of the protocol, ordered by due time and then by sequence number.
 #[derive(Debug)]
 struct Due(Time, u64, Timer<Id>);
 
@@ -111,20 +114,22 @@
 }
 impl Eq for Due {}
 
-/// One member's knowledge of the fleet.
+/// One member's state of the membership protocol.
 pub struct Membership {
     foca: Foca<Id, PostcardCodec, SmallRng, NoCustomBroadcast>,
-    due: BinaryHeap<Reverse<Due>>,
+    timers: BinaryHeap<Reverse<Due>>,
+    /// Sequence number of the last timer.
     order: u64,
     seeds: Vec<SocketAddr>,
-    asked: Time,
+    /// When seeds were contacted last.
+    seeds_contacted: Time,
     rng: fastrand::Rng,
-    /// Those that are there, by gateway: two of one number are told of.
-    there: BTreeMap<SocketAddr, Id>,
+    /// The other members that are alive, by address: two gateways may wrongly have the same number.
+    alive: BTreeMap<SocketAddr, Id>,
 }
 
 fn nonzero<T>(value: Option<T>) -> T {
-    value.unwrap_or_else(|| unreachable!("the figures above are not 0"))
+    value.unwrap_or_else(|| unreachable!("the constants above are not 0"))
 }
 
 fn config() -> Config {
@@ -133,16 +138,16 @@
         num_members: nonzero(NonZeroUsize::new(n)),
     };
     Config {
-        probe_period: PROBE,
-        probe_rtt: ROUND_TRIP,
-        num_indirect_probes: nonzero(NonZeroUsize::new(INDIRECT)),
-        max_transmissions: nonzero(NonZeroU8::new(PASSED_ON)),
-        suspect_to_down_after: SUSPECT,
-        remove_down_after: REMEMBER,
-        max_packet_size: nonzero(NonZeroUsize::new(MOST - HEAD)),
+        probe_period: PROBE_INTERVAL,
+        probe_rtt: PROBE_TIMEOUT,
+        num_indirect_probes: nonzero(NonZeroUsize::new(INDIRECT_PROBES)),
+        max_transmissions: nonzero(NonZeroU8::new(MAX_TRANSMISSIONS)),
+        suspect_to_down_after: SUSPICION_TIMEOUT,
+        remove_down_after: DOWN_RETENTION,
+        max_packet_size: nonzero(NonZeroUsize::new(MAX_DATAGRAM_BYTES - HEADER_BYTES)),
         notify_down_members: true,
         periodic_announce: Some(params(5_000, 1)),
-        // Two halves that were cut off from each other meet again so.
+        // Lets two sides of a network partition find each other again.
         periodic_announce_to_down_members: Some(params(2_000, 2)),
         periodic_gossip: Some(params(200, 2)),
     }
@@ -153,31 +158,33 @@
         let seeds = seeds.into_iter().filter(|s| *s != own.addr).collect();
         Self {
             foca: Foca::new(own, config(), SmallRng::seed_from_u64(seed), PostcardCodec),
-            due: BinaryHeap::new(),
+            timers: BinaryHeap::new(),
             order: 0,
             seeds,
-            asked: f64::NEG_INFINITY,
+            seeds_contacted: f64::NEG_INFINITY,
             rng: fastrand::Rng::with_seed(seed),
-            there: BTreeMap::new(),
+            alive: BTreeMap::new(),
         }
     }
 
+    /// Identity of this member.
     pub fn own(&self) -> &Id {
         self.foca.identity()
     }
 
-    /// The others that are there.
+    /// The other members that are alive.
     pub fn others(&self) -> impl Iterator<Item = &Id> {
-        self.there.values()
+        self.alive.values()
     }
 
+    /// Number of other members that are alive.
     pub fn len(&self) -> usize {
-        self.there.len()
+        self.alive.len()
     }
 
-    /// All that are known, for people.
-    pub fn report(&self) -> Vec<Seen> {
-        let seen = |m: &Member<Id>| Seen {
+    /// All known members with their states.
+    pub fn report(&self) -> Vec<MemberReport> {
+        let report = |m: &Member<Id>| MemberReport {
             me: m.id().me,
             addr: m.id().addr.to_string(),
             start: m.id().start,
@@ -187,18 +194,18 @@
                 State::Down => "down",
             },
         };
-        self.foca.iter_membership_state().map(seen).collect()
+        self.foca.iter_membership_state().map(report).collect()
     }
 
-    /// Takes in a datagram's body that came from `sender`; `false`: it is none, or not the sender's own.
-    pub fn receive(&mut self, now: Time, sender: SocketAddr, body: &[u8], todo: &mut Todo) -> bool {
+    /// Handles the body of a datagram from `sender`. Returns `false` if it is invalid or claims another sender.
+    pub fn receive(&mut self, now: Time, sender: SocketAddr, body: &[u8], output: &mut Output) -> bool {
         let Ok(header) = PostcardCodec.decode_header(body) else { return false };
         let header: foca::Header<Id> = header;
-        // Nobody speaks for another: what it says of itself has to come from there.
-        if header.src.addr != sender || self.foca.iter_membership_state().len() > MOST_MEMBERS {
+        // A member can't send in the name of another: the source in the header must be the datagram's sender.
+        if header.src.addr != sender || self.foca.iter_membership_state().len() > MAX_MEMBERS {
             return false;
         }
-        // A later start of this very member, as this one's clock was set back: go past it.
+        // The sender knows a later incarnation of this member, whose clock was set back since: continue after that one.
         let newer = header.dst.addr == self.own().addr && header.dst.start > self.own().start;
         let (mut runtime, own) = (AccumulatingRuntime::new(), self.own().clone());
         if newer
@@ -206,79 +213,81 @@
         {
             return false;
         }
-        let taken = self.foca.handle_data(body, &mut runtime);
-        self.settle(now, runtime, todo);
-        !matches!(taken, Err(Error::Decode(_) | Error::MalformedPacket | Error::DataTooBig))
+        let result = self.foca.handle_data(body, &mut runtime);
+        self.collect(now, runtime, output);
+        !matches!(result, Err(Error::Decode(_) | Error::MalformedPacket | Error::DataTooBig))
     }
 
-    /// Does what is due by `now`.
-    pub fn tick(&mut self, now: Time, todo: &mut Todo) {
-        while let Some(Reverse(due)) = self.due.peek()
+    /// Fires the timers that are due at `now`, and contacts seeds while no other member is alive.
+    pub fn tick(&mut self, now: Time, output: &mut Output) {
+        while let Some(Reverse(due)) = self.timers.peek()
             && due.0 <= now
         {
-            let Some(Reverse(Due(_, _, timer))) = self.due.pop() else { break };
+            let Some(Reverse(Due(_, _, timer))) = self.timers.pop() else { break };
             let mut runtime = AccumulatingRuntime::new();
-            // One that comes late, as after a pause, is told as an incomplete cycle and goes on.
+            // The error for a late timer, as after a suspension, is an incomplete probe cycle; the protocol goes on.
             let _ = self.foca.handle_timer(timer, &mut runtime);
-            self.settle(now, runtime, todo);
+            self.collect(now, runtime, output);
         }
-        if self.there.is_empty() && now - self.asked >= ASK.1 && !self.seeds.is_empty() {
-            self.asked = now;
-            for _ in 0..ASK.0.min(self.seeds.len()) {
+        if self.alive.is_empty() && now - self.seeds_contacted >= SEED_CONTACT.1 && !self.seeds.is_empty() {
+            self.seeds_contacted = now;
+            for _ in 0..SEED_CONTACT.0.min(self.seeds.len()) {
                 let addr = self.seeds[self.rng.usize(..self.seeds.len())];
                 let mut runtime = AccumulatingRuntime::new();
-                // Only its address matters: who it is, it says itself.
+                // Only the address is used: the seed answers with its own identity.
                 let _ = self.foca.announce(Id { addr, me: u32::MAX, start: 0 }, &mut runtime);
-                self.settle(now, runtime, todo);
+                self.collect(now, runtime, output);
             }
         }
     }
 
-    /// When there is something to do next, at the latest.
+    /// When [`Membership::tick`] has to be called next; `None`: only after a datagram.
     pub fn next(&self) -> Option<Time> {
-        let due = self.due.peek().map(|Reverse(due)| due.0);
-        let ask = (self.there.is_empty() && !self.seeds.is_empty()).then_some(self.asked + ASK.1);
-        due.into_iter().chain(ask).reduce(f64::min)
+        let due = self.timers.peek().map(|Reverse(due)| due.0);
+        let contact = (self.alive.is_empty() && !self.seeds.is_empty())
+            .then_some(self.seeds_contacted + SEED_CONTACT.1);
+        due.into_iter().chain(contact).reduce(f64::min)
     }
 
-    /// Says good-bye.
-    pub fn leave(&mut self, now: Time, todo: &mut Todo) {
+    /// Announces that this member leaves.
+    pub fn leave(&mut self, now: Time, output: &mut Output) {
         let mut runtime = AccumulatingRuntime::new();
         let _ = self.foca.leave_cluster(&mut runtime);
-        self.settle(now, runtime, todo);
+        self.collect(now, runtime, output);
     }
 
-    fn settle(&mut self, now: Time, mut runtime: AccumulatingRuntime<Id>, todo: &mut Todo) {
+    /// Moves what the protocol has produced to the output and the timers.
+    fn collect(&mut self, now: Time, mut runtime: AccumulatingRuntime<Id>, output: &mut Output) {
         while let Some((to, bytes)) = runtime.to_send() {
-            todo.sends.push((to.addr, bytes.to_vec()));
+            output.sends.push((to.addr, bytes.to_vec()));
         }
         while let Some((after, timer)) = runtime.to_schedule() {
             self.order += 1;
-            self.due.push(Reverse(Due(now + after.as_secs_f64(), self.order, timer)));
+            self.timers.push(Reverse(Due(now + after.as_secs_f64(), self.order, timer)));
         }
-        while let Some(news) = runtime.to_notify() {
-            let news = match news {
+        while let Some(notification) = runtime.to_notify() {
+            let event = match notification {
                 OwnedNotification::MemberUp(id) => {
-                    self.there.insert(id.addr, id.clone());
-                    News::Joined(id)
+                    self.alive.insert(id.addr, id.clone());
+                    MembershipEvent::Joined(id)
                 }
                 OwnedNotification::MemberDown(id) => {
-                    self.there.remove(&id.addr);
-                    News::Lost(id)
+                    self.alive.remove(&id.addr);
+                    MembershipEvent::Lost(id)
                 }
-                OwnedNotification::Rename(_, id) => match self.there.get_mut(&id.addr) {
-                    Some(there) => {
-                        *there = id.clone();
-                        News::Restarted(id)
+                OwnedNotification::Rename(_, id) => match self.alive.get_mut(&id.addr) {
+                    Some(member) => {
+                        *member = id.clone();
+                        MembershipEvent::Restarted(id)
                     }
-                    // It was down: its return is told by itself.
+                    // It was down: its return is notified separately.
                     None => continue,
                 },
-                OwnedNotification::Rejoin(_) => News::Rejoined,
-                OwnedNotification::Idle => News::Alone,
+                OwnedNotification::Rejoin(_) => MembershipEvent::Rejoined,
+                OwnedNotification::Idle => MembershipEvent::Alone,
                 _ => continue,
             };
-            todo.news.push(news);
+            output.events.push(event);
         }
     }
 }
@@ -291,18 +300,21 @@
         ([127, 0, 0, 1], 1000 + i as u16).into()
     }
 
-    /// Members on a network that delivers within a step, as far as `passes` lets it.
+    /// Members on a simulated network that delivers all datagrams within a step.
     struct Net {
         now: Time,
         members: Vec<Option<Membership>>,
-        news: Vec<(usize, News)>,
+        /// Events by the member that produced them.
+        events: Vec<(usize, MembershipEvent)>,
+        /// Datagrams sent.
         sent: u64,
-        most: usize,
+        /// Length of the longest body sent.
+        longest: usize,
     }
 
     impl Net {
         fn new(n: usize) -> Self {
-            let mut net = Self { now: 100.0, members: Vec::new(), news: Vec::new(), sent: 0, most: 0 };
+            let mut net = Self { now: 100.0, members: Vec::new(), events: Vec::new(), sent: 0, longest: 0 };
             (0..n).for_each(|_| net.members.push(None));
             (0..n).for_each(|i| net.start(i, 1));
             net
@@ -313,38 +325,42 @@
             self.members[i] = Some(Membership::new(own, vec![addr(0), addr(1)], 7 + i as u64 + start));
         }
 
+        /// Runs the network. Datagrams from `a` to `b` are delivered if `passes(a, b)`.
         fn run(&mut self, seconds: f64, passes: impl Fn(usize, usize) -> bool) {
             let until = self.now + seconds;
             let index = |a: SocketAddr| (a.port() - 1000) as usize;
             while self.now < until {
                 self.now += 0.05;
-                let mut mail: Vec<(usize, SocketAddr, Vec<u8>)> = Vec::new();
-                let round = |i: usize, todo: Todo, mail: &mut Vec<_>, news: &mut Vec<_>| {
-                    news.extend(todo.news.into_iter().map(|n| (i, n)));
-                    mail.extend(todo.sends.into_iter().map(|(to, bytes)| (i, to, bytes)));
+                let mut datagrams: Vec<(usize, SocketAddr, Vec<u8>)> = Vec::new();
+                let collect = |i: usize, output: Output, datagrams: &mut Vec<_>, events: &mut Vec<_>| {
+                    events.extend(output.events.into_iter().map(|n| (i, n)));
+                    datagrams.extend(output.sends.into_iter().map(|(to, bytes)| (i, to, bytes)));
                 };
                 for (i, member) in self.members.iter_mut().enumerate() {
-                    let mut todo = Todo::default();
-                    member.iter_mut().for_each(|m| m.tick(self.now, &mut todo));
-                    round(i, todo, &mut mail, &mut self.news);
+                    let mut output = Output::default();
+                    member.iter_mut().for_each(|m| m.tick(self.now, &mut output));
+                    collect(i, output, &mut datagrams, &mut self.events);
                 }
-                while let Some((from, to, bytes)) = mail.pop() {
+                while let Some((from, to, bytes)) = datagrams.pop() {
                     self.sent += 1;
-                    self.most = self.most.max(bytes.len());
+                    self.longest = self.longest.max(bytes.len());
                     let to = index(to);
                     if !passes(from, to) {
                         continue;
                     }
-                    let mut todo = Todo::default();
+                    let mut output = Output::default();
                     if let Some(Some(member)) = self.members.get_mut(to) {
-                        assert!(member.receive(self.now, addr(from), &bytes, &mut todo), "a good datagram");
+                        assert!(
+                            member.receive(self.now, addr(from), &bytes, &mut output),
+                            "a valid datagram"
+                        );
                     }
-                    round(to, todo, &mut mail, &mut self.news);
+                    collect(to, output, &mut datagrams, &mut self.events);
                 }
             }
         }
 
-        /// How many others each member that runs knows.
+        /// For each running member, the number of others that it considers alive.
         fn known(&self) -> Vec<usize> {
             self.members.iter().flatten().map(Membership::len).collect()
         }
@@ -353,37 +369,37 @@
     const ALL: fn(usize, usize) -> bool = |_, _| true;
 
     #[test]
-    fn members_find_each_other_by_two_seeds_and_notice_a_death() {
+    fn members_discover_each_other_by_two_seeds_and_detect_a_failure() {
         let mut net = Net::new(12);
         net.run(8.0, ALL);
         assert_eq!(net.known(), vec![11; 12]);
         net.members[5] = None;
         net.run(10.0, ALL);
         assert_eq!(net.known(), vec![10; 11]);
-        assert!(net.most <= MOST - HEAD, "{} bytes in a datagram", net.most);
+        assert!(net.longest <= MAX_DATAGRAM_BYTES - HEADER_BYTES, "{} bytes in a datagram", net.longest);
     }
 
     #[test]
-    fn one_that_leaves_is_gone_at_once_and_comes_back_under_a_new_start() {
+    fn leaving_member_is_removed_at_once_and_can_rejoin_with_a_new_incarnation() {
         let mut net = Net::new(6);
         net.run(6.0, ALL);
-        let mut todo = Todo::default();
+        let mut output = Output::default();
         let mut left = net.members[3].take().expect("it runs");
-        left.leave(net.now, &mut todo);
-        for (to, bytes) in todo.sends {
+        left.leave(net.now, &mut output);
+        for (to, bytes) in output.sends {
             let to = (to.port() - 1000) as usize;
             let now = net.now;
-            net.members[to].as_mut().map(|m| m.receive(now, addr(3), &bytes, &mut Todo::default()));
+            net.members[to].as_mut().map(|m| m.receive(now, addr(3), &bytes, &mut Output::default()));
         }
         net.run(1.5, ALL);
-        assert_eq!(net.known(), vec![4; 5], "sooner than by suspicion");
+        assert_eq!(net.known(), vec![4; 5], "removed before a suspicion could time out");
         net.start(3, 2);
         net.run(4.0, ALL);
         assert_eq!(net.known(), vec![5; 6]);
     }
 
     #[test]
-    fn a_restart_whose_clock_was_set_back_gets_past_its_earlier_start() {
+    fn restart_with_an_earlier_clock_continues_after_the_former_incarnation() {
         let mut net = Net::new(5);
         let (ahead, back) = (1_796_000_000_000, 1_764_000_000_000);
         net.start(4, ahead);
@@ -394,12 +410,12 @@
         let of = |m: &Membership| m.others().find(|id| id.me == 4).map(|id| id.start);
         let start = net.members[0].as_ref().and_then(of).expect("known");
         assert!(start > ahead, "start {start}");
-        let again = net.news.iter().filter(|(_, n)| *n == News::Rejoined).count();
-        assert!(again < 40, "a year takes it {again} steps");
+        let again = net.events.iter().filter(|(_, n)| *n == MembershipEvent::Rejoined).count();
+        assert!(again < 40, "clocks a year apart took {again} rejoins");
     }
 
     #[test]
-    fn two_halves_part_and_meet_again() {
+    fn members_reunite_after_a_network_partition() {
         let mut net = Net::new(10);
         net.run(8.0, ALL);
         net.run(15.0, |a, b| (a < 5) == (b < 5));
@@ -409,19 +425,19 @@
     }
 
     #[test]
-    fn one_way_lost_is_no_death_while_others_hear_it() {
+    fn one_way_loss_between_two_members_does_not_make_either_down() {
         let mut net = Net::new(8);
         net.run(8.0, ALL);
-        net.news.clear();
-        // What member 1 says never comes to member 2; all else does.
+        net.events.clear();
+        // Only datagrams from member 1 to member 2 are lost.
         net.run(20.0, |a, b| !(a == 1 && b == 2));
-        let lost = net.news.iter().filter(|(_, n)| matches!(n, News::Lost(_))).count();
-        assert_eq!(lost, 0, "{:?}", net.news);
+        let lost = net.events.iter().filter(|(_, n)| matches!(n, MembershipEvent::Lost(_))).count();
+        assert_eq!(lost, 0, "{:?}", net.events);
         assert_eq!(net.known(), vec![7; 8]);
     }
 
     #[test]
-    fn messages_of_a_member_do_not_grow_with_the_fleet() {
+    fn datagram_rate_of_a_member_does_not_grow_with_the_fleet() {
         let rate = |n: usize| {
             let mut net = Net::new(n);
             net.run(12.0, ALL);
@@ -430,29 +446,32 @@
             net.sent as f64 / (10.0 * n as f64)
         };
         let (small, large) = (rate(10), rate(60));
-        assert!(large < 1.3 * small && large < 40.0, "{small} and {large} a second");
+        assert!(large < 1.3 * small && large < 40.0, "{small} and {large} datagrams per second");
     }
 
     #[test]
-    fn whoever_speaks_for_another_or_in_nonsense_is_not_heard() {
+    fn datagrams_with_a_false_sender_or_damage_are_rejected() {
         let mut net = Net::new(3);
         net.run(6.0, ALL);
         let now = net.now;
-        let mut todo = Todo::default();
-        net.members[0].as_mut().expect("it runs").leave(now, &mut todo);
-        let (_, farewell) = todo.sends.pop().expect("it says good-bye");
+        let mut output = Output::default();
+        net.members[0].as_mut().expect("it runs").leave(now, &mut output);
+        let (_, leave_message) = output.sends.pop().expect("a datagram to each member");
         let member = net.members[1].as_mut().expect("it runs");
-        assert!(!member.receive(now, addr(2), &farewell, &mut Todo::default()), "another says it");
+        assert!(
+            !member.receive(now, addr(2), &leave_message, &mut Output::default()),
+            "sent by another member"
+        );
         assert_eq!(member.len(), 2);
         let mut rng = fastrand::Rng::with_seed(3);
         for _ in 0..20_000 {
             let bytes: Vec<u8> = (0..rng.usize(..80)).map(|_| rng.u8(..)).collect();
-            member.receive(now, addr(2), &bytes, &mut Todo::default());
-            let mut bent = farewell.clone();
-            let at = rng.usize(..bent.len());
-            bent[at] ^= 1 << rng.u8(..8);
-            member.receive(now, addr(2), &bent, &mut Todo::default());
+            member.receive(now, addr(2), &bytes, &mut Output::default());
+            let mut damaged = leave_message.clone();
+            let at = rng.usize(..damaged.len());
+            damaged[at] ^= 1 << rng.u8(..8);
+            member.receive(now, addr(2), &damaged, &mut Output::default());
         }
-        assert!(member.report().len() <= MOST_MEMBERS + 1);
+        assert!(member.report().len() <= MAX_MEMBERS + 1);
     }
 }
