--- a/crates/gateway/src/bin/opalrun-gateway/fleet/views.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/fleet/views.rs
@@ -1,8 +1,8 @@
-//! What the members have spent and seen, without sockets and clock: counters that only grow, by member and its start,
-//! so that loss, repeats and order do no harm.
+//! The members' spending and their attempts at workers, without sockets or clock. They are exchanged as grow-only counts
+//! per member and incarnation, so that lost, repeated and reordered datagrams do no harm.
 //!
-//! For each of the hottest customers there is a bucket that all that is heard of is drawn from; for each worker, the
-//! answers and failures that members had of it in the last seconds. What is made of that is the policy's affair.
+//! For each recently active customer a token bucket is charged with the spending of all members. For each worker the
+//! answers and failures at all members in the last second are kept. The decisions judge what follows from them.
 
 use super::membership::Id;
 use fnv::{FnvHashMap, FnvHasher};
@@ -10,69 +10,73 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::VecDeque, hash::Hasher};
 
-/// Customers that are kept: of more, those that nobody spent for longest are forgotten.
-pub const CUSTOMERS: usize = 20_000;
-/// Workers.
-pub const WORKERS: usize = 1_000;
-/// Starts of members that are told apart; of more, those heard of longest ago are forgotten, and with them what
-/// they are known to have spent.
-const STARTS: usize = 2_000;
-/// Entries that a datagram holds at most: 30 bytes each at the most, and the frame.
-const ENTRIES: usize = 39;
-/// Times that a member passes a piece of news on, whosever it is.
-const PASSED_ON: u8 = 4;
-/// Pieces of news that wait at most: of more, the oldest is not passed on by this member.
-const WAITING: usize = 4_000;
-/// Seconds over which answers and failures of a worker are counted.
-const LOOK_BACK: f64 = 1.0;
-/// A counter can't have grown by more than this between two times that it is heard of: who says so is not believed.
-const MOST_AT_ONCE: u32 = 100_000;
-
-/// Seconds over which a count's latest growth goes with it, for whoever hears of the count first.
-const LATELY: f64 = 4.0;
-
-/// A name in eight bytes, the same at every member.
+/// Largest number of customers; beyond it, those without spending for the longest time are evicted.
+pub const MAX_CUSTOMERS: usize = 20_000;
+/// Largest number of workers.
+pub const MAX_WORKERS: usize = 1_000;
+/// Largest number of members' incarnations; beyond it, those without updates for the longest time are evicted together
+/// with their counts.
+const MAX_INCARNATIONS: usize = 2_000;
+/// Largest number of entries in a datagram. An entry takes at most 30 bytes; the frame has to fit as well.
+const MAX_ENTRIES: usize = 39;
+/// How many times each member sends an update, its own or another member's.
+const MAX_TRANSMISSIONS: u8 = 4;
+/// Largest number of queued updates; beyond it, this member drops the oldest.
+const MAX_QUEUED: usize = 4_000;
+/// Period in seconds over which answers and failures of a worker are summed.
+const OBSERVATION_WINDOW_S: f64 = 1.0;
+/// Largest plausible growth of a count between two updates; larger growth is not charged or summed.
+const MAX_GROWTH: u32 = 100_000;
+
+/// Period in seconds whose growth is sent along with a count, for members that have no earlier value of it.
+const RECENT_WINDOW_S: f64 = 4.0;
+
+/// Hash of a customer's or worker's name that is the same at every member.
 pub fn key(name: &str) -> u64 {
     let mut hasher = FnvHasher::default();
     hasher.write(name.as_bytes());
     hasher.finish()
 }
 
-/// What a count is about.
+/// What a count counts. Customers and workers are given by their keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-enum About {
-    /// Units that a customer's requests took, and its plan.
+enum Subject {
+    /// Units that a customer's requests took, with the index of the customer's plan.
     Spent(u64, u8),
-    /// Answers that came from a worker, and attempts that it failed.
+    /// Attempts that a worker answered.
     Answered(u64),
+    /// Attempts that a worker failed.
     Failed(u64),
 }
 
-/// One count of one member, as it goes from one to the other.
+/// One member's count of one subject, as it is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 struct Entry {
-    about: About,
+    subject: Subject,
+    /// Number of the gateway that counts.
     me: u32,
-    /// The low half of its start: two starts of one member that agree there are days apart.
+    /// Lower 32 bits of its incarnation; two incarnations of a member that agree in them are days apart.
     start: u32,
     count: u32,
-    /// How much of that is of the last seconds.
-    lately: u8,
+    /// Growth in the last `RECENT_WINDOW_S` seconds, at most 255.
+    recent: u8,
 }
 
-/// A count as it is held; its growth since a mark of some seconds ago is its latest.
+/// Local copy of a member's count.
 #[derive(Debug, Clone, Copy, Default)]
 struct Count {
     count: u32,
-    lately: u8,
-    mark: u32,
-    marked: Time,
+    /// Growth since `window_start`, at most 255.
+    recent: u8,
+    /// Value of the count at `window_start`.
+    count_at_window_start: u32,
+    window_start: Time,
 }
 
-/// A member's start, as entries name it.
-type Who = (u32, u32);
+/// A member's number and the lower 32 bits of its incarnation.
+type Incarnation = (u32, u32);
 
-fn who(id: &Id) -> Who {
+fn incarnation(id: &Id) -> Incarnation {
     (id.me, id.start as u32)
 }
 
@@ -82,238 +86,254 @@
     entries: Vec<Entry>,
 }
 
-/// What is known of a customer's spending over the fleet.
+/// What the fleet's spending leaves of a customer's quota.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Spending {
-    /// Units that a bucket of the quota's size would still hold, were all that is heard of drawn from it at once.
+    /// Units left in a token bucket of the customer's plan that is charged with all known spending; negative if more was
+    /// spent than the plan allows.
     pub level: f64,
-    /// Seconds since the other members were heard from on the whole: what they spent since is not in it.
+    /// Seconds since the last update from another member; later spending is not included in `level`.
     pub age: f64,
 }
 
-/// What the fleet saw of a worker in the last second.
+/// Attempts at a worker by all members in the last second.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Sight {
+pub struct WorkerSummary {
+    /// Attempts that the worker answered.
     pub answered: u32,
+    /// Attempts that the worker failed.
     pub failed: u32,
-    /// Members that it failed.
+    /// Number of members with failed attempts.
     pub members: u32,
 }
 
+/// Token bucket of a customer.
 #[derive(Debug, Clone, Copy)]
 struct Bucket {
+    /// Index of the customer's plan.
     plan: u8,
+    /// Units in the bucket at `at`.
     level: f64,
     at: Time,
 }
 
 #[derive(Debug, Default)]
 struct Worker {
-    /// When, whose, and how many answers and failures were heard of.
-    heard: VecDeque<(Time, Who, u32, u32)>,
+    /// Observations, oldest first: time, member, number of answers, number of failures.
+    observations: VecDeque<(Time, Incarnation, u32, u32)>,
 }
 
-/// All that this member knows.
+/// This member's copy of all counts, and the sums derived from them.
 #[derive(Debug)]
 pub struct Views {
-    own: Who,
-    /// Rate and burst of each plan.
+    /// This member.
+    own: Incarnation,
+    /// Rate in units per second and burst in units of each plan.
     plans: Vec<(f64, f64)>,
-    counts: FnvHashMap<(About, Who), Count>,
+    counts: FnvHashMap<(Subject, Incarnation), Count>,
     customers: FnvHashMap<u64, Bucket>,
     workers: FnvHashMap<u64, Worker>,
-    /// When each start was heard of last, by whomever.
-    starts: FnvHashMap<Who, Time>,
-    /// News to be passed on, and how often that was done; the newest last.
-    waiting: VecDeque<(About, Who, u8)>,
-    queued: FnvHashMap<(About, Who), ()>,
-    /// When views of others came last, and how many others there are.
-    last: Time,
-    pub forgotten: u64,
+    /// When the last update of each incarnation arrived, from any member.
+    incarnations: FnvHashMap<Incarnation, Time>,
+    /// Updates to send, with the number of times that each was sent; the newest last.
+    queue: VecDeque<(Subject, Incarnation, u8)>,
+    /// The updates in `queue`.
+    queued: FnvHashMap<(Subject, Incarnation), ()>,
+    /// When the last update from another member arrived.
+    last_received: Time,
+    /// Number of customers evicted so far.
+    pub evicted_customers: u64,
 }
 
 impl Views {
     pub fn new(own: &Id, plans: Vec<(f64, f64)>) -> Self {
         Self {
-            own: who(own),
+            own: incarnation(own),
             plans,
             counts: FnvHashMap::default(),
             customers: FnvHashMap::default(),
             workers: FnvHashMap::default(),
-            starts: FnvHashMap::default(),
-            waiting: VecDeque::new(),
+            incarnations: FnvHashMap::default(),
+            queue: VecDeque::new(),
             queued: FnvHashMap::default(),
-            last: f64::NEG_INFINITY,
-            forgotten: 0,
+            last_received: f64::NEG_INFINITY,
+            evicted_customers: 0,
         }
     }
 
     /// Plans have other rates and bursts from now on.
-    pub fn retune(&mut self, plans: Vec<(f64, f64)>) {
+    pub fn set_plans(&mut self, plans: Vec<(f64, f64)>) {
         self.plans = plans;
     }
 
-    /// This member goes on under another start: what it counts from now on counts anew.
-    pub fn renamed(&mut self, own: &Id) {
-        self.own = who(own);
+    /// Changes this member's incarnation. Its counts start from zero again.
+    pub fn set_identity(&mut self, own: &Id) {
+        self.own = incarnation(own);
     }
 
+    /// Numbers of customers, workers and queued updates.
     pub fn sizes(&self) -> (usize, usize, usize) {
-        (self.customers.len(), self.workers.len(), self.waiting.len())
+        (self.customers.len(), self.workers.len(), self.queue.len())
     }
 
-    /// Seconds since any other member's view came.
+    /// Seconds since the last update from another member.
     pub fn age(&self, now: Time) -> f64 {
-        now - self.last
+        now - self.last_received
     }
 
-    fn count(&mut self, now: Time, about: About, by: u32) {
-        let count = self.counts.entry((about, self.own)).or_default();
-        if now - count.marked > LATELY {
-            (count.mark, count.marked) = (count.count, now);
+    /// Adds to one of this member's counts and queues it for sending.
+    fn count(&mut self, now: Time, subject: Subject, by: u32) {
+        let count = self.counts.entry((subject, self.own)).or_default();
+        if now - count.window_start > RECENT_WINDOW_S {
+            (count.count_at_window_start, count.window_start) = (count.count, now);
         }
         count.count = count.count.saturating_add(by);
-        count.lately = u8::try_from(count.count - count.mark).unwrap_or(u8::MAX);
-        self.pass_on(about, self.own);
+        count.recent = u8::try_from(count.count - count.count_at_window_start).unwrap_or(u8::MAX);
+        self.enqueue(subject, self.own);
     }
 
-    /// This member has sent on a request of `units`.
-    pub fn spent(&mut self, now: Time, customer: u64, plan: u8, units: f64) {
-        if self.draw(now, customer, plan, units) {
-            self.count(now, About::Spent(customer, plan), units.round().clamp(0.0, 1e6) as u32);
+    /// Records that this member has sent a request of `units` to a worker.
+    pub fn record_spending(&mut self, now: Time, customer: u64, plan: u8, units: f64) {
+        if self.charge(now, customer, plan, units) {
+            self.count(now, Subject::Spent(customer, plan), units.round().clamp(0.0, 1e6) as u32);
         }
     }
 
-    /// An attempt at a worker ended here.
-    pub fn saw(&mut self, now: Time, worker: u64, answered: bool) {
-        self.count(now, if answered { About::Answered(worker) } else { About::Failed(worker) }, 1);
-        self.look(now, worker, self.own, u32::from(answered), u32::from(!answered));
+    /// Records that a worker has answered or failed an attempt of this member.
+    pub fn record_attempt(&mut self, now: Time, worker: u64, answered: bool) {
+        self.count(now, if answered { Subject::Answered(worker) } else { Subject::Failed(worker) }, 1);
+        self.observe(now, worker, self.own, u32::from(answered), u32::from(!answered));
     }
 
-    /// `false`: nobody here knows the plan.
-    fn draw(&mut self, now: Time, customer: u64, plan: u8, units: f64) -> bool {
+    /// Charges a customer's bucket. Returns `false` if the plan is unknown.
+    fn charge(&mut self, now: Time, customer: u64, plan: u8, units: f64) -> bool {
         let Some((rate, burst)) = self.plans.get(usize::from(plan)).copied() else { return false };
-        if self.customers.len() >= CUSTOMERS && !self.customers.contains_key(&customer) {
-            self.forget(now);
+        if self.customers.len() >= MAX_CUSTOMERS && !self.customers.contains_key(&customer) {
+            self.evict_customers(now);
         }
         let bucket = self.customers.entry(customer).or_insert(Bucket { plan, level: burst, at: now });
         bucket.plan = plan;
         bucket.level = (bucket.level + rate * (now - bucket.at).max(0.0)).min(burst);
-        // Far below nothing it would take the fleet's word for longer than the quota does.
+        // Bounded below: a deeper overdraft would restrict the customer for longer than the quota itself does.
         bucket.level = (bucket.level - units).max(-burst);
         bucket.at = bucket.at.max(now);
         true
     }
 
-    /// Makes room: the half of the customers that was spent for longest ago goes, with all counts of theirs.
-    fn forget(&mut self, now: Time) {
+    /// Evicts the half of the customers with the oldest spending, together with their counts.
+    fn evict_customers(&mut self, now: Time) {
         let mut ages: Vec<Time> = self.customers.values().map(|b| b.at).collect();
         let middle = ages.len() / 2;
         let (_, cut, _) = ages.select_nth_unstable_by(middle, f64::total_cmp);
         let cut = cut.min(now);
         let before = self.customers.len();
         self.customers.retain(|_, b| b.at > cut);
-        self.forgotten += (before - self.customers.len()) as u64;
+        self.evicted_customers += (before - self.customers.len()) as u64;
         let (customers, own) = (&self.customers, self.own);
-        self.counts.retain(|(about, by), _| match about {
-            // Its own counts must not begin anew under the same start.
-            About::Spent(customer, _) => customers.contains_key(customer) || *by == own,
+        self.counts.retain(|(subject, by), _| match subject {
+            // This member's own counts must not restart from zero within the same incarnation.
+            Subject::Spent(customer, _) => customers.contains_key(customer) || *by == own,
             _ => true,
         });
     }
 
-    fn look(&mut self, now: Time, worker: u64, by: Who, answered: u32, failed: u32) {
-        if self.workers.len() >= WORKERS && !self.workers.contains_key(&worker) {
-            self.workers.retain(|_, w| w.heard.back().is_some_and(|h| now - h.0 < LOOK_BACK));
-            if self.workers.len() >= WORKERS {
+    /// Adds answers and failures of a worker at the member `by` to the worker's observations.
+    fn observe(&mut self, now: Time, worker: u64, by: Incarnation, answered: u32, failed: u32) {
+        if self.workers.len() >= MAX_WORKERS && !self.workers.contains_key(&worker) {
+            self.workers
+                .retain(|_, w| w.observations.back().is_some_and(|h| now - h.0 < OBSERVATION_WINDOW_S));
+            if self.workers.len() >= MAX_WORKERS {
                 return;
             }
         }
-        let heard = &mut self.workers.entry(worker).or_default().heard;
-        while heard.front().is_some_and(|h| now - h.0 > LOOK_BACK) {
-            heard.pop_front();
+        let observations = &mut self.workers.entry(worker).or_default().observations;
+        while observations.front().is_some_and(|h| now - h.0 > OBSERVATION_WINDOW_S) {
+            observations.pop_front();
         }
-        // One place for what a member is heard of within a moment: a flood of answers takes no more room.
-        match heard.back_mut() {
+        // Observations of one member within 50 ms are merged, which bounds the memory used.
+        match observations.back_mut() {
             Some(last) if last.1 == by && now - last.0 < 0.05 => {
                 last.2 = last.2.saturating_add(answered);
                 last.3 = last.3.saturating_add(failed);
             }
-            _ => heard.push_back((now, by, answered, failed)),
+            _ => observations.push_back((now, by, answered, failed)),
         }
     }
 
-    fn pass_on(&mut self, about: About, by: Who) {
-        if self.queued.insert((about, by), ()).is_some() {
-            // It waits already, and goes out with the count as it is then: as often as if it were new.
+    /// Queues a count for sending.
+    fn enqueue(&mut self, subject: Subject, by: Incarnation) {
+        if self.queued.insert((subject, by), ()).is_some() {
+            // It is queued already and is sent with its value at that time.
             return;
         }
-        self.waiting.push_back((about, by, 0));
-        if self.waiting.len() > WAITING
-            && let Some((about, by, _)) = self.waiting.pop_front()
+        self.queue.push_back((subject, by, 0));
+        if self.queue.len() > MAX_QUEUED
+            && let Some((subject, by, _)) = self.queue.pop_front()
         {
-            self.queued.remove(&(about, by));
+            self.queued.remove(&(subject, by));
         }
     }
 
-    /// The body of the next datagram, if there is news; the newest goes first.
-    pub fn next(&mut self) -> Option<Vec<u8>> {
+    /// Builds the body of the next datagram, the newest updates first; `None`: there are none.
+    pub fn next_body(&mut self) -> Option<Vec<u8>> {
         let mut entries = Vec::new();
-        let mut again = Vec::new();
-        while entries.len() < ENTRIES
-            && let Some((about, by, times)) = self.waiting.pop_back()
+        let mut resend = Vec::new();
+        while entries.len() < MAX_ENTRIES
+            && let Some((subject, by, times)) = self.queue.pop_back()
         {
-            let Some(Count { count, lately, .. }) = self.counts.get(&(about, by)).copied() else {
-                self.queued.remove(&(about, by));
+            let Some(Count { count, recent, .. }) = self.counts.get(&(subject, by)).copied() else {
+                self.queued.remove(&(subject, by));
                 continue;
             };
-            entries.push(Entry { about, me: by.0, start: by.1, count, lately });
-            if times + 1 < PASSED_ON {
-                again.push((about, by, times + 1));
+            entries.push(Entry { subject, me: by.0, start: by.1, count, recent });
+            if times + 1 < MAX_TRANSMISSIONS {
+                resend.push((subject, by, times + 1));
             } else {
-                self.queued.remove(&(about, by));
+                self.queued.remove(&(subject, by));
             }
         }
-        // Behind what has not been told so often.
-        again.into_iter().for_each(|waits| self.waiting.push_front(waits));
-        // Only what can't be written is no body, and all of this can.
+        // Sent again only after updates that were sent less often.
+        resend.into_iter().for_each(|waits| self.queue.push_front(waits));
+        // Serializing can't fail for these types.
         if entries.is_empty() { None } else { postcard::to_stdvec(&Body { entries }).ok() }
     }
 
-    /// Takes in a datagram's body; `false`: it is none. Adds the workers whose failures were heard of to `failed`.
+    /// Applies the body of a datagram. Returns `false` if it is invalid. Adds the keys of workers with new failures to
+    /// `failed`.
     pub fn receive(&mut self, now: Time, body: &[u8], failed: &mut Vec<u64>) -> bool {
         let Ok((Body { entries }, [])) = postcard::take_from_bytes(body) else { return false };
-        if entries.len() > ENTRIES {
+        if entries.len() > MAX_ENTRIES {
             return false;
         }
-        self.last = now;
-        for Entry { about, me, start, count, lately } in entries {
+        self.last_received = now;
+        for Entry { subject, me, start, count, recent } in entries {
             let by = (me, start);
             if me == self.own.0 {
-                // Nobody knows better what this gateway has spent.
+                // This gateway's own counts are authoritative here.
                 continue;
             }
-            if self.starts.len() >= STARTS && !self.starts.contains_key(&by) {
-                self.forget_starts();
+            if self.incarnations.len() >= MAX_INCARNATIONS && !self.incarnations.contains_key(&by) {
+                self.evict_incarnations();
             }
-            self.starts.insert(by, now);
-            let grown = match self.counts.get(&(about, by)).map(|c| c.count) {
+            self.incarnations.insert(by, now);
+            let growth = match self.counts.get(&(subject, by)).map(|c| c.count) {
                 Some(known) if count <= known => continue,
                 Some(known) => count - known,
-                // When the rest was spent, nobody here knows.
-                None => u32::from(lately).min(count),
+                // First value of this count: the time of its growth before the recent period is unknown, so that part is
+                // not charged.
+                None => u32::from(recent).min(count),
             };
-            self.counts.insert((about, by), Count { count, lately, ..Count::default() });
-            self.pass_on(about, by);
-            let grown = if grown > MOST_AT_ONCE { 0 } else { grown };
-            match about {
-                About::Spent(customer, plan) => {
-                    self.draw(now, customer, plan, f64::from(grown));
+            self.counts.insert((subject, by), Count { count, recent, ..Count::default() });
+            self.enqueue(subject, by);
+            let growth = if growth > MAX_GROWTH { 0 } else { growth };
+            match subject {
+                Subject::Spent(customer, plan) => {
+                    self.charge(now, customer, plan, f64::from(growth));
                 }
-                About::Answered(worker) => self.look(now, worker, by, grown, 0),
-                About::Failed(worker) => {
-                    self.look(now, worker, by, 0, grown);
-                    if grown > 0 {
+                Subject::Answered(worker) => self.observe(now, worker, by, growth, 0),
+                Subject::Failed(worker) => {
+                    self.observe(now, worker, by, 0, growth);
+                    if growth > 0 {
                         failed.push(worker);
                     }
                 }
@@ -322,17 +342,18 @@
         true
     }
 
-    fn forget_starts(&mut self) {
-        let mut ages: Vec<Time> = self.starts.values().copied().collect();
+    /// Evicts the half of the incarnations with the oldest updates, together with their counts.
+    fn evict_incarnations(&mut self) {
+        let mut ages: Vec<Time> = self.incarnations.values().copied().collect();
         let middle = ages.len() / 2;
         let (_, cut, _) = ages.select_nth_unstable_by(middle, f64::total_cmp);
         let cut = *cut;
-        self.starts.retain(|_, s| *s > cut);
-        let (starts, own) = (&self.starts, self.own);
+        self.incarnations.retain(|_, s| *s > cut);
+        let (starts, own) = (&self.incarnations, self.own);
         self.counts.retain(|(_, by), _| starts.contains_key(by) || *by == own);
     }
 
-    /// What is known of a customer's spending; `None`: nothing.
+    /// What the known spending leaves of a customer's quota; `None`: no spending is known.
     pub fn spending(&self, now: Time, customer: u64) -> Option<Spending> {
         let bucket = self.customers.get(&customer)?;
         let (rate, burst) = self.plans.get(usize::from(bucket.plan)).copied()?;
@@ -340,20 +361,22 @@
         Some(Spending { level, age: self.age(now) })
     }
 
-    /// What the fleet saw of a worker in the last second.
-    pub fn sight(&self, now: Time, worker: u64) -> Sight {
-        let mut sight = Sight::default();
-        let Some(worker) = self.workers.get(&worker) else { return sight };
+    /// Sums the attempts of all members at a worker in the last second.
+    pub fn worker_summary(&self, now: Time, worker: u64) -> WorkerSummary {
+        let mut summary = WorkerSummary::default();
+        let Some(worker) = self.workers.get(&worker) else { return summary };
         let mut members = Vec::new();
-        for (_, by, answered, failed) in worker.heard.iter().filter(|h| now - h.0 <= LOOK_BACK) {
-            sight.answered = sight.answered.saturating_add(*answered);
-            sight.failed = sight.failed.saturating_add(*failed);
+        for (_, by, answered, failed) in
+            worker.observations.iter().filter(|h| now - h.0 <= OBSERVATION_WINDOW_S)
+        {
+            summary.answered = summary.answered.saturating_add(*answered);
+            summary.failed = summary.failed.saturating_add(*failed);
             if *failed > 0 && !members.contains(by) {
                 members.push(*by);
             }
         }
-        sight.members = members.len() as u32;
-        sight
+        summary.members = members.len() as u32;
+        summary
     }
 }
 
@@ -379,17 +402,17 @@
     }
 
     #[test]
-    fn counters_only_grow_so_repeats_and_order_do_no_harm() {
+    fn repeated_and_reordered_updates_are_counted_once() {
         let (mut a, mut b) = (views(0, 1), views(1, 1));
-        // Long before it is heard of: when that was spent is not known, but for the latest.
-        a.spent(10.0, 1, 0, 50.0);
-        a.spent(100.0, 1, 0, 1.0);
-        b.receive(100.0, &a.next().expect("news"), &mut Vec::new());
+        // The first 50 units were spent long before the first update arrives, so only the last unit is charged.
+        a.record_spending(10.0, 1, 0, 50.0);
+        a.record_spending(100.0, 1, 0, 1.0);
+        b.receive(100.0, &a.next_body().expect("an update"), &mut Vec::new());
         assert_eq!(level(&b, 100.0), BURST - 1.0);
         let mut bodies = Vec::new();
         for _ in 0..5 {
-            a.spent(101.0, 1, 0, 1.0);
-            bodies.push(a.next().expect("news"));
+            a.record_spending(101.0, 1, 0, 1.0);
+            bodies.push(a.next_body().expect("an update"));
         }
         for body in [&bodies[4], &bodies[0], &bodies[4], &bodies[2]] {
             assert!(b.receive(101.0, body, &mut Vec::new()));
@@ -399,26 +422,26 @@
             "five units, each once: {}",
             level(&b, 101.0)
         );
-        assert!((level(&b, 101.2) - (BURST - 3.0)).abs() < 1e-9, "and it refills");
+        assert!((level(&b, 101.2) - (BURST - 3.0)).abs() < 1e-9, "the bucket refills");
     }
 
     #[test]
-    fn all_members_come_to_the_same_level_whatever_is_lost() {
+    fn members_converge_to_the_same_level_despite_datagram_loss() {
         let mut rng = fastrand::Rng::with_seed(5);
         let mut members: Vec<Views> = (0..8).map(|i| views(i, 1)).collect();
-        // Nothing refills, so that what each has heard of can be compared.
-        members.iter_mut().for_each(|m| m.retune(vec![(0.0, 1e4)]));
+        // Without refill, so that the levels show how much of the spending each member knows.
+        members.iter_mut().for_each(|m| m.set_plans(vec![(0.0, 1e4)]));
         let mut spent = 0.0;
         for round in 0..400 {
             let now = f64::from(round) * 0.1;
             if round < 200 {
                 let i = rng.usize(..8);
-                members[i].spent(now, 1, 0, 1.0);
+                members[i].record_spending(now, 1, 0, 1.0);
                 spent += 1.0;
             }
             for i in 0..8 {
                 for _ in 0..2 {
-                    let Some(body) = members[i].next() else { continue };
+                    let Some(body) = members[i].next_body() else { continue };
                     let to = rng.usize(..8);
                     if to != i && rng.f64() > 0.3 {
                         members[to].receive(now, &body, &mut Vec::new());
@@ -428,76 +451,83 @@
         }
         let level = |v: &Views| v.spending(40.0, 1).expect("known").level;
         for member in &members {
-            let heard = 1e4 - level(member);
-            assert!(heard <= spent && heard > 0.95 * spent, "{heard} of {spent}");
+            let observations = 1e4 - level(member);
+            assert!(observations <= spent && observations > 0.95 * spent, "{observations} of {spent}");
         }
     }
 
     #[test]
-    fn a_restarted_member_counts_anew_and_nothing_twice() {
+    fn counts_of_a_restarted_member_are_added_to_its_former_ones_once() {
         let mut b = views(1, 1);
         let mut a = views(0, 1);
-        a.spent(0.0, 1, 0, 1.0);
-        b.receive(0.0, &a.next().expect("news"), &mut Vec::new());
-        a.spent(5.0, 1, 0, 4.0);
-        let old = a.next().expect("news");
+        a.record_spending(0.0, 1, 0, 1.0);
+        b.receive(0.0, &a.next_body().expect("an update"), &mut Vec::new());
+        a.record_spending(5.0, 1, 0, 4.0);
+        let old = a.next_body().expect("an update");
         b.receive(5.0, &old, &mut Vec::new());
         let mut a = views(0, 2);
-        a.spent(5.0, 1, 0, 3.0);
-        b.receive(5.0, &a.next().expect("news"), &mut Vec::new());
+        a.record_spending(5.0, 1, 0, 3.0);
+        b.receive(5.0, &a.next_body().expect("an update"), &mut Vec::new());
         b.receive(5.0, &old, &mut Vec::new());
         assert!((level(&b, 5.0) - (BURST - 7.0)).abs() < 1e-9, "{}", level(&b, 5.0));
     }
 
     #[test]
-    fn a_worker_is_seen_by_all_and_one_members_bad_links_are_outweighed() {
+    fn worker_summary_combines_all_members_and_counts_those_with_failures() {
         let mut b = views(9, 1);
         let mut bad = Vec::new();
         let mut others: Vec<Views> = (0..3).map(|i| views(i, 1)).collect();
         for other in &mut others {
-            other.saw(0.0, 7, true);
-            b.receive(0.0, &other.next().expect("news"), &mut bad);
+            other.record_attempt(0.0, 7, true);
+            b.receive(0.0, &other.next_body().expect("an update"), &mut bad);
         }
         assert!(bad.is_empty());
-        others[0].saw(0.1, 7, false);
-        others[1].saw(0.1, 7, true);
+        others[0].record_attempt(0.1, 7, false);
+        others[1].record_attempt(0.1, 7, true);
         for other in &mut others[..2] {
-            b.receive(0.1, &other.next().expect("news"), &mut bad);
+            b.receive(0.1, &other.next_body().expect("an update"), &mut bad);
         }
         assert_eq!(bad, [7]);
-        let sight = b.sight(0.2, 7);
-        assert_eq!((sight.failed, sight.members), (1, 1));
-        assert!(sight.answered >= 1);
-        assert_eq!(b.sight(2.0, 7), Sight::default(), "it ends by itself");
+        let summary = b.worker_summary(0.2, 7);
+        assert_eq!((summary.failed, summary.members), (1, 1));
+        assert!(summary.answered >= 1);
+        assert_eq!(b.worker_summary(2.0, 7), WorkerSummary::default(), "observations expire");
     }
 
     #[test]
-    fn memory_is_bounded_and_the_coldest_go_first() {
+    fn memory_is_bounded_and_longest_idle_customers_are_evicted_first() {
         let mut all = views(0, 1);
-        for customer in 0..3 * CUSTOMERS as u64 {
-            all.spent(customer as f64 * 1e-3, customer, 0, 1.0);
+        for customer in 0..3 * MAX_CUSTOMERS as u64 {
+            all.record_spending(customer as f64 * 1e-3, customer, 0, 1.0);
         }
         let (customers, _, waiting) = all.sizes();
-        assert!(customers <= CUSTOMERS && waiting <= WAITING, "{customers} customers, {waiting} waiting");
-        let last = 3 * CUSTOMERS as u64 - 1;
-        assert!(all.spending(100.0, last).is_some(), "the hottest stays");
-        assert!(all.spending(100.0, 0).is_none() && all.forgotten > 0);
-        for member in 0..3 * STARTS as u32 {
+        assert!(
+            customers <= MAX_CUSTOMERS && waiting <= MAX_QUEUED,
+            "{customers} customers, {waiting} waiting"
+        );
+        let last = 3 * MAX_CUSTOMERS as u64 - 1;
+        assert!(all.spending(100.0, last).is_some(), "the customer active last is kept");
+        assert!(all.spending(100.0, 0).is_none() && all.evicted_customers > 0);
+        for member in 0..3 * MAX_INCARNATIONS as u32 {
             let mut other = views(1 + member, 1);
-            other.spent(0.0, 5, 0, 1.0);
-            all.receive(f64::from(member), &other.next().expect("news"), &mut Vec::new());
+            other.record_spending(0.0, 5, 0, 1.0);
+            all.receive(f64::from(member), &other.next_body().expect("an update"), &mut Vec::new());
         }
-        assert!(all.starts.len() <= STARTS);
+        assert!(all.incarnations.len() <= MAX_INCARNATIONS);
     }
 
     #[test]
-    fn a_datagram_fits_and_nonsense_is_passed_over() {
+    fn full_datagram_fits_and_mutated_bodies_do_no_harm() {
         let mut all = views(u32::MAX, u64::MAX);
         for i in 0..200 {
-            all.spent(0.0, u64::MAX - i, 0, 1e6);
+            all.record_spending(0.0, u64::MAX - i, 0, 1e6);
         }
-        let body = all.next().expect("news");
-        assert!(body.len() + super::super::wire::HEAD <= super::super::wire::MOST, "{} bytes", body.len());
+        let body = all.next_body().expect("an update");
+        assert!(
+            body.len() + super::super::wire::HEADER_BYTES <= super::super::wire::MAX_DATAGRAM_BYTES,
+            "{} bytes",
+            body.len()
+        );
         let mut other = views(1, 1);
         let mut rng = fastrand::Rng::with_seed(2);
         for _ in 0..20_000 {
@@ -511,6 +541,6 @@
             }
             other.receive(1.0, &bytes, &mut Vec::new());
         }
-        assert!(other.sizes().0 <= CUSTOMERS);
+        assert!(other.sizes().0 <= MAX_CUSTOMERS);
     }
 }
--- a/crates/gateway/src/bin/opalrun-gateway/fleet/views/golden_tests.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/fleet/views/golden_tests.rs
@@ -1,18 +1,18 @@
-//! Counts that gateways tell each other stay readable between versions: a golden file.
+//! Golden file: the counts that gateways exchange stay compatible between versions of the program.
 
 use super::*;
 use crate::golden::{case, check};
 
-fn entry(about: About, count: u32) -> Entry {
-    Entry { about, me: 3, start: 70_001, count, lately: 5 }
+fn entry(subject: Subject, count: u32) -> Entry {
+    Entry { subject, me: 3, start: 70_001, count, recent: 5 }
 }
 
 #[test]
-fn counts_are_read_and_written_as_an_earlier_version_wrote_them() {
+fn counts_match_the_golden_file() {
     let entries = vec![
-        entry(About::Spent(key("customer-1"), 2), 900),
-        entry(About::Answered(key("worker-1")), 41),
-        entry(About::Failed(key("worker-1")), 6),
+        entry(Subject::Spent(key("customer-1"), 2), 900),
+        entry(Subject::Answered(key("worker-1")), 41),
+        entry(Subject::Failed(key("worker-1")), 6),
     ];
     check(
         "fleet_counts",
--- a/crates/gateway/src/bin/opalrun-gateway/main.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/main.rs
@@ -1,4 +1,5 @@
-//! opalrun-gateway: the gateway on real sockets. Reads the configuration, wires the parts and ends in good order.
+//! opalrun-gateway: the gateway as a program. Reads the configuration, connects its parts, serves clients until SIGTERM
+//! and shuts down in order.
 #![deny(unsafe_code)]
 
 mod admin;
@@ -23,7 +24,7 @@
 use clients::Clients;
 use config::{
     Config, Problems,
-    owner::{Configuration, Start, check_files, told},
+    owner::{Configuration, InitialConfiguration, check_files, check_result_json},
 };
 use driver::Driver;
 use opalrun_gateway::SettingsError;
@@ -44,24 +45,26 @@
 };
 use tracing::{error, info, warn};
 
-/// After SIGTERM connections still come for up to 0.4 s.
-const SERVE_ON: Duration = Duration::from_millis(500);
-/// A connection accepted last has this long to bring its request.
-const LAST_REQUESTS: Duration = Duration::from_millis(650);
-/// SIGKILL comes so many seconds after the longest deadline, of which this much counts at most.
+/// Time after SIGTERM during which connections are accepted; new ones arrive for up to 0.4 s.
+const ACCEPT_TIME: Duration = Duration::from_millis(500);
+/// Time after SIGTERM until which the connections accepted last can send their requests.
+const LAST_REQUEST_TIME: Duration = Duration::from_millis(650);
+/// Seconds from the longest client deadline, counted from SIGTERM, to SIGKILL; and the largest deadline, in seconds, that
+/// the platform allows for.
 const KILL: (f64, f64) = (0.7, 3.0);
-/// Seconds before that at which everything in hand gets its final answer: at least, as a share of the deadline, and at
-/// most. The process ends half way from there.
-const BEFORE_KILL: (f64, f64, f64) = (0.08, 0.11, 0.4);
-/// One that has handed over stays so long after its last client.
-const LAST_CALLS: Duration = Duration::from_millis(100);
-/// Between looks for idle connections that are due, and at a trial.
-const SWEEP: Duration = Duration::from_secs(1);
-/// Descriptors beside clients and workers: the standard three, runtime, signals, listener, discovery, counter.
-const PROCESS_DESCRIPTORS: usize = 24 + counter::LINES;
-/// And those of a second address.
-const ADMIN_DESCRIPTORS: usize = 1 + admin::SEATS;
+/// How long before SIGKILL all open requests are failed: a minimum in seconds, to which a share of the longest deadline is
+/// added, and a maximum in seconds. The process ends at half of this time before SIGKILL.
+const KILL_MARGIN: (f64, f64, f64) = (0.08, 0.11, 0.4);
+/// Time that a process which has handed over stays after its last client, so that its last calls to the counter are sent.
+const HANDOVER_LINGER: Duration = Duration::from_millis(100);
+/// Interval at which idle connections are closed and the trial of a configuration is judged.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// File descriptors besides those for clients and workers: standard streams, runtime, signals, listener, discovery, counter.
+const PROCESS_DESCRIPTORS: usize = 24 + counter::MAX_CONNECTIONS;
+/// File descriptors of the admin API: its listener and its connections.
+const ADMIN_DESCRIPTORS: usize = 1 + admin::MAX_CONNECTIONS;
 
+/// Why the program ends with a failure.
 #[derive(Debug)]
 enum NodeError {
     Config(Problems),
@@ -69,7 +72,7 @@
     Listen(io::Error),
     System(io::Error),
     State(StateError),
-    /// The named part has failed.
+    /// The background task of this name has panicked.
     Part(&'static str),
 }
 
@@ -77,31 +80,33 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Config(e) => e.fmt(f),
-            Self::Settings(e) => write!(f, "the configuration's settings: {e}"),
+            Self::Settings(e) => write!(f, "invalid settings in the configuration: {e}"),
             Self::Listen(e) => write!(f, "can't listen: {e}"),
             Self::System(e) => write!(f, "can't start: {e}"),
             Self::State(e) => e.fmt(f),
-            Self::Part(name) => write!(f, "the part that minds {name} has failed"),
+            Self::Part(name) => write!(f, "the task for {name} has failed"),
         }
     }
 }
 
-/// The clients' listening socket: the platform's, where `NODE_LISTEN_FD` names its descriptor, else a new one.
+/// Opens the socket for clients: the one that the platform passes by its descriptor in `NODE_LISTEN_FD`, else a new one.
+/// Also returns whether it was passed.
 async fn listen(config: &Config) -> io::Result<(TcpListener, bool)> {
     let Some(fd) = std::env::var_os("NODE_LISTEN_FD").filter(|fd| !fd.is_empty()) else {
         return Ok((TcpListener::bind(config.listen).await?, false));
     };
-    // The standard three are not the platform's to give for this.
+    // Descriptors 0 to 2 are the standard streams.
     let fd = fd.to_str().and_then(|fd| fd.parse().ok()).filter(|fd: &i32| *fd > 2);
-    let fd = fd.ok_or_else(|| io::Error::other("NODE_LISTEN_FD is no descriptor"))?;
-    // SAFETY: the platform opened it for this process alone to own. This runs once, and nothing else knows it.
+    let fd = fd.ok_or_else(|| io::Error::other("NODE_LISTEN_FD is not a file descriptor above 2"))?;
+    // SAFETY: the platform opened the descriptor for this process to own. This runs once, and nothing else uses it.
     #[allow(unsafe_code)]
     let listener = unsafe { std::net::TcpListener::from_raw_fd(fd) };
     listener.set_nonblocking(true)?;
     Ok((TcpListener::from_std(listener)?, true))
 }
 
-async fn run(start: Start) -> Result<(), NodeError> {
+/// Serves clients until SIGTERM or SIGINT, or until another process has taken over.
+async fn run(start: InitialConfiguration) -> Result<(), NodeError> {
     let config = start.config.clone();
     let mut term = signal(SignalKind::terminate()).map_err(NodeError::System)?;
     let mut int = signal(SignalKind::interrupt()).map_err(NodeError::System)?;
@@ -117,11 +122,11 @@
     let driver = Driver::new(&config, share).map_err(NodeError::Settings)?;
     driver.start_counter();
     let (configuration, discovery_at) = Configuration::new(start, driver.clone());
-    tokio::task::spawn_local(fleet::keep(driver.clone(), driver.clock(), configuration.fleet()));
+    tokio::task::spawn_local(fleet::participate(driver.clone(), driver.clock(), configuration.fleet()));
     let reloads = tokio::task::spawn_local(reload(hangup, configuration.clone()));
     let timers = tokio::task::spawn_local(driver.clone().run_timers());
     let sweeps = tokio::task::spawn_local(sweep(driver.clone(), configuration.clone()));
-    // An attempt may be out for each client, so both get the same.
+    // Each client may have an attempt in flight, so clients and workers get half of the descriptors each.
     let clients = clients::new(driver.clone(), share / 2);
     let place = handover::place(inherited);
     let link = match &place {
@@ -131,11 +136,11 @@
     if let Some(folder) = configuration.state() {
         recover(&folder, &name, &driver, link.is_some()).map_err(NodeError::State)?;
     }
-    // After what is to hear of the list is there.
+    // Discovery starts after recovery and handover, which have to see its lists.
     let listed = driver.clone();
     let discovery = tokio::task::spawn_local(discovery::follow(
         discovery_at,
-        move |list| listed.discovery_listed(list),
+        move |list| listed.apply_discovery_list(list),
         config.known_version,
         fastrand::Rng::with_seed(config.seed),
     ));
@@ -153,7 +158,7 @@
     }
     if let Some(listener) = admin {
         if let Ok(at) = listener.local_addr() {
-            info!("{name} takes the operators' calls on {at}");
+            info!("{name} serves the admin API on {at}");
         }
         tokio::task::spawn_local(
             Admin::new(driver.clone(), clients.clone(), configuration.clone()).serve(listener),
@@ -164,18 +169,18 @@
         () = clients.accept(&listener) => {}
         _ = term.recv() => {}
         _ = int.recv() => {}
-        // What the counter was told last has gone out by then.
-        () = clients.all_left(LAST_CALLS) => {
-            info!("{name} has handed over and leaves");
+        // By then the last calls to the counter are sent.
+        () = clients.all_left(HANDOVER_LINGER) => {
+            info!("{name} has handed over and ends");
             return Ok(());
         }
-        // These end by a panic only; without one of them, being started anew is better than going on.
+        // These tasks end by a panic only. The process can't serve without them and is to be restarted.
         _ = discovery => return Err(NodeError::Part("discovery")),
         _ = timers => return Err(NodeError::Part("timers")),
         _ = sweeps => return Err(NodeError::Part("idle connections")),
         _ = reloads => return Err(NodeError::Part("the configuration")),
     }
-    info!("{name} stops with {} in hand", driver.in_hand());
+    info!("{name} shuts down with {} open requests", driver.waiting_requests());
     drain(&driver, &clients, listener).await;
     if let Some(recovery) = driver.recovery() {
         recovery.finish(&driver).await;
@@ -184,26 +189,27 @@
     Ok(())
 }
 
-/// Goes on from what is on disk, before any client is served; from then on what is spent is written down there.
-fn recover(folder: &Path, name: &str, driver: &Rc<Driver>, heir: bool) -> Result<(), StateError> {
+/// Restores the state on disk before any client is served, and has spending recorded there from now on. `takes_over`:
+/// another process has handed its state over to this one.
+fn recover(folder: &Path, name: &str, driver: &Rc<Driver>, takes_over: bool) -> Result<(), StateError> {
     let plans = driver.options().plans.clone();
-    let (recovery, kept) = Recovery::begin(folder, name, &plans, driver.clock(), heir)?;
-    driver.set_recovery(recovery.clone(), kept);
+    let (recovery, saved) = Recovery::begin(folder, name, &plans, driver.clock(), takes_over)?;
+    driver.set_recovery(recovery.clone(), saved);
     tokio::task::spawn_local(recovery.clone().keep(driver.clone()));
     tokio::task::spawn_local(recovery.follow_start(driver.clone()));
     Ok(())
 }
 
-/// The way out: serve on while connections still come, then take no more, answer what is in hand, end.
+/// Shuts down: serves on while new connections arrive, then closes the listener and waits for the open requests.
 async fn drain(driver: &Rc<Driver>, clients: &Rc<Clients>, listener: TcpListener) {
     let start = Instant::now();
     clients.stop();
     driver.fleet().iter().for_each(|fleet| fleet.leave());
-    let _ = timeout_at(start + SERVE_ON, clients.accept(&listener)).await;
+    let _ = timeout_at(start + ACCEPT_TIME, clients.accept(&listener)).await;
     drop(listener);
-    sleep_until(start + LAST_REQUESTS).await;
+    sleep_until(start + LAST_REQUEST_TIME).await;
     clients.close();
-    // No request comes any more: what is idle goes now, what is in use as it ends.
+    // No more requests arrive: idle connections to workers are closed now, the others when their attempts end.
     driver.pools().keep_none(true);
     let answered = async {
         while clients.connections() > 0 {
@@ -211,40 +217,41 @@
         }
     };
     let mut answered = std::pin::pin!(answered);
-    let (answer_by, end_by) = way_out(driver.options().max_deadline);
+    let (answer_by, end_by) = shutdown_times(driver.options().longest);
     if timeout_at(start + answer_by, answered.as_mut()).await.is_err() {
         driver.fail_all();
         let _ = timeout_at(start + end_by, answered).await;
     }
 }
 
-/// How long after SIGTERM everything in hand has its final answer, and the process has ended, where clients wait for
-/// `longest` seconds at most.
-fn way_out(longest: f64) -> (Duration, Duration) {
+/// How long after SIGTERM open requests are failed, and the process ends, if clients wait for at most `longest` seconds.
+fn shutdown_times(longest: f64) -> (Duration, Duration) {
     let longest = longest.clamp(0.0, KILL.1);
-    let (kill, spare) = (longest + KILL.0, (BEFORE_KILL.0 + BEFORE_KILL.1 * longest).min(BEFORE_KILL.2));
-    (Duration::from_secs_f64(kill - spare), Duration::from_secs_f64(kill - spare / 2.0))
+    let (kill, margin) = (longest + KILL.0, (KILL_MARGIN.0 + KILL_MARGIN.1 * longest).min(KILL_MARGIN.2));
+    (Duration::from_secs_f64(kill - margin), Duration::from_secs_f64(kill - margin / 2.0))
 }
 
-/// At each SIGHUP takes the configuration's file as it stands, whole or not at all.
+/// Reloads the configuration file at each SIGHUP.
 async fn reload(mut hangup: Signal, configuration: Rc<Configuration>) {
     while hangup.recv().await.is_some() {
-        configuration.reread();
+        configuration.reload();
     }
 }
 
+/// Closes idle connections and judges the trial of a configuration, at regular intervals.
 async fn sweep(driver: Rc<Driver>, configuration: Rc<Configuration>) {
     loop {
-        sleep(SWEEP).await;
+        sleep(SWEEP_INTERVAL).await;
         driver.sweep();
-        configuration.look_after_trials();
+        configuration.check_trials();
     }
 }
 
+/// Reads the configuration and runs the gateway on a single-threaded runtime.
 fn start() -> Result<(), NodeError> {
     let start = config::owner::start().map_err(NodeError::Config)?;
-    // Not a LocalSet on a runtime: there each wake of a task from a task costs a write to the event loop's
-    // own descriptor and a turn of the loop to read it.
+    // A local runtime instead of a `LocalSet`: there, each wake-up of one task by another costs a write to the event
+    // loop's own descriptor and an iteration of the loop to read it.
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build_local(LocalOptions::default());
     runtime.map_err(NodeError::System)?.block_on(run(start))
@@ -252,15 +259,15 @@
 
 /// A gateway that holds customers to quotas shared by many gateways.
 ///
-/// Without arguments it serves, by the configuration that NODE_CONFIG names, until SIGTERM; SIGHUP has it read
-/// that anew. Other variables: NODE_ADMIN, NODE_LISTEN_FD, NODE_LOG, NODE_STATE; see docs/on-call.md.
+/// Without arguments it serves until SIGTERM, with the configuration file that NODE_CONFIG names; SIGHUP reloads
+/// the file. Other variables: NODE_ADMIN, NODE_LISTEN_FD, NODE_LOG, NODE_STATE; see docs/on-call.md.
 #[derive(Parser)]
 #[command(version, args_conflicts_with_subcommands = true)]
 struct Cli {
-    /// Says what a gateway would make of FILE, as JSON, and ends: status 0, or 1 where it would not be taken.
+    /// Validates FILE, prints the result as JSON and exits with status 0, or 1 if it is invalid.
     #[arg(long, value_name = "FILE")]
     check: Option<PathBuf>,
-    /// The configuration that holds: says what --check's FILE would change.
+    /// Configuration in force, against which --check's FILE is compared.
     #[arg(long, value_name = "FILE", requires = "check")]
     against: Option<PathBuf>,
     #[command(subcommand)]
@@ -280,12 +287,12 @@
     }
     if let Some(file) = &cli.check {
         let checked = check_files(file, cli.against.as_deref());
-        let good = checked.is_ok();
-        println!("{}", told(checked));
-        return if good { ExitCode::SUCCESS } else { ExitCode::FAILURE };
+        let is_valid = checked.is_ok();
+        println!("{}", check_result_json(checked));
+        return if is_valid { ExitCode::SUCCESS } else { ExitCode::FAILURE };
     }
-    if let Err(why) = events::begin() {
-        warn!("NODE_LOG {why}");
+    if let Err(reason) = events::init() {
+        warn!("NODE_LOG {reason}");
     }
     match start() {
         Ok(()) => ExitCode::SUCCESS,
@@ -300,16 +307,16 @@
 mod tests {
     use super::*;
 
-    /// Whoever holds the clock is the platform, and it tells the longest deadline only.
+    /// The platform sends SIGKILL at a time that depends on the longest deadline; the process has to end before.
     #[test]
-    fn the_way_out_ends_before_the_kill_whatever_the_deadlines_are() {
+    fn shutdown_ends_before_the_kill_for_all_deadlines() {
         for longest in [0.0, 0.04, 0.3, 1.0, 2.0, 3.0, 12.0] {
             let kill = Duration::from_secs_f64(f64::min(longest, 3.0) + 0.7);
-            let (answer_by, end_by) = way_out(longest);
+            let (answer_by, end_by) = shutdown_times(longest);
             assert!(answer_by < end_by && end_by + Duration::from_millis(35) <= kill, "{longest}");
-            // What came last before clients stayed away has had nearly all of its time.
+            // The requests that arrived last have nearly all of their time until the answers.
             assert!(answer_by + Duration::from_millis(80) + kill / 11 >= kill, "{longest}");
         }
-        assert_eq!(way_out(4.0), (Duration::from_millis(3300), Duration::from_millis(3500)));
+        assert_eq!(shutdown_times(4.0), (Duration::from_millis(3300), Duration::from_millis(3500)));
     }
 }
--- a/crates/gateway/src/bin/opalrun-gateway/worker_list.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/worker_list.rs
@@ -1,9 +1,9 @@
-//! Workers as discovery lists them, in the terms of the decisions.
+//! Converts workers from discovery's list to the decisions' form.
 
 use crate::config::WorkerEntry;
 use opalrun_gateway::{Lifecycle, Server};
 
-/// An entry in the terms of the decisions; `None` where its state is unknown.
+/// Converts an entry of discovery's list; `None` if its state is unknown. `zones` are the zone names of the settings.
 pub fn server(entry: &WorkerEntry, zones: &[String]) -> Option<Server> {
     let lifecycle = match entry.state.as_str() {
         "SERVING" => Lifecycle::Running,
--- a/crates/gateway/src/bin/opalrun-gateway/workers.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/workers.rs
@@ -1,4 +1,4 @@
-//! Attempts and probes: one exchange each on a connection of the pools, and how it ended.
+//! Sends attempts and probes to workers: each is one HTTP exchange on a pooled connection.
 
 use hyper::{
     HeaderMap, Method, Request, Response, StatusCode, Uri,
@@ -19,55 +19,57 @@
 };
 use tokio::sync::mpsc;
 
-/// A worker that has begun an answer and says nothing for so long gives no more of it.
-const SILENT: Duration = Duration::from_secs(10);
-/// How long the beginning of an answer of unknown length is kept back: one that breaks before can still be
-/// made good elsewhere. A worker that gives nothing more for as long has stopped half way.
-pub const KEPT_BACK: Duration = Duration::from_millis(100);
+/// Time without progress after which an answer, or the upload of a request body, is given up.
+const TRANSFER_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long the beginning of an answer of unknown length is buffered: if the connection breaks meanwhile, another
+/// attempt can still replace it. Past its deadline, an answer that makes no progress for as long is cut off.
+pub const ANSWER_BUFFERING_TIME: Duration = Duration::from_millis(100);
 
-/// Most bytes of an answer that are read only to keep its connection.
-const PASSED_OVER: u64 = 16 * 1024;
+/// Longest answer body, in bytes, that is read and dropped so that its connection can be reused.
+const MAX_DRAINED_BYTES: u64 = 16 * 1024;
 
-/// What goes on to a worker.
+/// The part of a client's request that is sent to workers.
 pub struct Forward {
     pub method: Method,
     pub uri: Uri,
     pub txn: header::HeaderValue,
     pub idempotency_key: Option<header::HeaderValue>,
     pub content_type: Option<header::HeaderValue>,
-    /// The whole body, where it was gathered.
+    /// The complete body, if it was small enough to be buffered.
     pub body: Option<BodyBuffer>,
-    /// Where it was not: it can be taken once.
+    /// Otherwise the body as a stream, which one attempt can take.
     pub upload: RefCell<Option<Upload>>,
 }
 
-/// What a worker's exchange leads to for whoever asked for it.
+/// Receives the progress of an attempt.
 pub trait Caller {
-    /// From here on the request is no longer held in full.
-    fn begun(&self);
-    /// The answer goes to the client from here on, in pieces after `gathered`; `None`: it has had one.
-    /// Its last byte so far came at `last`.
-    fn answers(
+    /// The attempt has taken the streamed body, so no other attempt can send the request.
+    fn upload_started(&self);
+    /// The answer is to be forwarded to the client: first `buffered`, whose last byte arrived at `last_received`, then
+    /// the chunks that are sent to the returned channel. `length` is the length of the whole body, if known. `None`: the
+    /// client has had its answer.
+    fn forward_answer(
         &self,
-        gathered: BodyBuffer,
+        buffered: BodyBuffer,
         length: Option<u64>,
-        last: Instant,
+        last_received: Instant,
     ) -> Option<(mpsc::Sender<Chunk>, Rc<Forwarding>)>;
 }
 
-/// What an attempt may take.
-pub struct Terms {
-    /// Seconds that the gateway will wait, which the worker is told.
-    pub wait: f64,
-    /// When it is too late to send it: what is not written whole by then never is.
-    pub until: Option<Instant>,
+/// Time limits of an attempt.
+pub struct AttemptLimits {
+    /// Seconds that the gateway waits for the answer; sent to the worker in `x-remaining`.
+    pub timeout: f64,
+    /// Latest time at which the request may have been written completely; a request that is not is abandoned.
+    pub send_by: Option<Instant>,
 }
 
-/// How an attempt or probe ended.
+/// Result of an attempt or probe.
 pub struct Ending {
     pub status: Status,
-    /// A whole answer.
+    /// The complete body of a successful answer, unless it was forwarded while it arrived.
     pub body: Option<BodyBuffer>,
+    /// Load that the worker reported with the answer.
     pub load: Load,
 }
 
@@ -77,19 +79,21 @@
     }
 }
 
-/// How far an attempt has come, as its time-out needs to know.
+/// How much of an attempt's request has been written, shared with the code that ends the attempt; `None` before the
+/// attempt has a connection.
 pub type Trace = Rc<RefCell<Option<Rc<Progress>>>>;
 
-/// Whether the attempt's last byte has been written.
+/// Whether a worker may have run the attempt: its request has been written completely.
 pub fn may_have_run(trace: &Trace) -> bool {
     trace.borrow().as_ref().is_some_and(|p| p.sent_whole())
 }
 
-fn status(why: NoConnection) -> Status {
-    match why {
+/// Status of an attempt that got no connection.
+fn status(reason: NoConnection) -> Status {
+    match reason {
         NoConnection::Refused | NoConnection::TimedOut => Status::ConnectFailed,
-        // It was never sent, and this says nothing of the worker.
-        NoConnection::Unknown | NoConnection::NoDescriptor | NoConnection::Bound => Status::NotSent,
+        // The attempt was not sent, for a reason that is no evidence about the worker.
+        NoConnection::Unknown | NoConnection::NoDescriptor | NoConnection::Bound => Status::Moot,
     }
 }
 
@@ -102,8 +106,8 @@
         Self { pools }
     }
 
-    /// Sends one request and reads its answer's head. Nothing is sent a second time: only a kept connection on
-    /// which not one byte was written is replaced by another.
+    /// Sends one request and reads the head of its answer. A request is never sent twice: another connection is tried
+    /// only when a reused one turns out to be closed before a byte of the request was written.
     async fn send(
         &self,
         worker: &ServerId,
@@ -113,7 +117,7 @@
         loop {
             let mut lease = self.pools.lease(worker).await.map_err(status)?;
             let progress = lease.progress();
-            // A body that went with a connection is not there for another.
+            // A streamed body that went to a failed connection is not available for another.
             let request = build(&progress).ok_or(Status::ConnectFailed)?;
             *trace.borrow_mut() = Some(progress);
             match lease.connection().send(request).await {
@@ -131,141 +135,144 @@
         }
     }
 
-    /// Sends `what` to `worker` once, within `terms`.
+    /// Sends `forward` to `worker` once, within `limits`. Buffered answer bytes count against `memory`.
     pub async fn attempt(
         &self,
         worker: &ServerId,
-        what: &Forward,
-        Terms { wait, until }: Terms,
+        forward: &Forward,
+        AttemptLimits { timeout, send_by }: AttemptLimits,
         trace: &Trace,
-        pool: &MemoryBudget,
+        memory: &MemoryBudget,
         caller: &impl Caller,
     ) -> Ending {
-        let begun = Instant::now();
+        let started = Instant::now();
         let build = |progress: &Rc<Progress>| {
-            // The time of a body that still comes runs from its last byte.
-            let waited = if what.body.is_some() { begun.elapsed().as_secs_f64() } else { 0.0 };
-            let left = (wait - waited).max(0.0);
-            let body = match &what.body {
-                Some(gathered) => RequestBody::Complete(Some(gathered.bytes())),
+            // For a streamed body the time-out starts with its last byte, so nothing of it has passed yet.
+            let waited = if forward.body.is_some() { started.elapsed().as_secs_f64() } else { 0.0 };
+            let remaining = (timeout - waited).max(0.0);
+            let body = match &forward.body {
+                Some(buffered) => RequestBody::Complete(Some(buffered.bytes())),
                 None => {
-                    let upload = what.upload.borrow_mut().take()?;
-                    caller.begun();
+                    let upload = forward.upload.borrow_mut().take()?;
+                    caller.upload_started();
                     RequestBody::Streaming(Box::new(upload), progress.clone())
                 }
             };
             let mut request = Request::new(body);
-            *request.method_mut() = what.method.clone();
-            *request.uri_mut() = what.uri.clone();
+            *request.method_mut() = forward.method.clone();
+            *request.uri_mut() = forward.uri.clone();
             let headers = request.headers_mut();
             headers.insert(header::HOST, header::HeaderValue::from_static("backend.local"));
-            headers.insert("x-txn", what.txn.clone());
-            if let Some(key) = &what.idempotency_key {
+            headers.insert("x-txn", forward.txn.clone());
+            if let Some(key) = &forward.idempotency_key {
                 headers.insert("idempotency-key", key.clone());
             }
-            if let Ok(left) = header::HeaderValue::try_from(format!("{left:.3}")) {
-                headers.insert("x-remaining", left);
+            if let Ok(remaining) = header::HeaderValue::try_from(format!("{remaining:.3}")) {
+                headers.insert("x-remaining", remaining);
             }
-            if let Some(kind) = &what.content_type {
-                headers.insert(header::CONTENT_TYPE, kind.clone());
+            if let Some(content_type) = &forward.content_type {
+                headers.insert(header::CONTENT_TYPE, content_type.clone());
             }
             Some(request)
         };
         let sent = tokio::select! {
             biased;
-            // First, so that nothing is written after it; dropping the rest closes what it has begun. A body that still
-            // comes goes once only, and repeats nothing.
-            () = too_late(until, trace), if what.body.is_some() => Err(Status::NotSent),
+            // Checked first, so that nothing is written after `send_by`. Dropping the send closes a connection on which
+            // the request is written in part. A streamed body is sent by one attempt only, so it needs no such limit.
+            () = missed_send_deadline(send_by, trace), if forward.body.is_some() => Err(Status::Moot),
             sent = self.send(worker, trace, build) => sent,
-            // The time of a body that still comes is its client's, so a worker that reads no more has its own.
-            () = stuck(trace), if what.body.is_none() => Err(Status::ConnectFailed),
+            // The client determines how long a streamed body takes, so a worker that stops reading it has a time-out of
+            // its own.
+            () = upload_stalled(trace), if forward.body.is_none() => Err(Status::ConnectFailed),
         };
         let (lease, response) = match sent {
             Ok(answer) => answer,
             Err(status) => return Ending::of(status),
         };
         let (parts, body) = response.into_parts();
-        let turned_away = parts.headers.get("x-turned-away").is_some_and(|v| v == "1");
-        let load = load_of(&parts.headers);
+        let is_rejected = parts.headers.get("x-turned-away").is_some_and(|v| v == "1");
+        let load = load_from_headers(&parts.headers);
         let ending = match parts.status.as_u16() {
-            200 => self.serve(lease, body, pool, caller).await,
-            503 | 504 if turned_away => self.pass_over(lease, body, Status::Rejected).await,
-            _ => self.pass_over(lease, body, Status::Error).await,
+            200 => self.read_answer(lease, body, memory, caller).await,
+            503 | 504 if is_rejected => self.drop_answer(lease, body, Status::Full).await,
+            _ => self.drop_answer(lease, body, Status::Error).await,
         };
         Ending { load, ..ending }
     }
 
-    /// Reads an answer that says enough by its head, and keeps the connection if there is little of it.
-    async fn pass_over(&self, mut lease: Lease, mut body: Incoming, status: Status) -> Ending {
-        if body.size_hint().upper().is_some_and(|n| n <= PASSED_OVER) {
+    /// Ends an attempt with `status`, whatever the body holds. A short body is read so that the connection can be reused.
+    async fn drop_answer(&self, mut lease: Lease, mut body: Incoming, status: Status) -> Ending {
+        if body.size_hint().upper().is_some_and(|n| n <= MAX_DRAINED_BYTES) {
             let rest = async { while let Ok(Some(_)) = lease.connection().piece(&mut body).await {} };
-            if tokio::time::timeout(KEPT_BACK, rest).await.is_ok() {
-                lease.give_back(status == Status::Rejected);
+            if tokio::time::timeout(ANSWER_BUFFERING_TIME, rest).await.is_ok() {
+                lease.give_back(status == Status::Full);
             }
         }
         Ending::of(status)
     }
 
-    /// Reads an answer: whole while it is short, else passes it on as it comes.
-    async fn serve(
+    /// Reads the body of a successful answer. A short one is buffered completely; a longer one, or one of unknown length
+    /// that takes longer than `ANSWER_BUFFERING_TIME`, is forwarded to the client as it arrives.
+    async fn read_answer(
         &self,
         mut lease: Lease,
         mut body: Incoming,
-        pool: &MemoryBudget,
+        memory: &MemoryBudget,
         caller: &impl Caller,
     ) -> Ending {
         let length = body.size_hint().exact();
-        let mut gathered = BodyBuffer::new(pool);
-        let long = length.is_some_and(|n| usize::try_from(n).is_ok_and(|n| !gathered.fits(n)));
-        let (mut patience, mut last) = (pin!(tokio::time::sleep(KEPT_BACK)), Instant::now());
-        while !long && gathered.fits(1) {
-            let piece = tokio::select! {
+        let mut buffered = BodyBuffer::new(memory);
+        let is_long = length.is_some_and(|n| usize::try_from(n).is_ok_and(|n| !buffered.fits(n)));
+        let (mut buffering_end, mut last_received) =
+            (pin!(tokio::time::sleep(ANSWER_BUFFERING_TIME)), Instant::now());
+        while !is_long && buffered.fits(1) {
+            let chunk = tokio::select! {
                 biased;
-                piece = lease.connection().piece(&mut body) => piece,
-                () = patience.as_mut(), if length.is_none() => break,
+                chunk = lease.connection().piece(&mut body) => chunk,
+                () = buffering_end.as_mut(), if length.is_none() => break,
             };
-            match piece {
+            match chunk {
                 Ok(Some(data)) => {
-                    last = Instant::now();
-                    gathered.push(data);
+                    last_received = Instant::now();
+                    buffered.push(data);
                 }
                 Ok(None) => {
                     lease.give_back(false);
-                    return Ending { body: Some(gathered), ..Ending::of(Status::Ok) };
+                    return Ending { body: Some(buffered), ..Ending::of(Status::Ok) };
                 }
                 Err(_) => return Ending::of(Status::Reset),
             }
         }
-        let Some((client, passing)) = caller.answers(gathered, length, last) else {
+        let Some((client, forwarding)) = caller.forward_answer(buffered, length, last_received) else {
             return Ending::of(Status::Cancelled);
         };
         loop {
-            let piece = tokio::select! {
-                piece = tokio::time::timeout(SILENT, lease.connection().piece(&mut body)) => piece,
+            let chunk = tokio::select! {
+                chunk = tokio::time::timeout(TRANSFER_IDLE_TIMEOUT, lease.connection().piece(&mut body)) => chunk,
                 () = client.closed() => return Ending::of(Status::Cancelled),
             };
-            let piece = match piece {
+            let chunk = match chunk {
                 Ok(Ok(Some(data))) => {
-                    passing.received(data.len());
+                    forwarding.received(data.len());
                     Chunk::Data(data)
                 }
                 Ok(Ok(None)) => {
-                    passing.received(0);
+                    forwarding.received(0);
                     lease.give_back(false);
-                    // A client that has gone says so itself.
+                    // A closed channel means that the client has disconnected, which its own connection handles.
                     let _ = client.send(Chunk::End).await;
                     return Ending::of(Status::Ok);
                 }
                 Ok(Err(_)) | Err(_) => return Ending::of(Status::Reset),
             };
-            if client.send(piece).await.is_err() {
+            if client.send(chunk).await.is_err() {
                 return Ending::of(Status::Cancelled);
             }
-            passing.delivered();
+            forwarding.delivered();
         }
     }
 
-    /// Asks the worker how it is.
+    /// Requests the worker's load report.
     pub async fn probe(&self, worker: &ServerId) -> Ending {
         let build = |_: &Rc<Progress>| {
             let mut request = Request::new(RequestBody::empty());
@@ -279,12 +286,12 @@
         };
         let (parts, mut body) = response.into_parts();
         if parts.status != StatusCode::OK {
-            return self.pass_over(lease, body, Status::Error).await;
+            return self.drop_answer(lease, body, Status::Error).await;
         }
         match lease.connection().whole(&mut body).await {
             Ok(body) => {
                 lease.give_back(false);
-                let load = std::str::from_utf8(&body).map(report).unwrap_or_default();
+                let load = std::str::from_utf8(&body).map(parse_load_report).unwrap_or_default();
                 Ending { load, ..Ending::of(Status::Ok) }
             }
             Err(_) => Ending::of(Status::Reset),
@@ -292,22 +299,22 @@
     }
 }
 
-/// Waits until `until`, and for good where the request is written whole by then.
-async fn too_late(until: Option<Instant>, trace: &Trace) {
-    if let Some(until) = until {
-        tokio::time::sleep_until(until.into()).await;
+/// Completes at `send_by` if the request is not written completely by then, and never otherwise.
+async fn missed_send_deadline(send_by: Option<Instant>, trace: &Trace) {
+    if let Some(send_by) = send_by {
+        tokio::time::sleep_until(send_by.into()).await;
     }
-    if until.is_none() || may_have_run(trace) {
+    if send_by.is_none() || may_have_run(trace) {
         std::future::pending().await
     }
 }
 
-/// Waits until a connection has taken nothing for a while of a request that is not yet written whole.
-async fn stuck(trace: &Trace) {
+/// Completes once no byte has been written for `TRANSFER_IDLE_TIMEOUT` though the request is still incomplete.
+async fn upload_stalled(trace: &Trace) {
     let written = || trace.borrow().as_ref().map(|p| p.written());
     let mut before = written();
     loop {
-        tokio::time::sleep(SILENT).await;
+        tokio::time::sleep(TRANSFER_IDLE_TIMEOUT).await;
         let now = written();
         if now == before && !may_have_run(trace) {
             return;
@@ -316,12 +323,13 @@
     }
 }
 
-fn load_of(headers: &HeaderMap) -> Load {
-    headers.get("x-pressure").and_then(|v| v.to_str().ok()).map(report).unwrap_or_default()
+/// Load that a worker reports in the `x-pressure` header of an answer.
+fn load_from_headers(headers: &HeaderMap) -> Load {
+    headers.get("x-pressure").and_then(|v| v.to_str().ok()).map(parse_load_report).unwrap_or_default()
 }
 
-/// A load report, such as `TEXT inflight=7, util=0.61`; what can't be read is left out.
-fn report(text: &str) -> Load {
+/// Parses a load report such as `TEXT inflight=7, util=0.61`; unknown or unreadable parts are ignored.
+fn parse_load_report(text: &str) -> Load {
     let mut load = Load::default();
     for (name, value) in text.split([',', ' ']).filter_map(|part| part.trim().split_once('=')) {
         let value = value.parse().ok().filter(|v: &f64| v.is_finite());
@@ -338,13 +346,13 @@
 mod tests {
     use super::*;
 
-    /// The module asks for no probe today, so no test of the whole program reads a report.
+    /// The decisions request no probes at present, so no test of the whole program covers load reports.
     #[test]
-    fn a_report_is_read_under_either_name_and_garbage_is_left_out() {
-        let load = report("TEXT inflight=7, queue=2, util=0.61");
+    fn load_report_is_read_under_either_set_of_names_and_unreadable_parts_are_ignored() {
+        let load = parse_load_report("TEXT inflight=7, queue=2, util=0.61");
         assert_eq!((load.inflight, load.util), (Some(7.0), Some(0.61)));
-        let load = report("busy_reqs=3,cpu_share=NaN");
+        let load = parse_load_report("busy_reqs=3,cpu_share=NaN");
         assert_eq!((load.inflight, load.util), (Some(3.0), None));
-        assert_eq!(report("util=much = more"), Load::default());
+        assert_eq!(parse_load_report("util=much = more"), Load::default());
     }
 }
--- a/crates/gateway/tests/admin.rs
+++ b/crates/gateway/tests/admin.rs
@@ -120,7 +120,7 @@
     client.send(&Ask::new("held"));
     worker.request();
     node.terminate();
-    node.says("stops with 1 in hand");
+    node.says("shuts down with 1 open requests");
     assert_eq!(node.call("GET /control/ready"), 503);
     client.reader.get_ref().shutdown(Shutdown::Both).expect("a socket");
 }
--- a/crates/gateway/tests/config.rs
+++ b/crates/gateway/tests/config.rs
@@ -39,7 +39,9 @@
 fn settle(node: &Node) -> Value {
     loop {
         let line = node.log.recv_timeout(LIMIT).expect("an end of the attempt");
-        if line.contains("configuration read again") || line.contains("the old configuration stays") {
+        if line.contains("configuration reloaded")
+            || line.contains("configuration rejected, the present one stays in force")
+        {
             return report(node);
         }
     }
@@ -64,7 +66,7 @@
     assert_eq!((&first["version"]["number"], &first["version"]["by"]), (&json!(1), &json!("start")));
     assert_eq!(first["version"]["sha256"].as_str().map(str::len), Some(64));
     assert_eq!(node.called("POST /control/config/rollback").status(), 409, "there is none before");
-    node.says("the old configuration stays");
+    node.says("configuration rejected, the present one stays in force");
     for most in [2, 3] {
         setup.settings["Limits"]["SendCap"] = json!(most);
         let told = reload(&node, &setup);
@@ -101,7 +103,7 @@
         let errors = told["last_attempt"]["errors"].as_array().expect("a list").clone();
         assert!(errors.iter().any(|e| e["path"].as_str().is_some_and(|p| p.starts_with(key))), "{errors:?}");
         assert_eq!(number(&node), before, "nothing of it holds");
-        node.says("the old configuration stays");
+        node.says("configuration rejected, the present one stays in force");
     };
     // A class that nobody has used goes back; one that is in use does not.
     setup.settings["Classes"] =
@@ -287,7 +289,11 @@
         if i % 5 == 4 {
             // Refused where clients use the class as it is now.
             let back = node.called("POST /control/config/rollback").status() == 200;
-            node.says(if back { "configuration taken back" } else { "the old configuration stays" });
+            node.says(if back {
+                "configuration rolled back"
+            } else {
+                "configuration rejected, the present one stays in force"
+            });
             backs += u32::from(back);
         }
     }
@@ -311,7 +317,7 @@
     client.send(&Ask::new("last"));
     worker.request();
     node.terminate();
-    node.says("stops with 1 in hand");
+    node.says("shuts down with 1 open requests");
     setup.settings["Limits"]["SendCap"] = json!(3);
     assert_eq!(reload(&node, &setup)["version"]["number"], 3);
     assert_eq!(node.called("POST /control/config/rollback").status(), 200);
@@ -336,8 +342,8 @@
         // It may have run, so it fails and is not refused.
         node.ask(&Ask::submit(&format!("worse{i}")).with("X-Remaining", "0.08"));
     }
-    node.says("version 2 does worse and goes back");
-    node.says("configuration taken back: version 3");
+    node.says("version 2 has failed its trial and is rolled back");
+    node.says("configuration rolled back: version 3");
     let told = report(&node);
     assert_eq!((&told["version"]["by"], &told["trial"]), (&json!("trial"), &Value::Null));
     node.hang_up();
@@ -356,10 +362,10 @@
     let folder = folder();
     setup.state = Some(folder.clone());
     let node = setup.start();
-    node.says("version 1 is kept in");
+    node.says("version 1 is saved in");
     setup.settings["Limits"]["SendCap"] = json!(2);
     reload(&node, &setup);
-    node.says("version 2 is kept in");
+    node.says("version 2 is saved in");
     assert_eq!(report(&node)["state"], folder.to_str().expect("text"));
     drop(node);
     let node = setup.start_text("{", &folder);
@@ -379,7 +385,7 @@
     // A folder that can't be written to is no reason not to serve.
     setup.state = Some(folder.join("nowhere"));
     let node = setup.start();
-    node.says("version 1 can't be kept in");
+    node.says("version 1 can't be saved in");
     assert_eq!(node.ask(&Ask::new("b")).status(), 200);
     drop(node);
     std::fs::remove_dir_all(folder).expect("its own folder");
--- a/crates/gateway/tests/crossings.rs
+++ b/crates/gateway/tests/crossings.rs
@@ -666,7 +666,7 @@
     // What was never to be repeated may be from now on.
     setup.settings["Classes"][1]["Effect"] = json!("idempotent");
     node.reload(&setup.config().to_string());
-    node.says("configuration read again");
+    node.says("configuration reloaded");
     client.reader.get_mut().write_all(body).expect("a socket");
     assert_eq!(client.answer().expect("an answer").status(), 503, "it may come again, under the new rules");
     assert!(worker.rest().is_empty(), "nothing reaches it");
--- a/crates/gateway/tests/events.rs
+++ b/crates/gateway/tests/events.rs
@@ -39,12 +39,12 @@
     node.reload(&setup.config().to_string());
     let line = node.log.recv_timeout(LIMIT).expect("the change is told");
     let line: Value = serde_json::from_str(&line).expect("from this line on as JSON, and none before");
-    assert!(line["message"].as_str().is_some_and(|m| m.starts_with("configuration read again")), "{line}");
+    assert!(line["message"].as_str().is_some_and(|m| m.starts_with("configuration reloaded")), "{line}");
     assert_eq!(node.ask(&Ask::new("loud")).status(), 200);
     assert_eq!(told(&node, "sent")["txn"], "loud");
     setup.log = Some(json!({"form": "text", "level": "info"}));
     node.reload(&setup.config().to_string());
-    assert!(node.says("configuration read again").starts_with("opalrun-gateway: configuration read again"));
+    assert!(node.says("configuration reloaded").starts_with("opalrun-gateway: configuration reloaded"));
 }
 
 #[test]
--- a/crates/gateway/tests/fakes/mod.rs
+++ b/crates/gateway/tests/fakes/mod.rs
@@ -625,7 +625,7 @@
             last.and_then(|a| a.parse().ok()).expect("an address")
         };
         if self.admin {
-            node.admin = at(node.says("takes the operators' calls on "));
+            node.admin = at(node.says("serves the admin API on "));
         }
         let line = node.says("listens on ");
         node.addr = at(line);
--- a/crates/gateway/tests/fleet_members.rs
+++ b/crates/gateway/tests/fleet_members.rs
@@ -155,10 +155,10 @@
     first.fleet = Some(off);
     a.reload(&first.config().to_string());
     until(&b, members(0));
-    a.says("takes part no more");
+    a.says("has left the fleet");
     // Another process at the address of the second: it serves, and says why it is not heard of.
     let twin = second.start();
-    twin.says("fleet: no address at");
+    twin.says("fleet: can't bind");
     assert_eq!(twin.ask(&Ask::new("twin")).status(), 200);
 }
 
--- a/crates/gateway/tests/node.rs
+++ b/crates/gateway/tests/node.rs
@@ -428,12 +428,12 @@
     let (next, discovery) = Setup::new(&[&new]);
     node.reload("{");
     // Ended by the signal, it never says so.
-    node.says("the old configuration stays");
+    node.says("configuration rejected, the present one stays in force");
     assert_eq!(node.ask(&Ask::new("b")).body, b"old");
     setup.discovery = next.discovery;
     setup.counter = Some(moved.addr);
     node.reload(&setup.config().to_string());
-    node.says("configuration read again");
+    node.says("configuration reloaded");
     discovery.told(1);
     let customer = "00000000000000c5";
     let ask = Ask::new("c").with("X-Plan", "pieni").with("X-Customer", customer);
@@ -479,7 +479,7 @@
     ];
     for config in &bad {
         node.reload(config);
-        node.says("the old configuration stays");
+        node.says("configuration rejected, the present one stays in force");
         assert_eq!(node.ask(&Ask::new("a")).status(), 200, "{config}");
         assert_eq!(node.ask(&Ask::new("b").with("X-Lane", "other")).status(), 400);
     }
@@ -499,7 +499,7 @@
     // The unsafe class is gone, and a safe one stands in its place.
     setup.settings["Classes"][1] = new;
     node.reload(&setup.config().to_string());
-    node.says("configuration read again");
+    node.says("configuration reloaded");
     gate.open();
     assert_eq!(client.answer().map(|a| a.status()), Some(502), "it may have run, so it is not refused");
     worker.now(Does::Serves("ok"));
@@ -520,7 +520,7 @@
     client.send(&Ask::new("held"));
     worker.request();
     node.terminate();
-    node.says("stops with 1 in hand");
+    node.says("shuts down with 1 open requests");
     gate.open();
     let answer = client.answer().expect("an answer");
     assert_eq!((answer.status(), answer.header("connection")), (200, "close"));
--- a/crates/gateway/tests/pools.rs
+++ b/crates/gateway/tests/pools.rs
@@ -243,7 +243,7 @@
     {
         setup.settings["Limits"][key] = json!(bad);
         node.reload(&setup.config().to_string());
-        node.says("the old configuration stays");
+        node.says("configuration rejected, the present one stays in force");
         setup.settings = good.clone();
     }
     assert_eq!(count(&node.pool("w0", |p| p["in_use"] == 0), "idle"), 1);
--- a/crates/gateway/tests/zone_loss.rs
+++ b/crates/gateway/tests/zone_loss.rs
@@ -147,10 +147,12 @@
     (0..12).for_each(|i| assert_eq!(node.ask(&Ask::new(&format!("p{i}"))).status(), 200));
     halls.setup.settings["Locality"] = json!(2);
     node.reload(&halls.setup.config().to_string());
-    assert!(node.says("the old configuration stays").contains("settings.Locality"));
+    assert!(
+        node.says("configuration rejected, the present one stays in force").contains("settings.Locality")
+    );
     halls.setup.settings["Dcs"] = json!(["hall-a", "hall-b", "hall-c"]);
     node.reload(&halls.setup.config().to_string());
-    node.says("configuration read again");
+    node.says("configuration reloaded");
     assert_eq!(node.ask(&Ask::new("q")).status(), 200);
     halls.setup.settings["Locality"] = json!(7);
     let output = run(&halls.setup.config().to_string()).wait_with_output().expect("it ends");
