--- a/crates/gateway/src/bin/opalrun-gateway/clients.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/clients.rs
@@ -107,7 +107,7 @@
         let remaining =
             single_header(&head.headers, "x-remaining").and_then(non_negative_number).ok_or(bad)?;
         let quota = single_header(&head.headers, "x-quota").and_then(Quota::parse).ok_or(bad)?;
-        let gateways = options.settings.gateways;
+        let gateways = options.settings.gateway_count;
         let txn =
             single_header(&head.headers, "x-txn").filter(|t| !t.is_empty() && t.len() <= 256).ok_or(bad)?;
         let txn = HeaderValue::from_str(txn).map_err(|_| bad)?;
@@ -117,8 +117,8 @@
         let (method, has_no_key) = (head.method.clone(), key.is_none());
         let fits_class =
             |options: &Options, class: usize| match options.settings.classes.get(class).map(|c| c.effect) {
-                Some(Effect::Safe) => method == Method::GET,
-                Some(Effect::Keyed { .. }) => method == Method::POST && has_valid_key,
+                Some(Effect::Idempotent) => method == Method::GET,
+                Some(Effect::Deduplicated { .. }) => method == Method::POST && has_valid_key,
                 _ => method == Method::POST && has_no_key,
             };
         if !fits_class(&options, class) {
--- a/crates/gateway/src/bin/opalrun-gateway/config/mod.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/config/mod.rs
@@ -296,7 +296,8 @@
             }
         };
         // Below a millisecond no connection would be kept or opened.
-        let times = [("ConnIdle", options.conn_idle), ("ConnectTimeout", options.connect_timeout)];
+        let times =
+            [("ConnIdle", options.connection_idle_timeout), ("ConnectTimeout", options.connect_timeout)];
         for (key, _) in times.into_iter().filter(|(_, v)| !(1e-3..=3600.0).contains(v)) {
             self.problems
                 .push(Problem::new(format!("settings.Limits.{key}"), "must be from 0.001 to 3600 seconds"));
--- a/crates/gateway/src/bin/opalrun-gateway/counter.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/counter.rs
@@ -283,7 +283,7 @@
 
 fn report(caller: &Rc<impl CounterCaller>, name: Option<u64>, status: Status, total: f64, spent: Duration) {
     if let Some(counter) = name {
-        caller.call_ended(Event::Counted { counter, status, total, spent: spent.as_secs_f64() });
+        caller.call_ended(Event::CounterAnswered { counter, status, total, elapsed: spent.as_secs_f64() });
     }
 }
 
--- a/crates/gateway/src/bin/opalrun-gateway/driver/actions.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/driver/actions.rs
@@ -45,7 +45,7 @@
             },
             Action::Log(text) => info!("{text}"),
             // The program follows discovery's list all the time, without being asked to.
-            Action::Watch => {}
+            Action::Subscribe => {}
             other => warn!("ignored unknown action of the decisions: {other:?}"),
         }
     }
@@ -118,7 +118,7 @@
             return self.events.borrow_mut().push_back(event);
         }
         let (driver, trace, forward) = (self.clone(), Trace::default(), open.forward.clone());
-        let send_by = until.is_finite().then(|| self.clock.instant(until));
+        let send_by = send_by.is_finite().then(|| self.clock.instant(send_by));
         let task = tokio::task::spawn_local({
             let (caller, trace, server) =
                 (AttemptCaller { driver, job: job.clone(), number }, trace.clone(), server.clone());
--- a/crates/gateway/src/bin/opalrun-gateway/driver/handover.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/driver/handover.rs
@@ -39,7 +39,7 @@
 
     /// Sets the number of attempts in flight at the other process, by customer.
     pub fn set_attempts_elsewhere(&self, attempts: &[(CustomerId, u32)]) {
-        self.gateway.borrow_mut().out_elsewhere(attempts);
+        self.gateway.borrow_mut().set_attempts_elsewhere(attempts);
     }
 
     /// Returns the messages that are to be sent to the other process from now on.
--- a/crates/gateway/src/bin/opalrun-gateway/driver/mod.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/driver/mod.rs
@@ -75,7 +75,7 @@
 
 /// Options that the decisions have accepted, ready for [`Driver::commit`].
 pub struct PreparedOptions {
-    retune: PreparedSettings,
+    settings: PreparedSettings,
     options: Rc<Options>,
 }
 
@@ -179,19 +179,19 @@
 
     /// Checks whether the decisions can change to `options`. Nothing changes before [`Driver::commit`].
     pub fn prepare(&self, options: Options) -> Result<PreparedOptions, SettingsError> {
-        let retune = self.gateway.borrow().prepare(options.settings.clone())?;
-        Ok(PreparedOptions { retune, options: Rc::new(options) })
+        let settings = self.gateway.borrow().prepare(options.settings.clone())?;
+        Ok(PreparedOptions { settings, options: Rc::new(options) })
     }
 
     /// Applies prepared options and the counter's address to all parts. It can't fail, so either all parts change or none.
     pub fn commit(&self, prepared: PreparedOptions, counter: Option<SocketAddr>) {
-        let PreparedOptions { retune, options } = prepared;
-        self.gateway.borrow_mut().commit(retune);
+        let PreparedOptions { settings, options } = prepared;
+        self.gateway.borrow_mut().commit(settings);
         self.pools.retune(pool_settings(&options));
         self.fleet.borrow().iter().for_each(|f| f.set_plans(plans(&options)));
-        if let Some(part) = &self.counter {
-            part.set_call_timeout(Duration::from_secs_f64(options.settings.count_limit));
-            counter.into_iter().for_each(|addr| part.set_address(addr));
+        if let Some(counter_client) = &self.counter {
+            counter_client.set_call_timeout(Duration::from_secs_f64(options.settings.counter_timeout));
+            counter.into_iter().for_each(|addr| counter_client.set_address(addr));
         }
         // A class whose effect changes counts as a new one that no client has used.
         let before = self.options.replace(options.clone());
@@ -247,7 +247,7 @@
     pub fn zones(&self) -> String {
         let (options, now) = (self.options(), self.clock.now());
         let name = |zone: u32| usize::try_from(zone).ok().and_then(|z| options.zones.get(z).cloned());
-        let zone_json = |z: &ZoneView| {
+        let zone_json = |z: &ZoneStatus| {
             json!({
                 "zone": name(z.zone), "own": z.zone == options.settings.zone, "usable": z.usable, "cold": z.warming_up,
                 "left_workers": z.servers - z.usable, "weight": z.weight, "share": z.traffic_share,
@@ -272,19 +272,19 @@
 
     /// Restores the state that an earlier process left on disk, if any, and from now on records in the journal what
     /// customers spend.
-    pub fn set_recovery(&self, recovery: Rc<Recovery>, kept: Option<Kept>) {
-        kept.into_iter().for_each(|kept| self.gateway.borrow_mut().recover(self.clock.now(), kept));
+    pub fn set_recovery(&self, recovery: Rc<Recovery>, recovered: Option<RecoveredState>) {
+        recovered.into_iter().for_each(|state| self.gateway.borrow_mut().recover(self.clock.now(), state));
         self.recovery.replace(Some(recovery));
     }
 
     /// The fleet's estimate of a customer's remaining quota, and the part of the other gateways that it covers; `None`:
     /// there is no estimate.
-    fn fleet_view(&self, customer: &str) -> Option<View> {
+    fn fleet_view(&self, customer: &str) -> Option<PeerView> {
         let fleet = self.fleet()?;
         let known = fleet.spending(customer)?;
         let others = self.options.borrow().settings.gateway_count.saturating_sub(1).max(1);
-        let part = (fleet.members() as f64 / f64::from(others)).min(1.0);
-        Some(PeerView { level: known.level, age: known.age, coverage: part })
+        let coverage = (fleet.members() as f64 / f64::from(others)).min(1.0);
+        Some(PeerView { level: known.level, age: known.age, coverage })
     }
 
     /// Passes one event to the decisions and executes the resulting actions. Events posted meanwhile are queued behind it.
@@ -333,7 +333,7 @@
 
     /// Sets a worker offline or online for an operator. Returns `false` if no list has ever named it.
     pub fn set_worker_offline(&self, id: &str, is_offline: bool) -> bool {
-        let known = self.gateway.borrow_mut().set_aside(self.clock.now(), id, is_offline);
+        let known = self.gateway.borrow_mut().set_offline(self.clock.now(), id, is_offline);
         if known {
             self.pools.set_aside(id, is_offline);
         }
--- a/crates/gateway/src/bin/opalrun-gateway/driver/requests.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/driver/requests.rs
@@ -93,7 +93,7 @@
             plan: request.plan,
             units: request.units,
         });
-        let view = self.fleet_view(&customer);
+        let peer_view = self.fleet_view(&customer);
         let open = OpenRequest {
             answer: Some(answer),
             forward,
@@ -117,7 +117,7 @@
             class: request.class,
             customer,
             client_retry: request.repeat,
-            peer_view: view,
+            peer_view,
         }));
         (job, receiver)
     }
@@ -236,7 +236,7 @@
         };
         if let Some(may_have_run) = stopped {
             // A worker never runs a request that it has received in part, so such an attempt counts as not sent.
-            let status = if may_have_run { status } else { Status::Moot };
+            let status = if may_have_run { status } else { Status::NotSent };
             self.attempt_ended(job, number, Ending::of(status));
         }
     }
--- a/crates/gateway/src/bin/opalrun-gateway/driver/sites.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/driver/sites.rs
@@ -27,7 +27,7 @@
     fn worker_failed_elsewhere(&self, worker: &str) {
         let Some(summary) = self.fleet().map(|f| f.worker_summary(worker)) else { return };
         let (answered, failed, members) = (summary.answered, summary.failed, summary.members);
-        self.post(Event::Sight { server: worker.into(), answered, failed, members });
+        self.post(Event::FleetObservation { server: worker.into(), answered, failed, members });
     }
 }
 
--- a/crates/gateway/src/bin/opalrun-gateway/main.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/main.rs
@@ -217,7 +217,7 @@
         }
     };
     let mut answered = std::pin::pin!(answered);
-    let (answer_by, end_by) = shutdown_times(driver.options().longest);
+    let (answer_by, end_by) = shutdown_times(driver.options().max_deadline);
     if timeout_at(start + answer_by, answered.as_mut()).await.is_err() {
         driver.fail_all();
         let _ = timeout_at(start + end_by, answered).await;
--- a/crates/gateway/src/bin/opalrun-gateway/workers.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/workers.rs
@@ -93,7 +93,7 @@
     match reason {
         NoConnection::Refused | NoConnection::TimedOut => Status::ConnectFailed,
         // The attempt was not sent, for a reason that is no evidence about the worker.
-        NoConnection::Unknown | NoConnection::NoDescriptor | NoConnection::Bound => Status::Moot,
+        NoConnection::Unknown | NoConnection::NoDescriptor | NoConnection::Bound => Status::NotSent,
     }
 }
 
@@ -179,7 +179,7 @@
             biased;
             // Checked first, so that nothing is written after `send_by`. Dropping the send closes a connection on which
             // the request is written in part. A streamed body is sent by one attempt only, so it needs no such limit.
-            () = missed_send_deadline(send_by, trace), if forward.body.is_some() => Err(Status::Moot),
+            () = missed_send_deadline(send_by, trace), if forward.body.is_some() => Err(Status::NotSent),
             sent = self.send(worker, trace, build) => sent,
             // The client determines how long a streamed body takes, so a worker that stops reading it has a time-out of
             // its own.
@@ -194,7 +194,7 @@
         let load = load_from_headers(&parts.headers);
         let ending = match parts.status.as_u16() {
             200 => self.read_answer(lease, body, memory, caller).await,
-            503 | 504 if is_rejected => self.drop_answer(lease, body, Status::Full).await,
+            503 | 504 if is_rejected => self.drop_answer(lease, body, Status::Rejected).await,
             _ => self.drop_answer(lease, body, Status::Error).await,
         };
         Ending { load, ..ending }
@@ -205,7 +205,7 @@
         if body.size_hint().upper().is_some_and(|n| n <= MAX_DRAINED_BYTES) {
             let rest = async { while let Ok(Some(_)) = lease.connection().piece(&mut body).await {} };
             if tokio::time::timeout(ANSWER_BUFFERING_TIME, rest).await.is_ok() {
-                lease.give_back(status == Status::Full);
+                lease.give_back(status == Status::Rejected);
             }
         }
         Ending::of(status)
