--- a/crates/gateway/src/bin/opalrun-gateway/clients.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/clients.rs
@@ -92,25 +92,27 @@
     ) -> Result<ClientRequest, StatusCode> {
         let (head, body) = request.into_parts();
         let options = self.driver.options();
-        let bad = StatusCode::BAD_REQUEST;
-        let class_name = single_header(&head.headers, "x-lane").ok_or(bad)?;
-        let class = options.classes.iter().position(|c| c == class_name).ok_or(bad)?;
+        let bad_request = StatusCode::BAD_REQUEST;
+        let class_name = single_header(&head.headers, "x-lane").ok_or(bad_request)?;
+        let class = options.classes.iter().position(|c| c == class_name).ok_or(bad_request)?;
         if head.uri.path().split('/').nth(1) != Some(class_name) {
-            return Err(bad);
+            return Err(bad_request);
         }
-        let plan = single_header(&head.headers, "x-plan").ok_or(bad)?;
-        let plan = options.plans.iter().position(|p| p == plan).ok_or(bad)?;
+        let plan = single_header(&head.headers, "x-plan").ok_or(bad_request)?;
+        let plan = options.plans.iter().position(|p| p == plan).ok_or(bad_request)?;
         // Checked by character, as `from_str_radix` would also accept a sign.
         let is_customer_id = |c: &&str| c.len() == 16 && c.bytes().all(|b| b.is_ascii_hexdigit());
-        let customer = single_header(&head.headers, "x-customer").filter(is_customer_id).ok_or(bad)?;
-        let number = u64::from_str_radix(customer, 16).map_err(|_| bad)?;
+        let customer =
+            single_header(&head.headers, "x-customer").filter(is_customer_id).ok_or(bad_request)?;
+        let number = u64::from_str_radix(customer, 16).map_err(|_| bad_request)?;
         let remaining =
-            single_header(&head.headers, "x-remaining").and_then(non_negative_number).ok_or(bad)?;
-        let quota = single_header(&head.headers, "x-quota").and_then(Quota::parse).ok_or(bad)?;
+            single_header(&head.headers, "x-remaining").and_then(non_negative_number).ok_or(bad_request)?;
+        let quota = single_header(&head.headers, "x-quota").and_then(Quota::parse).ok_or(bad_request)?;
         let gateways = options.settings.gateway_count;
-        let txn =
-            single_header(&head.headers, "x-txn").filter(|t| !t.is_empty() && t.len() <= 256).ok_or(bad)?;
-        let txn = HeaderValue::from_str(txn).map_err(|_| bad)?;
+        let txn = single_header(&head.headers, "x-txn")
+            .filter(|t| !t.is_empty() && t.len() <= 256)
+            .ok_or(bad_request)?;
+        let txn = HeaderValue::from_str(txn).map_err(|_| bad_request)?;
         let key = head.headers.get("idempotency-key").cloned();
         // The effect of the class determines the method and whether an idempotency key is required or forbidden.
         let has_valid_key = single_header(&head.headers, "idempotency-key").is_some();
@@ -122,13 +124,13 @@
                 _ => method == Method::POST && has_no_key,
             };
         if !fits_class(&options, class) {
-            return Err(bad);
+            return Err(bad_request);
         }
         if number >= CUSTOMER_NUMBER_END || quota.first >= gateways || !(1..=gateways).contains(&quota.spread)
         {
-            return Err(bad);
+            return Err(bad_request);
         }
-        let uri = head.uri.path_and_query().cloned().ok_or(bad)?.into();
+        let uri = head.uri.path_and_query().cloned().ok_or(bad_request)?.into();
         let body_time = if client.peer.used() {
             BODY_TIME.1
         } else {
@@ -141,16 +143,16 @@
                 Ok(ReceivedBody::Streaming(upload)) => (None, Some(upload)),
                 Err(BodyError::TooSlow) => return Err(StatusCode::REQUEST_TIMEOUT),
                 Err(BodyError::TooLong) => return Err(StatusCode::PAYLOAD_TOO_LARGE),
-                Err(BodyError::Broken) => return Err(bad),
+                Err(BodyError::Broken) => return Err(bad_request),
             };
         if head.method == Method::GET && !body.as_ref().is_some_and(body::BodyBuffer::is_empty) {
-            return Err(bad);
+            return Err(bad_request);
         }
         client.peer.use_it();
         // The settings may have changed while the body arrived: the class may have another index or be gone. If its
         // effect has changed so that the request does not fit it, the client is told to retry, as nothing was sent yet.
         let now = self.driver.options();
-        let class = now.classes.iter().position(|c| *c == options.classes[class]).ok_or(bad)?;
+        let class = now.classes.iter().position(|c| *c == options.classes[class]).ok_or(bad_request)?;
         if !fits_class(&now, class) {
             return Err(StatusCode::SERVICE_UNAVAILABLE);
         }
--- a/crates/gateway/src/bin/opalrun-gateway/config/history.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/config/history.rs
@@ -20,9 +20,9 @@
     Signal,
     /// The process took over from another one.
     Upgrade,
-    /// An operator rolled the version before it back.
+    /// An operator rolled back the version before it.
     WayBack,
-    /// The version before it failed its trial and was rolled back.
+    /// The version before it failed its trial, which rolled it back.
     Trial,
 }
 
--- a/crates/gateway/src/bin/opalrun-gateway/config/mod.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/config/mod.rs
@@ -97,8 +97,8 @@
 
 impl Problem {
     pub fn new(path: impl Into<String>, reason: impl fmt::Display) -> Self {
-        let cut = |text: String| text.chars().take(MAX_ERRORS.1).collect();
-        Self { path: cut(path.into()), reason: cut(reason.to_string()) }
+        let truncate = |text: String| text.chars().take(MAX_ERRORS.1).collect();
+        Self { path: truncate(path.into()), reason: truncate(reason.to_string()) }
     }
 }
 
@@ -218,7 +218,7 @@
     }
 }
 
-/// KeyReader of `new` that differ from `old` and take effect at the next start only.
+/// Keys of `new` that differ from `old` and take effect at the next start only.
 fn keys_for_restart(old: &Value, new: &Value) -> Vec<String> {
     let differs = |key: &&str| old.get(*key) != new.get(*key);
     let mut waits: Vec<String> = RESTART_KEYS.into_iter().filter(differs).map(str::to_owned).collect();
--- a/crates/gateway/src/bin/opalrun-gateway/config/owner.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/config/owner.rs
@@ -147,7 +147,7 @@
     history: RefCell<History>,
     discovery: watch::Sender<SocketAddr>,
     fleet: watch::Sender<Option<FleetSettings>>,
-    attempt: RefCell<Option<Attempt>>,
+    last_attempt: RefCell<Option<Attempt>>,
     /// Keys that differ from the configuration at the start and take effect at the next start only.
     restart_keys: RefCell<Vec<String>>,
     /// The configuration file at the start of the process.
@@ -182,7 +182,7 @@
             history: RefCell::new(history),
             discovery,
             fleet,
-            attempt: RefCell::default(),
+            last_attempt: RefCell::default(),
             restart_keys: RefCell::default(),
             trial: RefCell::default(),
             recent: RefCell::default(),
@@ -347,7 +347,7 @@
             }
         };
         self.log_result(&attempt, &result);
-        self.attempt.replace(Some(attempt));
+        self.last_attempt.replace(Some(attempt));
         result
     }
 
@@ -382,7 +382,7 @@
             version: history.in_force(),
             before: history.earlier().collect(),
             way_back: history.rollback_target().map(|v| v.number),
-            last_attempt: self.attempt.borrow().clone(),
+            last_attempt: self.last_attempt.borrow().clone(),
             waits: self.restart_keys.borrow().clone(),
             trial: self.trial.borrow().clone(),
             state: self.saver.as_ref().map(|(folder, _)| folder.display().to_string()),
--- a/crates/gateway/src/bin/opalrun-gateway/counter.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/counter.rs
@@ -220,7 +220,7 @@
                 connection.wake.notify_one();
             }
             let call = &connection.calls[at];
-            let (name, spent) = (call.name, call.since.elapsed());
+            let (name, elapsed) = (call.name, call.since.elapsed());
             let status = if call.written == 0 {
                 // Nothing of the call was sent, and nothing will be, so the counter can't have added the amount.
                 connection.calls.remove(at);
@@ -229,7 +229,7 @@
                 Status::Timeout
             };
             drop(connections);
-            report(caller, name, status, 0.0, spent);
+            report(caller, name, status, 0.0, elapsed);
             return;
         }
     }
@@ -267,8 +267,8 @@
             ended
         };
         for call in calls.into_iter().filter(|c| !c.reported) {
-            let whole = call.written == call.text.len();
-            let status = if whole { Status::Timeout } else { Status::ConnectFailed };
+            let is_complete = call.written == call.text.len();
+            let status = if is_complete { Status::Timeout } else { Status::ConnectFailed };
             report(caller, call.name, status, 0.0, call.since.elapsed());
         }
     }
@@ -281,9 +281,9 @@
     }
 }
 
-fn report(caller: &Rc<impl CounterCaller>, name: Option<u64>, status: Status, total: f64, spent: Duration) {
+fn report(caller: &Rc<impl CounterCaller>, name: Option<u64>, status: Status, total: f64, elapsed: Duration) {
     if let Some(counter) = name {
-        caller.call_ended(Event::CounterAnswered { counter, status, total, elapsed: spent.as_secs_f64() });
+        caller.call_ended(Event::CounterAnswered { counter, status, total, elapsed: elapsed.as_secs_f64() });
     }
 }
 
@@ -306,7 +306,7 @@
             continue;
         }
         if warns {
-            warn!("counter: {end}");
+            warn!("counter connection failed: {end}");
         }
         // Only the first of several failures in a row is logged: the delay is reset by an answer.
         warns = wait == BACKOFF.0;
@@ -334,20 +334,20 @@
     };
     let (mut read, mut buffer) = (Vec::new(), [0; 4096]);
     let mut ping = tokio::time::interval(PING_INTERVAL);
-    let stuck = counter.call_timeout.get() * STUCK_CALL_TIMEOUTS;
+    let answer_timeout = counter.call_timeout.get() * STUCK_CALL_TIMEOUTS;
     loop {
         let (unwritten, given_up) = {
             let connection = &mut counter.connections.borrow_mut()[index];
             if !connection.flush() {
                 return ErrorKind::BrokenPipe.into();
             }
-            if connection.is_overdue(stuck) {
+            if connection.is_overdue(answer_timeout) {
                 return ErrorKind::TimedOut.into();
             }
             if connection.is_retiring && !connection.awaits_answer() {
                 return ErrorKind::NotConnected.into();
             }
-            (connection.has_unwritten(), connection.calls.front().map(|c| c.since + stuck))
+            (connection.has_unwritten(), connection.calls.front().map(|c| c.since + answer_timeout))
         };
         let received = tokio::select! {
             received = reader.read(&mut buffer) => received,
--- a/crates/gateway/src/bin/opalrun-gateway/driver/actions.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/driver/actions.rs
@@ -55,7 +55,7 @@
         if !enabled!(Level::DEBUG) {
             return;
         }
-        if let Some(open) = self.open.borrow().get(job) {
+        if let Some(open) = self.open_requests.borrow().get(job) {
             let txn = open.forward.txn.to_str().unwrap_or_default();
             let options = self.options.borrow();
             let plan = options.plans.get(open.plan).map_or("", String::as_str);
@@ -65,7 +65,8 @@
 
     /// Reports a request's units to the fleet and the journal when its first attempt is sent; later attempts report nothing.
     fn report_spending(&self, job: &JobId) {
-        let spending = self.open.borrow_mut().get_mut(job).and_then(|open| open.unreported_spending.take());
+        let spending =
+            self.open_requests.borrow_mut().get_mut(job).and_then(|open| open.unreported_spending.take());
         let Some(Spending { customer, plan, units }) = spending else { return };
         self.fleet.borrow().iter().for_each(|fleet| fleet.record_spending(&customer, plan, units));
         self.recovery.borrow().iter().for_each(|recovery| recovery.sent(&customer));
@@ -73,7 +74,7 @@
 
     /// Sends the final answer of a request, unless it has had one, and cancels its attempts that are not sent yet.
     pub(super) fn answer(self: &Rc<Self>, job: &JobId, answer: Answer) {
-        let sender = self.open.borrow_mut().get_mut(job).and_then(|o| o.answer.take());
+        let sender = self.open_requests.borrow_mut().get_mut(job).and_then(|o| o.answer.take());
         if let Some(sender) = sender {
             self.count_answer(matches!(answer, Answer::Failed));
             // A closed receiver means that the client has disconnected, which `client_left` handles.
@@ -85,14 +86,14 @@
 
     /// Removes a request that is answered and has no attempt in flight.
     pub(super) fn forget(&self, job: &JobId) {
-        let mut table = self.open.borrow_mut();
+        let mut table = self.open_requests.borrow_mut();
         if table.get(job).is_some_and(|o| o.answer.is_none() && o.attempts.iter().all(Option::is_none)) {
             table.remove(job);
         }
     }
 
     fn send_attempt(self: &Rc<Self>, now: Time, job: JobId, server: ServerId, timeout: f64, send_by: Time) {
-        let mut table = self.open.borrow_mut();
+        let mut table = self.open_requests.borrow_mut();
         let known = self.pools.addr(&server).is_some();
         let Some(open) = table.get_mut(&job) else { return };
         let number = open.attempts.len() as u32;
--- a/crates/gateway/src/bin/opalrun-gateway/driver/mod.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/driver/mod.rs
@@ -87,8 +87,8 @@
     gateway: RefCell<Gateway>,
     events: RefCell<VecDeque<Event>>,
     is_handling: Cell<bool>,
-    open: RefCell<FnvHashMap<JobId, OpenRequest>>,
-    jobs: Cell<u64>,
+    open_requests: RefCell<FnvHashMap<JobId, OpenRequest>>,
+    last_job_number: Cell<u64>,
     timers: RefCell<TimerQueue>,
     lag: RecentLag,
     /// Notified when a timer is set that is due before all others.
@@ -135,8 +135,8 @@
             gateway: RefCell::new(gateway),
             events: RefCell::default(),
             is_handling: Cell::new(false),
-            open: RefCell::default(),
-            jobs: Cell::new(0),
+            open_requests: RefCell::default(),
+            last_job_number: Cell::new(0),
             timers: RefCell::default(),
             lag: RecentLag::default(),
             earlier_timer: Notify::new(),
@@ -170,7 +170,7 @@
 
     /// Number of requests that have not been answered yet.
     pub fn waiting_requests(&self) -> usize {
-        self.open.borrow().values().filter(|o| o.answer.is_some()).count()
+        self.open_requests.borrow().values().filter(|o| o.answer.is_some()).count()
     }
 
     pub fn options(&self) -> Rc<Options> {
--- a/crates/gateway/src/bin/opalrun-gateway/driver/requests.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/driver/requests.rs
@@ -33,7 +33,7 @@
         let (chunks, rest) = mpsc::channel(1);
         let progress = Rc::new(Forwarding::new(length, buffer.len() as usize, last_received));
         {
-            let mut table = self.driver.open.borrow_mut();
+            let mut table = self.driver.open_requests.borrow_mut();
             let open = table.get_mut(&self.job)?;
             let attempt = open.attempts.get_mut(self.number as usize)?.as_mut()?;
             let answer = open.answer.take()?;
@@ -62,9 +62,9 @@
 impl Driver {
     /// Accepts a client's request. Returns its id and the receiver of its final answer.
     pub fn accept(self: &Rc<Self>, request: ClientRequest) -> (JobId, oneshot::Receiver<Answer>) {
-        self.jobs.set(self.jobs.get() + 1);
+        self.last_job_number.set(self.last_job_number.get() + 1);
         self.used_classes.borrow_mut().get_mut(request.class).into_iter().for_each(|used| *used = true);
-        let job: JobId = self.jobs.get().to_string().into();
+        let job: JobId = self.last_job_number.get().to_string().into();
         let remaining = request.remaining.min(MAX_CLIENT_TIMEOUT);
         let (answer, receiver) = oneshot::channel();
         if self.is_shutting_down.get() {
@@ -104,7 +104,7 @@
             repeat: request.repeat,
             unreported_spending,
         };
-        self.open.borrow_mut().insert(job.clone(), open);
+        self.open_requests.borrow_mut().insert(job.clone(), open);
         // Later than attempt time-outs that end at `expires`, so that the decisions can answer first.
         self.set_timer(expires + LAST_RESORT_DELAY, Due::Deadline(job.clone()));
         self.post(Event::Request(Request {
@@ -126,7 +126,7 @@
     fn upload_ended(&self, job: &JobId) {
         let now = self.clock.now();
         let mut due = Vec::new();
-        if let Some(open) = self.open.borrow_mut().get_mut(job) {
+        if let Some(open) = self.open_requests.borrow_mut().get_mut(job) {
             let Some(remaining) = open.upload_timeout.take() else { return };
             let remaining = time_to_answer(remaining, self.lag.at(now));
             open.expires = now + remaining;
@@ -146,9 +146,9 @@
 
     /// Cleans up after a client that has disconnected before its answer.
     pub fn client_left(self: &Rc<Self>, job: &JobId) {
-        let waiting = self.open.borrow_mut().get_mut(job).is_some_and(|o| o.answer.take().is_some());
+        let waiting = self.open_requests.borrow_mut().get_mut(job).is_some_and(|o| o.answer.take().is_some());
         if waiting {
-            self.log_request(job, "left", None, "its client has gone");
+            self.log_request(job, "left", None, "client disconnected");
             self.cancel_unsent(job);
             self.forget(job);
             self.post(Event::ClientDisconnected { job: job.clone() });
@@ -158,7 +158,7 @@
     /// Fails all open requests, and has later ones rejected on arrival, as the process is about to be killed.
     pub fn fail_all(self: &Rc<Self>) {
         self.is_shutting_down.set(true);
-        let jobs: Vec<JobId> = self.open.borrow().keys().cloned().collect();
+        let jobs: Vec<JobId> = self.open_requests.borrow().keys().cloned().collect();
         for job in jobs {
             self.answer(&job, Answer::Failed);
             self.post(Event::ClientDisconnected { job });
@@ -167,7 +167,7 @@
 
     /// Records the end of an attempt: answers the client if it brought a complete answer, and informs fleet and decisions.
     pub(super) fn attempt_ended(self: &Rc<Self>, job: &JobId, number: u32, ending: Ending) {
-        let mut table = self.open.borrow_mut();
+        let mut table = self.open_requests.borrow_mut();
         let Some(open) = table.get_mut(job) else { return };
         let Some(attempt) = open.attempts.get_mut(number as usize).and_then(Option::take) else { return };
         let answer = ending.body.and_then(|body| Some((body, open.answer.take()?)));
@@ -203,7 +203,7 @@
     /// connection. Called once the request is answered or its client has disconnected, as nothing may be sent after that.
     pub(super) fn cancel_unsent(self: &Rc<Self>, job: &JobId) {
         let unsent: Vec<u32> = {
-            let table = self.open.borrow();
+            let table = self.open_requests.borrow();
             let attempts = table.get(job).into_iter().flat_map(|o| o.attempts.iter().enumerate());
             let unsent = attempts.filter(|(_, a)| a.as_ref().is_some_and(|a| !may_have_run(&a.trace)));
             unsent.map(|(number, _)| number as u32).collect()
@@ -214,7 +214,7 @@
     /// Aborts an attempt, unless its answer is already being forwarded to the client.
     pub(super) fn stop_attempt(self: &Rc<Self>, job: &JobId, number: u32, status: Status) {
         let begun = |o: &OpenRequest| o.attempts.get(number as usize)?.as_ref()?.forwarded.as_ref().map(drop);
-        if self.open.borrow().get(job).and_then(begun).is_none() {
+        if self.open_requests.borrow().get(job).and_then(begun).is_none() {
             self.end_attempt(job, number, status);
         }
     }
@@ -222,7 +222,7 @@
     /// Aborts an attempt. Aborting its task closes the connection to the worker.
     pub(super) fn end_attempt(self: &Rc<Self>, job: &JobId, number: u32, status: Status) {
         let stopped = {
-            let table = self.open.borrow();
+            let table = self.open_requests.borrow();
             let attempt =
                 table.get(job).and_then(|o| o.attempts.get(number as usize)).and_then(Option::as_ref);
             attempt.map(|a| {
@@ -237,7 +237,7 @@
         if let Some(may_have_run) = stopped {
             // A worker never runs a request that it has received in part, so such an attempt counts as not sent.
             let status = if may_have_run { status } else { Status::NotSent };
-            self.attempt_ended(job, number, Ending::of(status));
+            self.attempt_ended(job, number, Ending::without_body(status));
         }
     }
 }
--- a/crates/gateway/src/bin/opalrun-gateway/driver/timers.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/driver/timers.rs
@@ -23,14 +23,16 @@
             Due::Decision(_) => false,
             Due::CounterCall(number) => self.counter.as_ref().is_none_or(|c| !c.is_waiting(*number)),
             Due::Attempt(job, number) => {
-                let open = self.open.borrow();
+                let open = self.open_requests.borrow();
                 let attempt =
                     open.get(job).and_then(|o| o.attempts.get(*number as usize)).and_then(Option::as_ref);
                 attempt.is_none_or(|a| a.forwarded.is_some())
             }
-            Due::Deadline(job) => {
-                self.open.borrow().get(job).is_none_or(|o| o.answer.is_none() && o.forwarding().is_none())
-            }
+            Due::Deadline(job) => self
+                .open_requests
+                .borrow()
+                .get(job)
+                .is_none_or(|o| o.answer.is_none() && o.forwarding().is_none()),
         }
     }
 
@@ -53,7 +55,7 @@
         if self.is_stale(&Due::Deadline(job.clone())) {
             return;
         }
-        let forwarding = self.open.borrow().get(&job).and_then(OpenRequest::forwarding);
+        let forwarding = self.open_requests.borrow().get(&job).and_then(OpenRequest::forwarding);
         match forwarding {
             None => {
                 self.answer(&job, Answer::Failed);
@@ -61,7 +63,7 @@
             }
             // The status is already sent. Closing the connection early shows the client that the body is incomplete.
             Some((number, stalled)) if stalled >= ANSWER_BUFFERING_TIME => {
-                self.log_request(&job, "cut off", None, "its worker stopped half way");
+                self.log_request(&job, "cut off", None, "worker stalled in the middle of its answer");
                 self.end_attempt(&job, number, Status::Timeout);
             }
             // The worker is still sending: check again when it could have stalled for long enough.
--- a/crates/gateway/src/bin/opalrun-gateway/fleet/views.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/fleet/views.rs
@@ -59,6 +59,7 @@
     start: u32,
     count: u32,
     /// Growth in the last `RECENT_WINDOW_S` seconds, at most 255.
+    #[serde(rename = "lately")]
     recent: u8,
 }
 
@@ -161,7 +162,7 @@
         }
     }
 
-    /// Plans have other rates and bursts from now on.
+    /// Changes rate and burst of the plans.
     pub fn set_plans(&mut self, plans: Vec<(f64, f64)>) {
         self.plans = plans;
     }
@@ -224,10 +225,10 @@
     fn evict_customers(&mut self, now: Time) {
         let mut ages: Vec<Time> = self.customers.values().map(|b| b.at).collect();
         let middle = ages.len() / 2;
-        let (_, cut, _) = ages.select_nth_unstable_by(middle, f64::total_cmp);
-        let cut = cut.min(now);
+        let (_, cutoff, _) = ages.select_nth_unstable_by(middle, f64::total_cmp);
+        let cutoff = cutoff.min(now);
         let before = self.customers.len();
-        self.customers.retain(|_, b| b.at > cut);
+        self.customers.retain(|_, b| b.at > cutoff);
         self.evicted_customers += (before - self.customers.len()) as u64;
         let (customers, own) = (&self.customers, self.own);
         self.counts.retain(|(subject, by), _| match subject {
@@ -241,13 +242,13 @@
     fn observe(&mut self, now: Time, worker: u64, by: Incarnation, answered: u32, failed: u32) {
         if self.workers.len() >= MAX_WORKERS && !self.workers.contains_key(&worker) {
             self.workers
-                .retain(|_, w| w.observations.back().is_some_and(|h| now - h.0 < OBSERVATION_WINDOW_S));
+                .retain(|_, w| w.observations.back().is_some_and(|o| now - o.0 < OBSERVATION_WINDOW_S));
             if self.workers.len() >= MAX_WORKERS {
                 return;
             }
         }
         let observations = &mut self.workers.entry(worker).or_default().observations;
-        while observations.front().is_some_and(|h| now - h.0 > OBSERVATION_WINDOW_S) {
+        while observations.front().is_some_and(|o| now - o.0 > OBSERVATION_WINDOW_S) {
             observations.pop_front();
         }
         // Observations of one member within 50 ms are merged, which bounds the memory used.
@@ -346,11 +347,11 @@
     fn evict_incarnations(&mut self) {
         let mut ages: Vec<Time> = self.incarnations.values().copied().collect();
         let middle = ages.len() / 2;
-        let (_, cut, _) = ages.select_nth_unstable_by(middle, f64::total_cmp);
-        let cut = *cut;
-        self.incarnations.retain(|_, s| *s > cut);
-        let (starts, own) = (&self.incarnations, self.own);
-        self.counts.retain(|(_, by), _| starts.contains_key(by) || *by == own);
+        let (_, cutoff, _) = ages.select_nth_unstable_by(middle, f64::total_cmp);
+        let cutoff = *cutoff;
+        self.incarnations.retain(|_, s| *s > cutoff);
+        let (incarnations, own) = (&self.incarnations, self.own);
+        self.counts.retain(|(_, by), _| incarnations.contains_key(by) || *by == own);
     }
 
     /// What the known spending leaves of a customer's quota; `None`: no spending is known.
@@ -367,7 +368,7 @@
         let Some(worker) = self.workers.get(&worker) else { return summary };
         let mut members = Vec::new();
         for (_, by, answered, failed) in
-            worker.observations.iter().filter(|h| now - h.0 <= OBSERVATION_WINDOW_S)
+            worker.observations.iter().filter(|o| now - o.0 <= OBSERVATION_WINDOW_S)
         {
             summary.answered = summary.answered.saturating_add(*answered);
             summary.failed = summary.failed.saturating_add(*failed);
@@ -451,8 +452,8 @@
         }
         let level = |v: &Views| v.spending(40.0, 1).expect("known").level;
         for member in &members {
-            let observations = 1e4 - level(member);
-            assert!(observations <= spent && observations > 0.95 * spent, "{observations} of {spent}");
+            let known = 1e4 - level(member);
+            assert!(known <= spent && known > 0.95 * spent, "{known} of {spent} units are known");
         }
     }
 
--- a/crates/gateway/src/bin/opalrun-gateway/main.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/main.rs
@@ -49,8 +49,8 @@
 const ACCEPT_TIME: Duration = Duration::from_millis(500);
 /// Time after SIGTERM until which the connections accepted last can send their requests.
 const LAST_REQUEST_TIME: Duration = Duration::from_millis(650);
-/// Seconds from the longest client deadline, counted from SIGTERM, to SIGKILL; and the largest deadline, in seconds, that
-/// the platform allows for.
+/// The platform sends SIGKILL when the longest client deadline after SIGTERM and the first of these, in seconds, have
+/// passed. A deadline counts up to the second, in seconds.
 const KILL: (f64, f64) = (0.7, 3.0);
 /// How long before SIGKILL all open requests are failed: a minimum in seconds, to which a share of the longest deadline is
 /// added, and a maximum in seconds. The process ends at half of this time before SIGKILL.
@@ -73,7 +73,7 @@
     System(io::Error),
     State(StateError),
     /// The background task of this name has panicked.
-    Part(&'static str),
+    Task(&'static str),
 }
 
 impl fmt::Display for NodeError {
@@ -84,7 +84,7 @@
             Self::Listen(e) => write!(f, "can't listen: {e}"),
             Self::System(e) => write!(f, "can't start: {e}"),
             Self::State(e) => e.fmt(f),
-            Self::Part(name) => write!(f, "the task for {name} has failed"),
+            Self::Task(name) => write!(f, "the task for {name} has failed"),
         }
     }
 }
@@ -114,12 +114,13 @@
     let (listener, inherited) = listen(&config).await.map_err(NodeError::Listen)?;
     let bound = listener.local_addr().map_err(NodeError::Listen)?;
     let name = config.name.clone();
-    let share = config.sockets - PROCESS_DESCRIPTORS - config.admin.map_or(0, |_| ADMIN_DESCRIPTORS);
+    let connection_descriptors =
+        config.sockets - PROCESS_DESCRIPTORS - config.admin.map_or(0, |_| ADMIN_DESCRIPTORS);
     let admin = match config.admin {
         Some(addr) => Some(TcpListener::bind(addr).await.map_err(NodeError::Listen)?),
         None => None,
     };
-    let driver = Driver::new(&config, share).map_err(NodeError::Settings)?;
+    let driver = Driver::new(&config, connection_descriptors).map_err(NodeError::Settings)?;
     driver.start_counter();
     let (configuration, discovery_at) = Configuration::new(start, driver.clone());
     tokio::task::spawn_local(fleet::participate(driver.clone(), driver.clock(), configuration.fleet()));
@@ -127,10 +128,10 @@
     let timers = tokio::task::spawn_local(driver.clone().run_timers());
     let sweeps = tokio::task::spawn_local(sweep(driver.clone(), configuration.clone()));
     // Each client may have an attempt in flight, so clients and workers get half of the descriptors each.
-    let clients = clients::new(driver.clone(), share / 2);
-    let place = handover::place(inherited);
-    let link = match &place {
-        Some(place) => handover::take_over(place, &driver, &clients, &configuration).await,
+    let clients = clients::new(driver.clone(), connection_descriptors / 2);
+    let handover_socket = handover::place(inherited);
+    let link = match &handover_socket {
+        Some(path) => handover::take_over(path, &driver, &clients, &configuration).await,
         None => None,
     };
     if let Some(folder) = configuration.state() {
@@ -144,13 +145,13 @@
         config.known_version,
         fastrand::Rng::with_seed(config.seed),
     ));
-    if let Some(place) = &place {
+    if let Some(path) = &handover_socket {
         if let Some(link) = link {
             info!("{name} takes over from the process before it");
             tokio::task::spawn_local(link.follow(driver.clone(), clients.clone()));
         }
         tokio::task::spawn_local(handover::offer(
-            place.clone(),
+            path.clone(),
             driver.clone(),
             clients.clone(),
             configuration.clone(),
@@ -175,10 +176,10 @@
             return Ok(());
         }
         // These tasks end by a panic only. The process can't serve without them and is to be restarted.
-        _ = discovery => return Err(NodeError::Part("discovery")),
-        _ = timers => return Err(NodeError::Part("timers")),
-        _ = sweeps => return Err(NodeError::Part("idle connections")),
-        _ = reloads => return Err(NodeError::Part("the configuration")),
+        _ = discovery => return Err(NodeError::Task("discovery")),
+        _ = timers => return Err(NodeError::Task("timers")),
+        _ = sweeps => return Err(NodeError::Task("idle connections")),
+        _ = reloads => return Err(NodeError::Task("the configuration")),
     }
     info!("{name} shuts down with {} open requests", driver.waiting_requests());
     drain(&driver, &clients, listener).await;
--- a/crates/gateway/src/bin/opalrun-gateway/workers.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/workers.rs
@@ -74,7 +74,7 @@
 }
 
 impl Ending {
-    pub fn of(status: Status) -> Self {
+    pub fn without_body(status: Status) -> Self {
         Self { status, body: None, load: Load::default() }
     }
 }
@@ -187,7 +187,7 @@
         };
         let (lease, response) = match sent {
             Ok(answer) => answer,
-            Err(status) => return Ending::of(status),
+            Err(status) => return Ending::without_body(status),
         };
         let (parts, body) = response.into_parts();
         let is_rejected = parts.headers.get("x-turned-away").is_some_and(|v| v == "1");
@@ -208,7 +208,7 @@
                 lease.give_back(status == Status::Rejected);
             }
         }
-        Ending::of(status)
+        Ending::without_body(status)
     }
 
     /// Reads the body of a successful answer. A short one is buffered completely; a longer one, or one of unknown length
@@ -238,18 +238,18 @@
                 }
                 Ok(None) => {
                     lease.give_back(false);
-                    return Ending { body: Some(buffered), ..Ending::of(Status::Ok) };
+                    return Ending { body: Some(buffered), ..Ending::without_body(Status::Ok) };
                 }
-                Err(_) => return Ending::of(Status::Reset),
+                Err(_) => return Ending::without_body(Status::Reset),
             }
         }
         let Some((client, forwarding)) = caller.forward_answer(buffered, length, last_received) else {
-            return Ending::of(Status::Cancelled);
+            return Ending::without_body(Status::Cancelled);
         };
         loop {
             let chunk = tokio::select! {
                 chunk = tokio::time::timeout(TRANSFER_IDLE_TIMEOUT, lease.connection().piece(&mut body)) => chunk,
-                () = client.closed() => return Ending::of(Status::Cancelled),
+                () = client.closed() => return Ending::without_body(Status::Cancelled),
             };
             let chunk = match chunk {
                 Ok(Ok(Some(data))) => {
@@ -261,12 +261,12 @@
                     lease.give_back(false);
                     // A closed channel means that the client has disconnected, which its own connection handles.
                     let _ = client.send(Chunk::End).await;
-                    return Ending::of(Status::Ok);
+                    return Ending::without_body(Status::Ok);
                 }
-                Ok(Err(_)) | Err(_) => return Ending::of(Status::Reset),
+                Ok(Err(_)) | Err(_) => return Ending::without_body(Status::Reset),
             };
             if client.send(chunk).await.is_err() {
-                return Ending::of(Status::Cancelled);
+                return Ending::without_body(Status::Cancelled);
             }
             forwarding.delivered();
         }
@@ -282,7 +282,7 @@
         };
         let (mut lease, response) = match self.send(worker, &Trace::default(), build).await {
             Ok(answer) => answer,
-            Err(status) => return Ending::of(status),
+            Err(status) => return Ending::without_body(status),
         };
         let (parts, mut body) = response.into_parts();
         if parts.status != StatusCode::OK {
@@ -292,9 +292,9 @@
             Ok(body) => {
                 lease.give_back(false);
                 let load = std::str::from_utf8(&body).map(parse_load_report).unwrap_or_default();
-                Ending { load, ..Ending::of(Status::Ok) }
+                Ending { load, ..Ending::without_body(Status::Ok) }
             }
-            Err(_) => Ending::of(Status::Reset),
+            Err(_) => Ending::without_body(Status::Reset),
         }
     }
 }
