--- a/crates/gatekeeper/tests/stores.rs
+++ b/crates/gatekeeper/tests/stores.rs
@@ -25,7 +25,7 @@
 const MAX_UNITS: u64 = 100;
 const USED: u64 = 60;
 
-/// A store shared_server by a task until it is stopped.
+/// A store served by a task until it is stopped.
 struct Store {
     node: StoreNode,
     server: Rc<StoreServer>,
