--- a/crates/gateway/src/bin/gateway-simulator-adapter.rs
+++ b/crates/gateway/src/bin/gateway-simulator-adapter.rs
@@ -1,4 +1,5 @@
-//! The simulator's adapter: translates its wire to events of the decisions, and their actions back. It decides nothing.
+//! Adapter for the simulator: translates its messages to events of the decisions, and their actions back. It makes no
+//! decisions of its own.
 #![forbid(unsafe_code)]
 
 use opalrun_gateway::*;
@@ -8,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
 
-/// Why the simulator's input could not be served.
+/// Why the input of the simulator could not be handled.
 #[derive(Debug, Snafu)]
 enum AdapterError {
     #[snafu(display("{message}.{field} is missing"))]
@@ -17,23 +18,23 @@
     WrongType { message: &'static str, field: &'static str, expected: &'static str },
     #[snafu(display("{message}.{field} is unknown"))]
     UnknownValue { message: &'static str, field: &'static str },
-    #[snafu(display("DIRECTORY.Items holds no rows"))]
-    NoRows,
+    #[snafu(display("an item of DIRECTORY.Items is not an array"))]
+    NotAnArray,
     #[snafu(display("event {name} is unknown"))]
     UnknownEvent { name: String },
     #[snafu(display("an event is empty"))]
     EmptyEvent,
-    #[snafu(display("an event's name is not a string"))]
-    NamelessEvent,
+    #[snafu(display("the name of an event is not a string"))]
+    InvalidEventName,
     #[snafu(display("{problem}"))]
     Options { problem: String },
     #[snafu(display("NEW_INSTANCE.Options: {source}"))]
     Settings { source: SettingsError },
     #[snafu(display("DESTROY for an unknown instance"))]
-    UnknownDestroyed,
+    DestroyUnknown,
     #[snafu(display("{name} for unknown instance {id}"))]
     UnknownInstance { name: String, id: u64 },
-    #[snafu(display("batch is malformed: {source}"))]
+    #[snafu(display("malformed batch: {source}"))]
     Malformed { source: serde_json::Error },
     #[snafu(display("batch {number}: {source}"))]
     Batch {
@@ -41,41 +42,46 @@
         #[snafu(source(from(AdapterError, Box::new)))]
         source: Box<AdapterError>,
     },
-    #[snafu(display("input: {source}"))]
+    #[snafu(display("cannot read from standard input: {source}"))]
     Input { source: std::io::Error },
-    #[snafu(display("output: {source}"))]
+    #[snafu(display("cannot write to standard output: {source}"))]
     Output { source: std::io::Error },
 }
 
+/// Messages to several instances at one simulated time.
 #[derive(Deserialize)]
 struct Batch {
     #[serde(rename = "Moment")]
-    moment: f64,
-    n: u64,
+    now: f64,
+    #[serde(rename = "n")]
+    number: u64,
     groups: Vec<Inbox>,
 }
 
+/// Messages to one instance, in order.
 #[derive(Deserialize)]
 struct Inbox {
     #[serde(rename = "GatekeeperId")]
     gateway: u64,
-    msgs: Vec<Vec<Value>>,
+    #[serde(rename = "msgs")]
+    messages: Vec<Vec<Value>>,
 }
 
-/// Positional values of one message, read by place and name.
+/// The positional values of one message and its name; values are read by index, and `field` names them in errors.
 struct Row<'a>(&'a [Value], &'static str);
 
 impl Row<'_> {
+    /// The value at index `i`, which must be present and not `null`.
     fn at(&self, i: usize, field: &'static str) -> Result<&Value, AdapterError> {
         self.0.get(i).filter(|v| !v.is_null()).context(MissingSnafu { message: self.1, field })
     }
-    fn num(&self, i: usize, field: &'static str) -> Result<f64, AdapterError> {
+    fn number(&self, i: usize, field: &'static str) -> Result<f64, AdapterError> {
         self.at(i, field)?.as_f64().context(WrongTypeSnafu { message: self.1, field, expected: "a number" })
     }
-    fn num_or(&self, i: usize, field: &'static str, default: f64) -> Result<f64, AdapterError> {
-        if self.0.get(i).is_none_or(Value::is_null) { Ok(default) } else { self.num(i, field) }
+    fn number_or(&self, i: usize, field: &'static str, default: f64) -> Result<f64, AdapterError> {
+        if self.0.get(i).is_none_or(Value::is_null) { Ok(default) } else { self.number(i, field) }
     }
-    fn int(&self, i: usize, field: &'static str) -> Result<u64, AdapterError> {
+    fn integer(&self, i: usize, field: &'static str) -> Result<u64, AdapterError> {
         self.at(i, field)?.as_u64().context(WrongTypeSnafu {
             message: self.1,
             field,
@@ -98,6 +104,7 @@
             _ => return UnknownValueSnafu { message: self.1, field: "Outcome" }.fail(),
         })
     }
+    /// The load report at index `i`, in which every value is optional.
     fn load(&self, i: usize) -> Load {
         let value = |key: &str| self.0.get(i).and_then(|r| r.get(key)).and_then(Value::as_f64);
         let mut load = Load::default();
@@ -107,18 +114,19 @@
     }
 }
 
-fn entries(items: &Value) -> Result<Vec<Server>, AdapterError> {
+/// Reads the items of a `DIRECTORY` message.
+fn read_servers(items: &Value) -> Result<Vec<Server>, AdapterError> {
     let items = items.as_array().context(WrongTypeSnafu {
         message: "DIRECTORY",
         field: "Items",
         expected: "an array",
     })?;
     let entry = |item: &Value| {
-        let row = Row(item.as_array().context(NoRowsSnafu)?, "DIRECTORY");
+        let row = Row(item.as_array().context(NotAnArraySnafu)?, "DIRECTORY");
         Ok(Server {
-            cell: row.num_or(0, "Cell", 0.0)? as u32,
-            started: row.num_or(1, "StartTime", 0.0)?,
-            zone: row.num_or(3, "Zone", 0.0)? as u32,
+            cell: row.number_or(0, "Cell", 0.0)? as u32,
+            started: row.number_or(1, "StartTime", 0.0)?,
+            zone: row.number_or(3, "Zone", 0.0)? as u32,
             lifecycle: match row.text(4, "Lifecycle")? {
                 "Running" => Lifecycle::Running,
                 "Stopping" => Lifecycle::Draining,
@@ -131,7 +139,9 @@
     items.iter().map(entry).collect()
 }
 
-fn event(
+/// Translates a message to an event; `None`: the message means nothing to the decisions. `pages` holds the lists of
+/// servers by page number.
+fn read_event(
     name: &str,
     values: &[Value],
     pages: &BTreeMap<u64, Vec<Server>>,
@@ -150,7 +160,7 @@
             let servers = match kind {
                 ListKind::Failed => Vec::new(),
                 _ => pages
-                    .get(&row.int(1, "Page")?)
+                    .get(&row.integer(1, "Page")?)
                     .cloned()
                     .context(UnknownValueSnafu { message: "PEERS_KNOWN", field: "Page" })?,
             };
@@ -160,14 +170,14 @@
             let row = row("DEMAND");
             Event::Request(Request {
                 job: row.text(0, "Job")?.into(),
-                units: row.num_or(1, "Weight", 1.0)?,
-                first_gateway: row.num_or(2, "FromNo", 0.0)? as u32,
-                expires: row.num(3, "Expires")?,
-                plan: row.num_or(4, "GradeOfService", 0.0)? as usize,
-                spread: row.num_or(5, "NEntries", 1.0)? as u32,
-                class: row.num_or(6, "Category", 0.0)? as usize,
+                units: row.number_or(1, "Weight", 1.0)?,
+                first_gateway: row.number_or(2, "FromNo", 0.0)? as u32,
+                expires: row.number(3, "Expires")?,
+                plan: row.number_or(4, "GradeOfService", 0.0)? as usize,
+                spread: row.number_or(5, "NEntries", 1.0)? as u32,
+                class: row.number_or(6, "Category", 0.0)? as usize,
                 customer: row.text(7, "Customer").unwrap_or("").into(),
-                client_retry: row.num_or(8, "StateBits", 0.0)? as u64 & 2 != 0,
+                client_retry: row.number_or(8, "StateBits", 0.0)? as u64 & 2 != 0,
                 peer_view: None,
             })
         }
@@ -176,21 +186,21 @@
             let row = row("DONE");
             Event::AttemptEnded {
                 job: row.text(0, "Job")?.into(),
-                attempt: row.int(1, "RoundNo")? as u32,
+                attempt: row.integer(1, "RoundNo")? as u32,
                 server: row.text(2, "Worker")?.into(),
                 status: row.status(3)?,
-                elapsed: row.num_or(4, "Spent", 0.0)?,
+                elapsed: row.number_or(4, "Spent", 0.0)?,
                 over: row.at(5, "NoMore")?.as_bool().context(WrongTypeSnafu {
                     message: "DONE",
                     field: "NoMore",
                     expected: "a bool",
                 })?,
-                settled: Some(row.num_or(7, "Settled", 0.0)?).filter(|u| *u > 0.0),
+                settled: Some(row.number_or(7, "Settled", 0.0)?).filter(|u| *u > 0.0),
                 load: row.load(8),
             }
         }
         "LEFT" => Event::ClientDisconnected { job: row("LEFT").text(0, "Job")?.into() },
-        "ELAPSED" => Event::Timer { token: row("ELAPSED").int(0, "Name")? },
+        "ELAPSED" => Event::Timer { token: row("ELAPSED").integer(0, "Name")? },
         "HEALTH_RESULT" => {
             let row = row("HEALTH_RESULT");
             Event::ProbeEnded {
@@ -202,10 +212,10 @@
         "TALLIED" => {
             let row = row("TALLIED");
             Event::CounterAnswered {
-                counter: row.int(0, "Counter")?,
+                counter: row.integer(0, "Counter")?,
                 status: row.status(1)?,
-                total: row.num_or(2, "Value", 0.0)?,
-                elapsed: row.num_or(3, "Spent", 0.0)?,
+                total: row.number_or(2, "Value", 0.0)?,
+                elapsed: row.number_or(3, "Spent", 0.0)?,
             }
         }
         "NOTE_FROM" => return Ok(None),
@@ -213,7 +223,8 @@
     }))
 }
 
-fn reply(action: Action) -> Value {
+/// Translates an action to the reply that the simulator reads.
+fn action_reply(action: Action) -> Value {
     match action {
         Action::Send { job, server, timeout, .. } => json!(["PLACE", &*job, timeout, &*server]),
         Action::Refuse { job, retry_after, .. } => json!(["PUSH_BACK", &*job, retry_after]),
@@ -228,42 +239,44 @@
     }
 }
 
-/// The instances this process hosts and the numbered lists of the wire; instances share nothing.
+/// The gateway instances of this process, by id, and the lists of servers that messages refer to by page number.
+/// Instances share no state.
 #[derive(Default)]
-struct Host {
+struct Instances {
     gateways: BTreeMap<u64, Gateway>,
     pages: BTreeMap<u64, Vec<Server>>,
 }
 
-impl Host {
-    fn message(
+impl Instances {
+    /// Handles one message to instance `id` and appends the actions that it leads to.
+    fn handle_message(
         &mut self,
         now: Time,
         id: u64,
-        msg: &[Value],
+        message: &[Value],
         out: &mut Vec<Action>,
     ) -> Result<(), AdapterError> {
-        let (name, values) = msg.split_first().context(EmptyEventSnafu)?;
-        match name.as_str().context(NamelessEventSnafu)? {
+        let (name, values) = message.split_first().context(EmptyEventSnafu)?;
+        match name.as_str().context(InvalidEventNameSnafu)? {
             "NEW_INSTANCE" => {
                 let row = Row(values, "NEW_INSTANCE");
                 let options = Options::read(row.at(1, "Options")?)
                     .map_err(|all| all.first().map_or_else(String::new, ToString::to_string))
                     .map_err(|problem| AdapterError::Options { problem })?;
                 let gateway =
-                    Gateway::new(options.settings, row.int(0, "Nonce64")?).context(SettingsSnafu)?;
+                    Gateway::new(options.settings, row.integer(0, "Nonce64")?).context(SettingsSnafu)?;
                 self.gateways.insert(id, gateway);
             }
             "DESTROY" => {
-                self.gateways.remove(&id).context(UnknownDestroyedSnafu)?;
+                self.gateways.remove(&id).context(DestroyUnknownSnafu)?;
                 out.clear();
             }
             "DIRECTORY" => {
                 let row = Row(values, "DIRECTORY");
-                self.pages.insert(row.int(0, "Page")?, entries(row.at(1, "Items")?)?);
+                self.pages.insert(row.integer(0, "Page")?, read_servers(row.at(1, "Items")?)?);
             }
             name => {
-                let event = event(name, values, &self.pages)?;
+                let event = read_event(name, values, &self.pages)?;
                 let gateway = self.gateways.get_mut(&id);
                 let gateway = gateway.context(UnknownInstanceSnafu { name, id })?;
                 if let Some(event) = event {
@@ -274,39 +287,41 @@
         Ok(())
     }
 
-    fn batch(&mut self, line: &str) -> Result<Value, AdapterError> {
+    /// Handles one line of input, a batch, and returns the reply.
+    fn handle_batch(&mut self, line: &str) -> Result<Value, AdapterError> {
         let batch: Batch = serde_json::from_str(line).context(MalformedSnafu)?;
         let mut groups = Vec::new();
         for inbox in &batch.groups {
             let mut out = Vec::new();
-            for msg in &inbox.msgs {
-                self.message(batch.moment, inbox.gateway, msg, &mut out)
-                    .context(BatchSnafu { number: batch.n })?;
+            for message in &inbox.messages {
+                self.handle_message(batch.now, inbox.gateway, message, &mut out)
+                    .context(BatchSnafu { number: batch.number })?;
             }
             if !out.is_empty() {
-                let decisions: Vec<Value> = out.into_iter().map(reply).collect();
+                let decisions: Vec<Value> = out.into_iter().map(action_reply).collect();
                 groups.push(json!({"GatekeeperId": inbox.gateway, "decisions": decisions}));
             }
         }
-        Ok(json!({"n": batch.n, "groups": groups}))
+        Ok(json!({"n": batch.number, "groups": groups}))
     }
 }
 
+/// Replies to every batch on standard input with one line on standard output, until the input ends.
 fn serve() -> Result<(), AdapterError> {
     let (stdin, mut stdout) = (std::io::stdin().lock(), std::io::stdout().lock());
-    let mut host = Host::default();
+    let mut instances = Instances::default();
     for line in stdin.lines() {
         let line = line.context(InputSnafu)?;
         if line.trim().is_empty() {
             continue;
         }
-        let reply = host.batch(&line)?;
+        let reply = instances.handle_batch(&line)?;
         writeln!(stdout, "{reply}").and_then(|()| stdout.flush()).context(OutputSnafu)?;
     }
     Ok(())
 }
 
-/// Serves the decisions of many gateways over the simulator's wire, on standard input and output.
+/// Serves the decisions of many gateways to the simulator, on standard input and output.
 #[derive(clap::Parser)]
 #[command(version)]
 struct Cli {}
--- a/crates/gateway/src/interface.rs
+++ b/crates/gateway/src/interface.rs
@@ -1,18 +1,19 @@
-//! The module's interface: the settings it is given, the events it receives, the actions it returns.
+//! The interface of the decisions: the settings that they are given, the events that they handle, and the actions
+//! that they return.
 
 use serde::{Deserialize, Serialize};
 use std::{fmt, sync::Arc};
 
-/// Seconds on the caller's monotonic clock; the origin is the caller's affair.
+/// Seconds on the caller's monotonic clock, from an origin that the caller chooses.
 pub type Time = f64;
-/// A request, unique for the life of a gateway.
+/// Identifier of a request, unique during the life of a gateway.
 pub type JobId = Arc<str>;
-/// A server's address, opaque.
+/// Identifier of a server, opaque.
 pub type ServerId = Arc<str>;
-/// A customer, opaque.
+/// Identifier of a customer, opaque.
 pub type CustomerId = Arc<str>;
 
-/// Which servers discard repeats of a keyed request.
+/// Which servers discard repeats of a deduplicated request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Group {
     /// Every server.
@@ -23,19 +24,19 @@
     Cell,
 }
 
-/// What repeating a request may do.
+/// Whether a request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Effect {
-    /// May run any number of times.
+    /// It may run any number of times.
     Idempotent,
-    /// Repeats are discarded by the servers of `group` for `window` seconds after the first send.
+    /// The servers of `group` discard repeats for `window` seconds after the first attempt was sent.
     Deduplicated {
-        /// The servers that remember the request.
+        /// The servers that recognise a repeat.
         group: Group,
-        /// For how long, in seconds.
+        /// Time for which they do, in seconds.
         window: f64,
     },
-    /// May run once at most.
+    /// It may run once at most.
     AtMostOnce,
 }
 
@@ -43,15 +44,15 @@
 #[derive(Debug, Clone, PartialEq)]
 #[non_exhaustive]
 pub struct Class {
-    /// The answer earns its full worth within this many seconds.
+    /// Latency in seconds within which an answer earns its full value.
     pub latency_target: f64,
-    /// What a request is worth, relative to other classes.
+    /// Value of a request, relative to other classes.
     pub value: f64,
-    /// Share of the worth that a later answer earns.
+    /// Share of the value that a later answer earns.
     pub late_value: f64,
-    /// What a repeat may do.
+    /// Whether a request may run more than once.
     pub effect: Effect,
-    /// The answer streams.
+    /// Whether the answer is streamed.
     pub streamed: bool,
 }
 
@@ -61,75 +62,76 @@
     }
 }
 
-/// One plan; its figures hold for each customer over all gateways together.
+/// One plan. Its limits apply to each customer, over all gateways together.
 #[derive(Debug, Clone, Default, PartialEq)]
 #[non_exhaustive]
 pub struct Plan {
-    /// Units a second; 0: no rate.
+    /// Units per second that refill the quota; 0: no quota.
     pub rate: f64,
-    /// Units that may be used at once.
+    /// Units that the quota holds when full.
     pub burst: f64,
-    /// Attempts that may be out at once; 0: no such limit.
+    /// Limit on attempts in flight; 0: no limit.
     pub max_open_attempts: u32,
-    /// Worth of a unit, relative to other plans.
+    /// Value of a unit, relative to other plans.
     pub unit_value: f64,
-    /// Share of its worth that a request sent beyond the quota earns.
+    /// Share of its value that a request sent beyond the quota earns.
     pub excess_value: f64,
-    /// Share of its worth that such a request costs.
+    /// Share of its value that a request sent beyond the quota costs.
     pub overrun_cost: f64,
-    /// Units a second that refill the hard ceiling; 0: none.
+    /// Units per second that refill the hard ceiling; 0: no ceiling.
     pub ceiling_rate: f64,
-    /// Units the ceiling holds.
+    /// Units that the ceiling holds when full.
     pub ceiling_burst: f64,
 }
 
-/// What a gateway is told at its start. Build one with `Settings::default()` and set the fields.
+/// The settings of a gateway. Build them with `Settings::default()` and set the fields.
 #[derive(Debug, Clone, PartialEq)]
 #[non_exhaustive]
 pub struct Settings {
-    /// This gateway's number, from 0.
+    /// Index of this gateway, from 0.
     pub gateway_index: u32,
-    /// How many gateways there are.
+    /// Number of gateways.
     pub gateway_count: u32,
-    /// The zone this gateway is in.
+    /// Number of the zone that this gateway is in.
     pub zone: u32,
     /// Request classes, by index.
     pub classes: Vec<Class>,
     /// Plans, by index.
     pub plans: Vec<Plan>,
-    /// The counter service may be called.
+    /// Whether there is a counter service that may be called.
     pub has_counter: bool,
-    /// A counter call is given up after this many seconds.
+    /// Time-out of a counter call, in seconds.
     pub counter_timeout: f64,
-    /// Most units that one request takes.
+    /// Maximum number of units that one request takes.
     pub max_request_units: f64,
-    /// True units come with the answer; a request's own are a guess.
+    /// Whether the units actually used come with the answer, and those of the request are an estimate.
     pub post_paid: bool,
-    /// Probes are allowed.
+    /// Whether servers may be probed.
     pub may_probe: bool,
-    /// Attempts may be called off.
+    /// Whether attempts may be cancelled.
     pub may_cancel: bool,
-    /// Two attempts of one request may be out at once.
+    /// Whether two attempts of one request may be in flight at a time.
     pub hedging_allowed: bool,
-    /// Most attempts for one request.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Requests a gateway may have open.
+    /// Maximum number of open requests at this gateway.
     pub max_open_requests: u32,
-    /// Clients receive the advice to stay away.
+    /// Whether a refusal tells the client how long to wait before a retry.
     pub retry_after: bool,
-    /// The longest advice that clients honour, in seconds.
+    /// Longest such time that clients honour, in seconds.
     pub max_retry_after: f64,
-    /// The list of servers must be asked for.
+    /// Whether the list of servers is sent only to gateways that ask for it.
     pub must_subscribe: bool,
-    /// The least share of its capacity that a server starts with.
+    /// Minimum share of its capacity that a server has when it starts.
     pub initial_capacity_share: f64,
-    /// A server is warm after this many seconds at most.
+    /// Maximum length of a server's warm-up, in seconds.
     pub warm_up: f64,
-    /// A cold server falls over when sent more than this multiple of its present capacity ...
+    /// A server that is warming up fails if it is sent more than this multiple of its present capacity for
+    /// `overload_window` seconds.
     pub overload_factor: f64,
-    /// ... for this many seconds.
+    /// Time in seconds to which `overload_factor` applies.
     pub overload_window: f64,
-    /// Least time between two batches of events, in seconds.
+    /// Minimum time between two batches of events, in seconds.
     pub min_event_interval: f64,
 }
 
@@ -163,10 +165,10 @@
 }
 
 impl Settings {
-    /// Whether a gateway can work with these.
+    /// Checks whether a gateway can work with these settings.
     ///
     /// # Errors
-    /// Why not.
+    /// Returns the first fault found.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.gateway_index >= self.gateway_count {
             return Err(if self.gateway_count == 0 {
@@ -203,13 +205,13 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum SettingsError {
-    /// There are no gateways.
+    /// The number of gateways is 0.
     NoGateways,
-    /// This gateway's number is not below the count of gateways.
+    /// This gateway's index is not below the number of gateways.
     GatewayIndexOutOfRange,
-    /// Plans were removed while their customers' quotas are in use.
+    /// A change of the settings removes plans, whose customers' quotas are in use.
     PlansRemoved,
-    /// The named figure is negative, infinite or not a number.
+    /// The setting of that name is negative, infinite or not a number.
     InvalidNumber(&'static str),
 }
 
@@ -217,307 +219,310 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NoGateways => f.write_str("there are no gateways"),
-            Self::GatewayIndexOutOfRange => f.write_str("this gateway's number is out of range"),
-            Self::PlansRemoved => f.write_str("plans can't be removed while in use"),
-            Self::InvalidNumber(name) => write!(f, "{name} is not a usable number"),
+            Self::GatewayIndexOutOfRange => {
+                f.write_str("this gateway's index is not below the number of gateways")
+            }
+            Self::PlansRemoved => f.write_str("plans cannot be removed while they are in use"),
+            Self::InvalidNumber(name) => write!(f, "{name} is negative, infinite or not a number"),
         }
     }
 }
 
 impl std::error::Error for SettingsError {}
 
-/// A server's place in its life.
+/// The lifecycle state of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// Takes work.
+    /// Accepts requests.
     Running,
-    /// Wraps up; is sent nothing new.
+    /// Completes its requests and is sent no new ones.
     Draining,
-    /// Is gone.
+    /// Has been removed.
     Gone,
 }
 
-/// One server as the list shows it.
+/// One entry of the list of servers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Server {
-    /// Its address.
+    /// Identifier of the server.
     pub id: ServerId,
-    /// Its zone.
+    /// Number of its zone.
     pub zone: u32,
-    /// Its cell.
+    /// Number of its cell within the zone.
     pub cell: u32,
-    /// When it last started; 0: long ago.
+    /// When it last started; 0: so long ago that it is warm.
     pub started: Time,
-    /// Its place in its life.
+    /// Its lifecycle state.
     pub lifecycle: Lifecycle,
 }
 
-/// What a list event holds.
+/// What the entries of a list event are.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changed entries only.
+    /// The changed entries only.
     Changes,
     /// The whole list.
     Full,
-    /// The whole list as last held, perhaps stale.
+    /// The whole list as last known, possibly stale.
     Stale,
-    /// Asking failed; no entries.
+    /// None, as discovery could not be asked.
     Failed,
 }
 
 /// How an attempt, a probe or a counter call ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Status {
-    /// Served.
+    /// It was answered successfully.
     Ok,
-    /// An error answer; it may have run.
+    /// It was answered with an error; it may have run.
     Error,
-    /// Turned away unexamined.
+    /// The server rejected it before running it, as it is overloaded.
     Rejected,
-    /// No answer in time; it may have run.
+    /// There was no answer before the time-out; it may have run.
     Timeout,
-    /// No connection.
+    /// No connection could be made.
     ConnectFailed,
     /// The connection broke; it may have run.
     Reset,
-    /// Called off; it may have run.
+    /// It was cancelled; it may have run.
     Cancelled,
-    /// Never sent.
+    /// It was never sent.
     NotSent,
 }
 
-/// A load report; values a server did not give are `None`.
+/// A server's load report; a value that the server did not report is `None`.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 #[non_exhaustive]
 pub struct Load {
-    /// Requests held.
+    /// Requests in flight at the server.
     pub inflight: Option<f64>,
-    /// Share of the processor in use.
+    /// Processor utilisation, from 0 to 1.
     pub util: Option<f64>,
 }
 
 /// A client's request.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Request {
-    /// Its id.
+    /// Identifier of the request.
     pub job: JobId,
-    /// Units it takes from the quota.
+    /// Units that it takes from its customer's quota.
     pub units: f64,
-    /// When the client abandons it.
+    /// When the client stops waiting for the answer.
     pub expires: Time,
-    /// Index of its plan.
+    /// Index of the customer's plan.
     pub plan: usize,
-    /// How many gateways carry this customer's requests.
+    /// Number of gateways that carry this customer's requests.
     pub spread: u32,
-    /// The number of the first of them; the rest follow in order, and 0 comes after the last.
+    /// Index of the first of these gateways; the others follow in order, with 0 after the highest index.
     pub first_gateway: u32,
     /// Index of its class.
     pub class: usize,
-    /// Its customer.
+    /// Identifier of the customer.
     pub customer: CustomerId,
-    /// It is a client's marked repeat.
+    /// Whether the client marked it as a retry.
     pub client_retry: bool,
-    /// What other gateways are known to have left of its customer's quota, where this one hears of them.
+    /// What is left of the customer's quota by the reports of the other gateways, if there are any.
     pub peer_view: Option<PeerView>,
 }
 
-/// What happens to a gateway.
+/// An input of the decisions.
 #[derive(Debug, Clone, PartialEq)]
 #[non_exhaustive]
 pub enum Event {
-    /// The list of servers.
+    /// The list of servers arrived or changed.
     List {
-        /// What it holds.
+        /// What the entries are.
         kind: ListKind,
-        /// Its entries.
+        /// The entries.
         servers: Vec<Server>,
     },
-    /// A request arrived; it is owed one final answer.
+    /// A request arrived; it must get exactly one final answer.
     Request(Request),
-    /// What a client sent is no longer held in full: it can't be sent again.
+    /// The request's body is no longer held in full, so it cannot be sent again.
     Unrepeatable {
-        /// The request.
+        /// Identifier of the request.
         job: JobId,
     },
-    /// An answer began to go to its client: the attempt ends with it.
+    /// The first byte of an answer was sent to the client, so no other attempt can answer the request.
     FirstByte {
-        /// The request.
+        /// Identifier of the request.
         job: JobId,
     },
     /// An attempt ended.
     AttemptEnded {
-        /// The request.
+        /// Identifier of the request.
         job: JobId,
-        /// Which attempt, from 0.
+        /// Number of the attempt, from 0.
         attempt: u32,
-        /// The server.
+        /// The server that it was sent to.
         server: ServerId,
         /// How it ended.
         status: Status,
-        /// Seconds since it was sent.
+        /// Seconds from its start to its end.
         elapsed: f64,
-        /// The request is over.
+        /// Whether the request is complete and needs no further attempt or answer.
         over: bool,
-        /// True units, where they are settled afterwards.
+        /// Units that the request actually used, if they are settled after the answer.
         settled: Option<f64>,
-        /// The server's report, if one came.
+        /// The server's load report; empty if there was none.
         load: Load,
     },
-    /// The client left; nothing more is owed.
+    /// The client disconnected; the request needs no answer any more.
     ClientDisconnected {
-        /// The request.
+        /// Identifier of the request.
         job: JobId,
     },
-    /// A timer is due.
+    /// A timer expired.
     Timer {
-        /// Its token.
+        /// Token of the timer.
         token: u64,
     },
     /// A probe ended.
     ProbeEnded {
-        /// The server.
+        /// The server that was probed.
         server: ServerId,
         /// How it ended.
         status: Status,
-        /// The server's report, if one came.
+        /// The server's load report; empty if there was none.
         load: Load,
     },
-    /// What the fleet saw of a server within the last second, as far as was heard.
+    /// What the gateways that report to this one have seen of a server within the last second.
     FleetObservation {
-        /// The server.
+        /// The server that was observed.
         server: ServerId,
-        /// Attempts that it answered, and that it failed.
+        /// Attempts that the server answered.
         answered: u32,
-        /// See there.
+        /// Attempts that the server failed.
         failed: u32,
-        /// Gateways that it failed.
+        /// Gateways that had failed attempts at the server.
         members: u32,
     },
-    /// A counter call ended.
+    /// A counter call ended, with or without an answer.
     CounterAnswered {
-        /// The count's name.
+        /// Name of the count.
         counter: u64,
-        /// How it ended.
+        /// How the call ended.
         status: Status,
-        /// The count after the call, valid with [`Status::Ok`].
+        /// The count after the call; valid with [`Status::Ok`] only.
         total: f64,
-        /// Seconds since the call.
+        /// Seconds since the call was made.
         elapsed: f64,
     },
 }
 
-/// What a gateway wants done.
+/// An output of the decisions, which the caller carries out.
 #[derive(Debug, Clone, PartialEq)]
 #[non_exhaustive]
 pub enum Action {
-    /// Begin an attempt; a request's attempts are numbered from 0 in this order.
+    /// Starts an attempt; the attempts of a request are numbered from 0 in the order of these actions.
     Send {
-        /// The request.
+        /// Identifier of the request.
         job: JobId,
-        /// The server.
+        /// The server to send it to.
         server: ServerId,
-        /// Seconds until it is given up.
+        /// Time-out of the attempt, in seconds.
         timeout: f64,
-        /// When it is too late for its last byte to go out: what is not sent whole by then may not be sent any more.
+        /// Time by which its last byte must have been sent; an attempt that is not sent whole by then must not be
+        /// sent at all.
         send_by: Time,
-        /// What its units are paid with.
+        /// The source of quota that its units are taken from.
         paid_from: Reason,
     },
-    /// Final answer: refused; a retry does no harm.
+    /// Gives the final answer that the request is refused; a client's retry does no harm.
     Refuse {
-        /// The request.
+        /// Identifier of the request.
         job: JobId,
-        /// Seconds the client should stay away; 0: no advice.
+        /// Seconds that the client should wait before a retry; 0: it is told none.
         retry_after: f64,
-        /// Why.
+        /// Why the request is refused.
         reason: Reason,
     },
-    /// Final answer: failed, with no promise.
+    /// Gives the final answer that the request has failed; it may have run.
     Fail {
-        /// The request.
+        /// Identifier of the request.
         job: JobId,
     },
-    /// Call off an attempt.
+    /// Cancels an attempt.
     Cancel {
-        /// The request.
+        /// Identifier of the request.
         job: JobId,
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: u32,
     },
-    /// Ask for an [`Event::Timer`].
+    /// Sets a timer, which ends with an [`Event::Timer`].
     Timer {
-        /// Its token.
+        /// Token of the timer.
         token: u64,
-        /// When it is due.
+        /// When it expires.
         at: Time,
     },
-    /// Check a server.
+    /// Probes a server.
     Probe {
-        /// The server.
+        /// The server to probe.
         server: ServerId,
     },
-    /// Add to a count and get the total.
+    /// Adds to a count at the counter, which ends with an [`Event::CounterAnswered`].
     Count {
-        /// The count's name, below 2^63.
+        /// Name of the count, below 2^63.
         counter: u64,
-        /// What to add; 0 only reads.
+        /// Units to add; 0 only reads the count.
         amount: f64,
-        /// Seconds until a new name is forgotten.
+        /// Seconds after which the counter may drop a name that this call creates.
         ttl: f64,
     },
-    /// Follow the list of servers from now on.
+    /// Subscribes to the list of servers.
     Subscribe,
-    /// A line for the operators' log.
+    /// Writes a line to the operators' log.
     Log(String),
 }
 
-/// What other gateways are known to have left of a customer's quota.
+/// What is left of a customer's quota by the reports of the other gateways.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PeerView {
-    /// Units that a bucket of the quota's size still holds, were all that was heard of drawn from it.
+    /// Units left in a bucket of the quota's rate and burst from which all reported spending is drawn.
     pub level: f64,
-    /// Seconds since others were heard of.
+    /// Seconds since the last report.
     pub age: f64,
-    /// Share of the other gateways that can be heard of.
+    /// Share of the other gateways that report.
     pub coverage: f64,
 }
 
-/// What a decision on a request rested on: how its units are paid, or why it is refused.
+/// The basis of a decision on a request: the source of quota that pays for it, or why it is refused.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Reason {
-    /// Units that the count has granted.
+    /// Paid from units that the counter has granted.
     #[default]
     Lease,
-    /// The even share, while the customer's first call is out.
+    /// Paid from the even share while the customer's first counter call is in flight.
     FirstCallPending,
-    /// The even share, as a call's answer takes too long.
+    /// Paid from the even share, as the answer of a counter call is late.
     CounterLate,
-    /// The even share, as a call had no answer.
+    /// Paid from the even share, as a counter call had no answer.
     CounterUnanswered,
-    /// The even share, with no call to spare.
+    /// Paid from the even share, as the call budget is used up.
     NoCallBudget,
-    /// What the fleet is known to have left, with no call to spare.
+    /// Paid from what the other gateways report as left, as the call budget is used up.
     PeerView,
-    /// The quota is used up, as was last heard.
+    /// Refused, as the quota is used up by the level last known.
     KnownLevel,
-    /// The quota is used up, as the count says.
+    /// Refused, as the quota is used up by the counter's total.
     CounterTotal,
-    /// The fleet has no room.
+    /// Refused, as the servers have no spare capacity.
     Overloaded,
-    /// As many attempts are out as the plan allows, probably.
+    /// Refused, as the customer probably has as many attempts in flight as its plan allows.
     OpenAttemptLimit,
-    /// The customer's rate alone keeps as many out.
+    /// Refused, as the customer's rate alone keeps as many attempts in flight as its plan allows.
     OpenAttemptPace,
-    /// No server may be sent to.
+    /// Refused, as no server may be sent the request.
     NoServer,
-    /// Attempts have failed, and there is no further one.
+    /// Refused, as attempts have failed and no further one is allowed.
     AttemptsFailed,
-    /// There is no time left, too much is open, or nobody knows the class or plan.
+    /// Refused, as no time is left, too many requests are open, or the class or plan is unknown.
     Invalid,
 }
 
 impl Reason {
-    /// In words, for the log.
+    /// The reason as the log states it.
     pub fn text(self) -> &'static str {
         match self {
             Self::Lease => "lease",
@@ -538,22 +543,22 @@
     }
 }
 
-/// How a zone's servers were lost.
+/// How attempts at a zone's servers failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum FailureKind {
-    /// No connection.
+    /// No connection could be made.
     Unreachable,
-    /// No answer in time.
+    /// There was no answer before the time-out.
     Silent,
-    /// Connections broke under requests.
+    /// Connections broke during requests.
     Broken,
-    /// Answered with errors.
+    /// Requests were answered with errors.
     Failing,
 }
 
 impl FailureKind {
-    /// How an attempt that ended so lost its server; `None`: it did not.
+    /// The kind of failure that `status` shows; `None` if it shows none of the server.
     pub fn from_status(status: Status) -> Option<Self> {
         match status {
             Status::ConnectFailed => Some(Self::Unreachable),
@@ -565,22 +570,22 @@
     }
 }
 
-/// A zone as a gateway sees it.
+/// The status of a zone as one gateway sees it.
 #[derive(Debug, Clone, PartialEq)]
 #[non_exhaustive]
 pub struct ZoneStatus {
-    /// Its number in the settings; `u32::MAX`: none there names it.
+    /// Index of the zone in the settings; `u32::MAX`: the settings do not name it.
     pub zone: u32,
-    /// Servers there that run and are not out by hand.
+    /// Running servers that no operator has taken offline.
     pub servers: usize,
-    /// Those that may be sent to, and those of them that are cold.
+    /// Servers of these that are not ejected, with their zone in use.
     pub usable: usize,
-    /// See there.
+    /// Usable servers that are warming up.
     pub warming_up: usize,
-    /// Share of the traffic that it should get.
+    /// Share of the traffic that the zone should get.
     pub weight: f64,
-    /// Share of the attempts of late that went there.
+    /// Share of the recent attempts that were sent to the zone.
     pub traffic_share: f64,
-    /// Since when it is left, and why.
+    /// When and why the zone was ejected; `None`: it is in use.
     pub ejected: Option<(Time, FailureKind)>,
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,7 +1,7 @@
 //! opalrun-gateway: the decisions of a gateway that holds customers to shared quotas before a common back end.
 //!
-//! The crate does no I/O and reads no clock: feed [`Gateway::handle`] one [`Event`] at a time with the
-//! current time, and carry out the [`Action`]s it appends. In a page:
+//! The crate does no I/O and reads no clock: pass [`Gateway::handle`] one [`Event`] at a time with the current time,
+//! and carry out the [`Action`]s that it appends. An overview:
 #![doc = include_str!("../README.md")]
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/gateway/src/options.rs
+++ b/crates/gateway/src/options.rs
@@ -1,15 +1,15 @@
-//! Reads the settings object as the operators write it: the module's settings, and the names and limits
-//! that whoever carries out the actions needs beside them.
+//! Reads the settings object as operators write it: the settings of the decisions, and the names and limits that the
+//! program needs to carry out their actions.
 
 use crate::interface::*;
 use serde_json::Value;
 use std::{cell::RefCell, fmt};
 
-/// The settings object, read. Build one with [`Options::read`].
+/// The parsed settings object. Build one with [`Options::read`].
 #[derive(Debug, Clone, Default, PartialEq)]
 #[non_exhaustive]
 pub struct Options {
-    /// What [`crate::Gateway::new`] takes.
+    /// The settings for [`crate::Gateway::new`].
     pub settings: Settings,
     /// Names of the request classes, by index.
     pub classes: Vec<String>,
@@ -17,36 +17,36 @@
     pub plans: Vec<String>,
     /// Names of the zones, by index.
     pub zones: Vec<String>,
-    /// The longest time in seconds that a client of any class waits.
+    /// The longest deadline of all classes: the time in seconds that a client waits.
     pub max_deadline: f64,
-    /// A server closes a connection that has stood idle for this many seconds.
+    /// Time in seconds after which a server closes an idle connection.
     pub connection_idle_timeout: f64,
-    /// A connection that is not up after this many seconds has failed.
+    /// Time-out of a connection attempt, in seconds.
     pub connect_timeout: f64,
 }
 
-/// A value of the settings object that can't be used.
+/// An invalid value in the settings object.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OptionsError {
-    /// Where it stands, such as `Limits.SendCap` or `Classes[1].Slo`.
+    /// Path of the value, such as `Limits.SendCap` or `Classes[1].Slo`.
     pub path: String,
-    /// What is wrong with it.
+    /// Why it is invalid.
     pub fault: OptionsFault,
 }
 
-/// What is wrong with a value of the settings object.
+/// Why a value of the settings object is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum OptionsFault {
-    /// It is of another kind than the named one.
+    /// It is not of the named type.
     Kind(&'static str),
     /// It is not above 0.
     NotAboveZero,
     /// It is below 0.
     Negative,
-    /// It is larger than anything that makes sense there.
+    /// It is above the largest accepted value.
     TooLarge,
-    /// It is none of the names known there.
+    /// It is not one of the accepted names.
     Unknown,
 }
 
@@ -70,10 +70,11 @@
 
 impl std::error::Error for OptionsError {}
 
-/// No setting is as large: seconds, units or counts.
-const LARGEST: f64 = 1e12;
+/// Largest accepted number, whether of seconds, units or objects.
+const MAX_NUMBER: f64 = 1e12;
 
-/// An object, read by key; unknown keys are ignored. What can't be used is noted, and its default stands.
+/// An object that is read by key; unknown keys are ignored. An invalid value is recorded in `errors` and replaced by
+/// its default.
 struct Keys<'a> {
     value: &'a Value,
     path: String,
@@ -81,73 +82,77 @@
 }
 
 impl<'a> Keys<'a> {
-    fn at(&self, key: &str) -> String {
+    /// The path of `key` from the root of the settings object.
+    fn path_of(&self, key: &str) -> String {
         if self.path.is_empty() { key.to_owned() } else { format!("{}.{key}", self.path) }
     }
-    fn note(&self, key: &str, fault: OptionsFault) {
-        self.errors.borrow_mut().push(OptionsError { path: self.at(key), fault });
+    fn record_error(&self, key: &str, fault: OptionsFault) {
+        self.errors.borrow_mut().push(OptionsError { path: self.path_of(key), fault });
     }
+    /// The value under `key`; `null` counts as missing.
     fn get(&self, key: &str) -> Option<&'a Value> {
         self.value.get(key).filter(|v| !v.is_null())
     }
-    fn sub(&self, key: &str) -> Keys<'a> {
+    fn object(&self, key: &str) -> Keys<'a> {
         let value = self.get(key).unwrap_or(&Value::Null);
         if !value.is_null() && !value.is_object() {
-            self.note(key, OptionsFault::Kind("an object"));
+            self.record_error(key, OptionsFault::Kind("an object"));
         }
-        Keys { value, path: self.at(key), errors: self.errors }
+        Keys { value, path: self.path_of(key), errors: self.errors }
     }
     fn list(&self, key: &str) -> Vec<Keys<'a>> {
         let value = self.get(key);
         if value.is_some_and(|v| !v.is_array()) {
-            self.note(key, OptionsFault::Kind("a list"));
+            self.record_error(key, OptionsFault::Kind("a list"));
         }
         let entries = value.and_then(Value::as_array).map_or(&[][..], Vec::as_slice);
-        let entry = |(i, value)| Keys { value, path: format!("{}[{i}]", self.at(key)), errors: self.errors };
+        let entry =
+            |(i, value)| Keys { value, path: format!("{}[{i}]", self.path_of(key)), errors: self.errors };
         entries.iter().enumerate().map(entry).collect()
     }
-    /// The number under `key`, 0 at least.
-    fn num(&self, key: &str, default: f64) -> f64 {
+    /// The number under `key`, which must not be negative.
+    fn number(&self, key: &str, default: f64) -> f64 {
         let Some(value) = self.get(key) else { return default };
         let fault = match value.as_f64() {
             None => OptionsFault::Kind("a number"),
             Some(v) if v < 0.0 => OptionsFault::Negative,
-            Some(v) if v > LARGEST => OptionsFault::TooLarge,
+            Some(v) if v > MAX_NUMBER => OptionsFault::TooLarge,
             Some(v) => return v,
         };
-        self.note(key, fault);
+        self.record_error(key, fault);
         default
     }
+    /// The number under `key`, which must be above 0.
     fn above_zero(&self, key: &str, default: f64) -> f64 {
-        let value = self.num(key, default);
+        let value = self.number(key, default);
         if value <= 0.0 {
-            self.note(key, OptionsFault::NotAboveZero);
+            self.record_error(key, OptionsFault::NotAboveZero);
         }
         value
     }
     fn flag(&self, key: &str) -> bool {
         let value = self.get(key);
         if value.is_some_and(|v| !v.is_boolean()) {
-            self.note(key, OptionsFault::Kind("true or false"));
+            self.record_error(key, OptionsFault::Kind("true or false"));
         }
         value.and_then(Value::as_bool).unwrap_or(false)
     }
     fn text(&self, key: &str) -> &'a str {
         let value = self.get(key);
         if value.is_some_and(|v| !v.is_string()) {
-            self.note(key, OptionsFault::Kind("text"));
+            self.record_error(key, OptionsFault::Kind("text"));
         }
         value.and_then(Value::as_str).unwrap_or("")
     }
 }
 
-/// A class and its deadline.
+/// Reads a class and its deadline in seconds.
 fn class(keys: &Keys) -> (Class, f64) {
     let deadline = keys.above_zero("Deadline", 1.0);
     let mut class = Class::default();
-    class.latency_target = keys.num("Slo", class.latency_target);
-    class.value = keys.num("Worth", class.value);
-    class.late_value = keys.num("LateWorth", 0.0);
+    class.latency_target = keys.number("Slo", class.latency_target);
+    class.value = keys.number("Worth", class.value);
+    class.late_value = keys.number("LateWorth", 0.0);
     class.streamed = keys.flag("Streamed");
     let group = match keys.text("Group") {
         "zone" => Group::Zone,
@@ -156,10 +161,10 @@
     };
     class.effect = match keys.text("Effect") {
         "idempotent" => Effect::Idempotent,
-        "deduplicated" => Effect::Deduplicated { group, window: keys.num("Window", 0.0) },
+        "deduplicated" => Effect::Deduplicated { group, window: keys.number("Window", 0.0) },
         "at_most_once" => Effect::AtMostOnce,
         _ => {
-            keys.note("Effect", OptionsFault::Unknown);
+            keys.record_error("Effect", OptionsFault::Unknown);
             Effect::AtMostOnce
         }
     };
@@ -168,61 +173,61 @@
 
 fn plan(keys: &Keys) -> Plan {
     Plan {
-        rate: keys.num("QuotaRate", 0.0),
-        burst: keys.num("Depth", 0.0),
-        max_open_attempts: keys.num("Open", 0.0) as u32,
-        unit_value: keys.num("Pays", 1.0),
-        excess_value: keys.num("ExcessWorth", 0.0),
-        overrun_cost: keys.num("OverrunCost", 0.0),
-        ceiling_rate: keys.num("CeilingRate", 0.0),
-        ceiling_burst: keys.num("CeilingBurst", 0.0),
+        rate: keys.number("QuotaRate", 0.0),
+        burst: keys.number("Depth", 0.0),
+        max_open_attempts: keys.number("Open", 0.0) as u32,
+        unit_value: keys.number("Pays", 1.0),
+        excess_value: keys.number("ExcessWorth", 0.0),
+        overrun_cost: keys.number("OverrunCost", 0.0),
+        ceiling_rate: keys.number("CeilingRate", 0.0),
+        ceiling_burst: keys.number("CeilingBurst", 0.0),
     }
 }
 
 impl Options {
-    /// Reads a settings object; a missing key has its default.
+    /// Reads a settings object; a missing key stands for its default.
     ///
     /// # Errors
-    /// All values that can't be used.
+    /// Returns all invalid values.
     pub fn read(value: &Value) -> Result<Self, Vec<OptionsError>> {
         let errors = RefCell::default();
         let keys = Keys { value, path: String::new(), errors: &errors };
-        let (limits, domain, rules) = (keys.sub("Limits"), keys.sub("Domain"), keys.sub("Rules"));
+        let (limits, domain, rules) = (keys.object("Limits"), keys.object("Domain"), keys.object("Rules"));
         let mut s = Settings::default();
-        s.gateway_index = keys.num("Me", 0.0) as u32;
-        s.gateway_count = keys.num("PeersTotal", 1.0) as u32;
-        s.zone = keys.num("Locality", 0.0) as u32;
-        s.min_event_interval = keys.num("Step", s.min_event_interval);
+        s.gateway_index = keys.number("Me", 0.0) as u32;
+        s.gateway_count = keys.number("PeersTotal", 1.0) as u32;
+        s.zone = keys.number("Locality", 0.0) as u32;
+        s.min_event_interval = keys.number("Step", s.min_event_interval);
         let deadlines: Vec<f64>;
         (s.classes, deadlines) = keys.list("Classes").iter().map(class).unzip();
-        let longest = deadlines.into_iter().fold(0.0, f64::max);
+        let max_deadline = deadlines.into_iter().fold(0.0, f64::max);
         s.plans = keys.list("Plans").iter().map(plan).collect();
         s.must_subscribe = keys.text("Discovery") == "ask";
         s.has_counter = domain.flag("HasCounter");
-        s.counter_timeout = domain.num("CountLimit", s.counter_timeout);
-        s.max_request_units = domain.num("MaxUnits", s.max_request_units);
+        s.counter_timeout = domain.number("CountLimit", s.counter_timeout);
+        s.max_request_units = domain.number("MaxUnits", s.max_request_units);
         s.post_paid = domain.flag("PostPaid");
         s.may_probe = limits.flag("MayProbe");
         s.may_cancel = limits.flag("Cancelling");
         s.hedging_allowed = limits.flag("SecondCopies");
         s.max_attempts = limits.above_zero("SendCap", 1.0) as u32;
-        s.max_open_requests = limits.num("OpenCap", f64::from(u32::MAX)) as u32;
+        s.max_open_requests = limits.number("OpenCap", f64::from(u32::MAX)) as u32;
         s.retry_after = limits.flag("RetryAfter");
-        s.max_retry_after = limits.num("MaxRetryAfter", s.max_retry_after);
-        s.initial_capacity_share = rules.num("ColdFrom", s.initial_capacity_share);
-        s.warm_up = rules.num("Cold", s.warm_up);
-        s.overload_factor = rules.num("FallMultiple", s.overload_factor);
-        s.overload_window = rules.num("Fall", s.overload_window);
+        s.max_retry_after = limits.number("MaxRetryAfter", s.max_retry_after);
+        s.initial_capacity_share = rules.number("ColdFrom", s.initial_capacity_share);
+        s.warm_up = rules.number("Cold", s.warm_up);
+        s.overload_factor = rules.number("FallMultiple", s.overload_factor);
+        s.overload_window = rules.number("Fall", s.overload_window);
         let names = |key: &str| keys.list(key).iter().map(|k| k.text("Name").to_owned()).collect();
         let zones = keys.list("Dcs");
         let zones = zones.iter().map(|z| z.value.as_str().unwrap_or("").to_owned()).collect();
         let zones: Vec<String> = zones;
         if !zones.is_empty() && s.zone as usize >= zones.len() {
-            keys.note("Locality", OptionsFault::Unknown);
+            keys.record_error("Locality", OptionsFault::Unknown);
         }
         let (classes, plans) = (names("Classes"), names("Plans"));
-        let connection_idle_timeout = limits.num("ConnIdle", 30.0);
-        let connect_timeout = limits.num("ConnectTimeout", 0.25);
+        let connection_idle_timeout = limits.number("ConnIdle", 30.0);
+        let connect_timeout = limits.number("ConnectTimeout", 0.25);
         let errors = errors.take();
         if !errors.is_empty() {
             return Err(errors);
@@ -232,7 +237,7 @@
             classes,
             plans,
             zones,
-            max_deadline: longest,
+            max_deadline,
             connection_idle_timeout,
             connect_timeout,
         })
