--- a/crates/gateway/tests/adapter.rs
+++ b/crates/gateway/tests/adapter.rs
@@ -1,8 +1,9 @@
-//! The adapter's bad input: a one-line message, a failing exit, no half reply.
+//! Invalid input of the simulator adapter: it fails with a one-line message and writes no partial reply.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
+/// Runs the adapter with `input` on standard input.
 fn run(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_gateway-simulator-adapter"))
         .stdin(Stdio::piped())
@@ -14,17 +15,18 @@
     child.wait_with_output().expect("it ends")
 }
 
+/// Checks that a batch with these messages fails with an error that contains `wanted`.
 fn fails(messages: &str, wanted: &str) {
     let input =
         format!("{{\"Moment\":1.0,\"n\":7,\"groups\":[{{\"GatekeeperId\":0,\"msgs\":[{messages}]}}]}}\n");
     let output = run(&input);
-    let said = String::from_utf8(output.stderr).expect("text");
-    assert!(!output.status.success() && output.stdout.is_empty(), "{said}");
-    assert!(said.lines().count() == 1 && said.contains("batch 7") && said.contains(wanted), "{said}");
+    let error = String::from_utf8(output.stderr).expect("text");
+    assert!(!output.status.success() && output.stdout.is_empty(), "{error}");
+    assert!(error.lines().count() == 1 && error.contains("batch 7") && error.contains(wanted), "{error}");
 }
 
 #[test]
-fn an_empty_batch_is_answered_and_the_end_of_input_is_clean() {
+fn an_empty_batch_gets_a_reply_and_the_end_of_input_is_no_error() {
     let output = run("{\"Moment\":8.4,\"n\":1,\"groups\":[]}\n");
     assert!(output.status.success());
     let reply: serde_json::Value = serde_json::from_slice(&output.stdout).expect("one reply");
@@ -32,14 +34,14 @@
 }
 
 #[test]
-fn what_is_not_json_ends_the_run() {
+fn input_that_is_not_json_is_an_error() {
     let output = run("nonsense\n");
     assert!(!output.status.success() && output.stdout.is_empty());
     assert_eq!(String::from_utf8(output.stderr).expect("text").lines().count(), 1);
 }
 
 #[test]
-fn bad_events_name_the_batch_and_the_field() {
+fn errors_name_the_batch_and_the_invalid_field() {
     let start = r#"["NEW_INSTANCE",5,{"Unknown":1}]"#;
     fails(r#"["ELAPSED",1]"#, "unknown instance");
     fails(r#"["NEW_INSTANCE",5]"#, "Options");
--- a/crates/gateway/tests/bounds.rs
+++ b/crates/gateway/tests/bounds.rs
@@ -1,5 +1,5 @@
-//! How far a customer can get over its quota: every order of events for two and three gateways, up to a depth, with
-//! the program's own decisions, and long random histories beyond that. What is held stands in `docs/bounds.md`.
+//! How far a customer can exceed its quota: every order of events for two and three gateways up to a depth, with the
+//! decisions themselves, and long random sequences beyond that. `docs/bounds.md` states the bound that must hold.
 
 mod common;
 use common::*;
@@ -9,74 +9,76 @@
     hash::{DefaultHasher, Hash, Hasher},
 };
 
-/// Slow enough to give nothing within a search, whose clock stands still.
+/// Units per second; so few that nothing is refilled within a search, during which the clock stands still.
 const RATE: f64 = 1e-6;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Step {
-    /// A request of one unit comes.
+    /// A request of one unit arrives at this gateway.
     Ask(usize),
-    /// The oldest call out is counted and answered.
+    /// The gateway's oldest call is counted and answered.
     Answer(usize),
-    /// It is lost on its way, and nothing added.
+    /// The oldest call is lost before it is counted.
     LoseCall(usize),
-    /// It is counted, and its answer lost.
+    /// The oldest call is counted, and its answer is lost.
     LoseAnswer(usize),
-    /// A request that waits for the counter has waited long enough.
-    Hold(usize),
-    /// Killed, and started with nothing.
+    /// The oldest timer of requests that wait for the counter expires.
+    WaitEnds(usize),
+    /// The gateway is killed and restarts without state.
     Kill(usize),
-    /// Another process takes over what this one knows.
+    /// Another process takes over the gateway's state.
     Upgrade(usize),
 }
 
 impl Step {
     fn all(gateways: usize) -> impl Iterator<Item = Step> {
-        let of = |g| {
+        let steps_of = |g| {
             [
                 Self::Ask(g),
                 Self::Answer(g),
                 Self::LoseCall(g),
                 Self::LoseAnswer(g),
-                Self::Hold(g),
+                Self::WaitEnds(g),
                 Self::Kill(g),
                 Self::Upgrade(g),
             ]
         };
-        (0..gateways).flat_map(of)
+        (0..gateways).flat_map(steps_of)
     }
 }
 
-/// A gateway, the calls that it has out, and the holds that run.
+/// A gateway, its counter calls in flight, and the timers of requests that wait for the counter.
 struct Node {
-    me: u32,
+    index: u32,
     rig: Rig,
     calls: VecDeque<(u64, f64)>,
-    holds: VecDeque<u64>,
+    wait_timers: VecDeque<u64>,
 }
 
-/// What may happen in a search, at most.
+/// Maximum numbers of steps of these kinds in a search.
 #[derive(Clone, Copy)]
 struct Limits {
     kills: u32,
     upgrades: u32,
 }
 
+/// The gateways of one customer and the counter.
 struct World {
     settings: Settings,
     nodes: Vec<Node>,
     counts: BTreeMap<u64, f64>,
     now: Time,
+    /// Units sent to servers.
     sent: f64,
     asks: u32,
     kills: u32,
     upgrades: u32,
     /// A seeded defect: two processes take over from the same one, and both serve.
-    twins: bool,
+    two_successors: bool,
 }
 
 impl World {
-    fn new(gateways: u32, burst: f64, twins: bool) -> Self {
+    fn new(gateways: u32, burst: f64, two_successors: bool) -> Self {
         let mut settings = settings();
         (settings.gateway_count, settings.max_attempts, settings.warm_up) = (gateways, 1, 0.0);
         settings.plans = vec![plan(RATE, burst)];
@@ -90,27 +92,28 @@
             asks: 0,
             kills: 0,
             upgrades: 0,
-            twins,
+            two_successors,
         };
-        world.nodes = (0..gateways).map(|me| world.start(me)).collect();
+        world.nodes = (0..gateways).map(|index| world.start(index)).collect();
         world
     }
 
-    fn start(&self, me: u32) -> Node {
+    fn start(&self, index: u32) -> Node {
         let mut settings = self.settings.clone();
-        settings.gateway_index = me;
+        settings.gateway_index = index;
         let mut rig = Rig::new(settings);
         rig.now = self.now;
-        Node { me, rig, calls: VecDeque::new(), holds: VecDeque::new() }
+        Node { index, rig, calls: VecDeque::new(), wait_timers: VecDeque::new() }
     }
 
-    /// What a customer may get in all, after the kills there were, while the clock stands: `docs/bounds.md`.
-    fn most(&self) -> f64 {
+    /// The bound of `docs/bounds.md` on the units that the customer may get, with the kills so far and a clock that
+    /// stands still.
+    fn bound(&self) -> f64 {
         let (burst, n) = (self.settings.plans[0].burst, f64::from(self.settings.gateway_count));
         burst + (n + f64::from(self.kills)) * (burst / n).max(1.0)
     }
 
-    /// Carries out what a gateway wants: every attempt is answered at once.
+    /// Carries out the actions of the gateway with index `at`; every attempt is answered at once.
     fn carry_out(&mut self, at: usize, out: Vec<Action>) {
         let mut todo = VecDeque::from([out]);
         while let Some(out) = todo.pop_front() {
@@ -119,9 +122,10 @@
                     Action::Count { counter, amount, .. } => {
                         self.nodes[at].calls.push_back((*counter, *amount));
                     }
-                    // All but the first, which looks for idle customers once a minute, are holds here.
+                    // All timers but the first, which drops idle customers every minute, are those of requests that
+                    // wait for the counter.
                     Action::Timer { token, at: due } if *due < self.now + 10.0 => {
-                        self.nodes[at].holds.push_back(*token);
+                        self.nodes[at].wait_timers.push_back(*token);
                     }
                     _ => {}
                 }
@@ -133,19 +137,19 @@
         }
     }
 
+    /// Ends the oldest call of a gateway; `false`: it has none in flight.
     fn call_ends(&mut self, at: usize, added: bool, answered: bool) -> bool {
         let Some((name, amount)) = self.nodes[at].calls.pop_front() else { return false };
         let total = self.counts.entry(name).or_default();
         *total += if added { amount } else { 0.0 };
         let (status, total) = if answered { (Status::Ok, *total) } else { (Status::Timeout, 0.0) };
-        let spent = if answered { 0.002 } else { self.settings.counter_timeout };
-        let out =
-            self.nodes[at].rig.event(Event::CounterAnswered { counter: name, status, total, elapsed: spent });
+        let elapsed = if answered { 0.002 } else { self.settings.counter_timeout };
+        let out = self.nodes[at].rig.event(Event::CounterAnswered { counter: name, status, total, elapsed });
         self.carry_out(at, out);
         true
     }
 
-    /// Takes one step; `false`: it can't be taken now.
+    /// Takes one step; `false`: it cannot be taken in this state.
     fn take(&mut self, step: Step, limits: Limits) -> bool {
         let gateways = self.settings.gateway_count;
         match step {
@@ -159,26 +163,26 @@
             Step::Answer(at) => self.call_ends(at, true, true),
             Step::LoseCall(at) => self.call_ends(at, false, false),
             Step::LoseAnswer(at) => self.call_ends(at, true, false),
-            Step::Hold(at) => {
-                let Some(token) = self.nodes[at].holds.pop_front() else { return false };
+            Step::WaitEnds(at) => {
+                let Some(token) = self.nodes[at].wait_timers.pop_front() else { return false };
                 let out = self.nodes[at].rig.event(Event::Timer { token });
                 self.carry_out(at, out);
                 true
             }
             Step::Kill(at) if self.kills < limits.kills => {
                 self.kills += 1;
-                self.nodes[at] = self.start(self.nodes[at].me);
+                self.nodes[at] = self.start(self.nodes[at].index);
                 true
             }
             Step::Upgrade(at) if self.upgrades < limits.upgrades => {
                 self.upgrades += 1;
-                let me = self.nodes[at].me;
+                let index = self.nodes[at].index;
                 let state = self.nodes[at].rig.gateway.hand_over(self.now);
-                let heirs = if self.twins { 2 } else { 1 };
-                for heir in 0..heirs {
-                    let mut node = self.start(me);
+                let successors = if self.two_successors { 2 } else { 1 };
+                for successor in 0..successors {
+                    let mut node = self.start(index);
                     node.rig.gateway.take_over(state.clone());
-                    if heir == 0 { self.nodes[at] = node } else { self.nodes.push(node) }
+                    if successor == 0 { self.nodes[at] = node } else { self.nodes.push(node) }
                 }
                 true
             }
@@ -186,105 +190,114 @@
         }
     }
 
-    /// All that decides what can happen from here.
-    fn key(&self) -> u64 {
+    /// A hash of everything that determines the further course.
+    fn state_hash(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         for node in &self.nodes {
-            format!("{:?} {:?} {:?}", node.rig.gateway, node.calls, node.holds).hash(&mut hasher);
+            format!("{:?} {:?} {:?}", node.rig.gateway, node.calls, node.wait_timers).hash(&mut hasher);
         }
         format!("{:?} {} {} {}", self.counts, self.sent, self.kills, self.upgrades).hash(&mut hasher);
         hasher.finish()
     }
 }
 
-/// What a search has found.
+/// The result of a search.
 #[derive(Debug, Default)]
-struct Found {
+struct SearchResult {
+    /// Distinct states that were reached.
     states: usize,
-    /// The most that was sent over the burst.
-    worst: f64,
-    /// By how much the bound was passed, and the way there.
-    broken: Option<(f64, Vec<Step>)>,
+    /// Largest number of units sent beyond the burst.
+    max_excess: f64,
+    /// The first sequence that exceeds the bound, and by how many units.
+    violation: Option<(f64, Vec<Step>)>,
 }
 
-/// Every order of steps up to `depth`; a state that was met before is not gone on from again.
-fn search(gateways: u32, burst: f64, depth: usize, limits: Limits) -> Found {
-    let (mut found, mut met) = (Found::default(), HashSet::new());
-    let mut edge: Vec<Vec<Step>> = vec![Vec::new()];
+/// Searches every order of steps up to `depth`; a state that was reached before is not expanded again.
+fn search(gateways: u32, burst: f64, depth: usize, limits: Limits) -> SearchResult {
+    let (mut result, mut reached) = (SearchResult::default(), HashSet::new());
+    let mut frontier: Vec<Vec<Step>> = vec![Vec::new()];
     for _ in 0..depth {
         let mut next = Vec::new();
-        for way in &edge {
+        for path in &frontier {
             for step in Step::all(gateways as usize) {
-                // The decisions can't be copied, so each state is reached anew from the start.
+                // The decisions cannot be cloned, so each state is reached by replaying its steps.
                 let mut world = World::new(gateways, burst, false);
-                for step in way {
+                for step in path {
                     world.take(*step, limits);
                 }
-                if !world.take(step, limits) || !met.insert(world.key()) {
+                if !world.take(step, limits) || !reached.insert(world.state_hash()) {
                     continue;
                 }
-                let way: Vec<Step> = way.iter().copied().chain([step]).collect();
-                found.states += 1;
-                found.worst = found.worst.max(world.sent - burst);
-                if world.sent > world.most() + 1e-6 {
-                    found.broken = Some((world.sent - world.most(), way));
-                    return found;
+                let path: Vec<Step> = path.iter().copied().chain([step]).collect();
+                result.states += 1;
+                result.max_excess = result.max_excess.max(world.sent - burst);
+                if world.sent > world.bound() + 1e-6 {
+                    result.violation = Some((world.sent - world.bound(), path));
+                    return result;
                 }
-                next.push(way);
+                next.push(path);
             }
         }
-        edge = next;
+        frontier = next;
     }
-    found
+    result
 }
 
-/// What the bound allows beyond the burst has to be reached to a third at least: one that nothing comes near is none.
-fn holds(found: &Found, beyond: f64) {
-    assert!(found.broken.is_none(), "{found:?}");
-    assert!(found.worst >= beyond / 3.0 && found.states > 1000, "{found:?} of {beyond}");
+/// Checks that the bound holds and that a third at least of the excess that it allows is reached: a bound that nothing
+/// comes near would show little.
+fn check_bound(result: &SearchResult, allowed_excess: f64) {
+    assert!(result.violation.is_none(), "{result:?}");
+    assert!(
+        result.max_excess >= allowed_excess / 3.0 && result.states > 1000,
+        "{result:?} of {allowed_excess}"
+    );
 }
 
 #[test]
-fn two_gateways_in_any_order_of_calls_losses_and_holds_stay_within_the_bound() {
-    holds(&search(2, 2.0, 7, Limits { kills: 0, upgrades: 0 }), 2.0);
+fn two_gateways_stay_within_the_bound_in_any_order_of_calls_and_losses() {
+    check_bound(&search(2, 2.0, 7, Limits { kills: 0, upgrades: 0 }), 2.0);
 }
 
 #[test]
-fn so_they_do_where_one_is_killed_or_upgraded() {
-    holds(&search(2, 2.0, 6, Limits { kills: 1, upgrades: 0 }), 3.0);
-    holds(&search(2, 2.0, 6, Limits { kills: 0, upgrades: 1 }), 2.0);
+fn two_gateways_stay_within_the_bound_if_one_is_killed_or_upgraded() {
+    check_bound(&search(2, 2.0, 6, Limits { kills: 1, upgrades: 0 }), 3.0);
+    check_bound(&search(2, 2.0, 6, Limits { kills: 0, upgrades: 1 }), 2.0);
 }
 
 #[test]
-fn three_gateways_do() {
-    holds(&search(3, 3.0, 6, Limits { kills: 0, upgrades: 0 }), 3.0);
+fn three_gateways_stay_within_the_bound() {
+    check_bound(&search(3, 3.0, 6, Limits { kills: 0, upgrades: 0 }), 3.0);
 }
 
-/// Long ways, each drawn at random; how many went over the bound, and the largest part of it that one used.
-fn walks(count: u64, twins: bool) -> (usize, f64) {
-    let (mut over, mut part) = (0, 0.0f64);
-    // Kills would widen the bound that the defect has to be found by.
-    let limits = Limits { kills: if twins { 0 } else { 3 }, upgrades: 2 };
+/// Runs `count` long random sequences; returns how many exceeded the bound, and the largest share of the allowed excess
+/// that one reached.
+fn random_sequences(count: u64, two_successors: bool) -> (usize, f64) {
+    let (mut over, mut max_share) = (0, 0.0f64);
+    // Kills would widen the bound that the seeded defect has to exceed.
+    let limits = Limits { kills: if two_successors { 0 } else { 3 }, upgrades: 2 };
     for seed in 0..count {
         let mut rng = fastrand::Rng::with_seed(seed);
         let gateways = rng.u32(2..5);
         let burst = rng.u32(1..9).into();
-        let mut world = World::new(gateways, burst, twins);
+        let mut world = World::new(gateways, burst, two_successors);
         for _ in 0..120 {
             let nodes = world.nodes.len();
             let steps: Vec<Step> = Step::all(nodes).collect();
             world.take(steps[rng.usize(..steps.len())], limits);
         }
-        over += usize::from(world.sent > world.most() + 1e-6);
-        part = part.max((world.sent - burst) / (world.most() - burst));
+        over += usize::from(world.sent > world.bound() + 1e-6);
+        max_share = max_share.max((world.sent - burst) / (world.bound() - burst));
     }
-    (over, part)
+    (over, max_share)
 }
 
 #[test]
-fn no_long_way_passes_the_bound_and_some_do_where_two_take_over_from_one() {
-    let (over, part) = walks(600, false);
-    assert!(over == 0 && part > 1.0 / 3.0, "{over} over, {part} of it at most");
-    let (over, _) = walks(600, true);
+fn random_sequences_stay_within_the_bound_unless_two_processes_take_over_from_one() {
+    let (over, max_share) = random_sequences(600, false);
+    assert!(
+        over == 0 && max_share > 1.0 / 3.0,
+        "{over} exceed the bound, the largest share of it is {max_share}"
+    );
+    let (over, _) = random_sequences(600, true);
     assert!(over > 0, "the seeded defect is not found");
 }
--- a/crates/gateway/tests/golden_state.rs
+++ b/crates/gateway/tests/golden_state.rs
@@ -1,4 +1,4 @@
-//! What the decisions hand over to the next process stays readable between versions: golden files.
+//! Golden files of the state that one process hands over to the next: it must stay readable between versions.
 
 mod common;
 #[path = "../../wire/tests/support/golden.rs"]
@@ -8,7 +8,7 @@
 use golden::{case, check};
 use opalrun_gateway::*;
 
-/// A gateway that has leased, spent, heard of its workers and lost one of them.
+/// A gateway with leased and spent units, observed servers and one server that is offline.
 fn used_gateway() -> Rig {
     let mut rig = Rig::new(settings());
     let mut counter = Counter::default();
@@ -23,12 +23,13 @@
     rig
 }
 
+/// The JSON encoding of a state.
 fn text(state: &State) -> String {
-    serde_json::to_string(state).expect("a state can be written")
+    serde_json::to_string(state).expect("a state can be encoded")
 }
 
 #[test]
-fn a_state_is_read_and_written_as_an_earlier_version_wrote_it() {
+fn a_state_decodes_and_encodes_as_in_earlier_versions() {
     let mut rig = used_gateway();
     let states = [("empty", State::default()), ("used", rig.gateway.hand_over(rig.now))];
     check(
--- a/crates/gateway/tests/rules.rs
+++ b/crates/gateway/tests/rules.rs
@@ -1,10 +1,12 @@
-//! The five rules, each kept by one gateway alone.
+//! Rules that a single gateway has to keep: one final answer in time, no unsafe repeat, attempts at running servers
+//! only, a slow start of cold servers, and no spending above a ceiling.
 
 mod common;
 use common::*;
 use opalrun_gateway::*;
 
-fn plain(effect: Effect) -> Settings {
+/// Settings with one class of this effect and one plan without a quota.
+fn without_quota(effect: Effect) -> Settings {
     let mut s = settings();
     s.plans = vec![Plan::default()];
     s.classes[0].effect = effect;
@@ -12,37 +14,37 @@
 }
 
 #[test]
-fn a_request_ends_once_whatever_comes_later() {
-    let mut rig = Rig::new(plain(Effect::Idempotent));
+fn a_request_has_one_final_answer_whatever_happens_later() {
+    let mut rig = Rig::new(without_quota(Effect::Idempotent));
     let (_, server) = sends(&rig.ask("j")).remove(0);
-    assert!(rig.ask("j").is_empty(), "an id is taken once");
+    assert!(rig.ask("j").is_empty(), "a second request with the same id is ignored");
     rig.outcome("j", 0, &server, Status::Ok);
-    assert!(rig.outcome("j", 0, &server, Status::Error).is_empty(), "a late outcome leads to nothing");
+    assert!(rig.outcome("j", 0, &server, Status::Error).is_empty(), "a late outcome leads to no action");
     assert!(rig.event(Event::ClientDisconnected { job: "j".into() }).is_empty());
 }
 
 #[test]
-fn a_held_request_is_answered_within_the_hold() {
+fn a_request_that_waits_for_the_counter_is_decided_before_the_call_times_out() {
     let mut s = settings();
-    s.plans[0].ceiling_rate = 20.0; // An unseen customer of such a plan has no share to start with.
+    s.plans[0].ceiling_rate = 20.0; // The even share of a new customer starts empty under a ceiling.
     s.plans[0].ceiling_burst = 40.0;
     let limit = s.counter_timeout;
     let mut rig = Rig::new(s);
     let out = rig.ask("j");
-    assert!(sends(&out).is_empty() && refused(&out) == 0, "held for the counter");
+    assert!(sends(&out).is_empty() && refused(&out) == 0, "waits for the counter");
     let timer = out.iter().find_map(|a| match a {
         Action::Timer { token, at } => Some((*token, *at)),
         _ => None,
     });
-    let (token, at) = timer.expect("a hold has its timer");
-    assert!(at - rig.now < limit, "no longer than the counter has to answer");
+    let (token, at) = timer.expect("a waiting request has a timer");
+    assert!(at - rig.now < limit, "it waits for less than the counter's time-out");
     rig.now = at;
     let out = rig.event(Event::Timer { token });
-    assert_eq!(sends(&out).len() + refused(&out), 1, "a silent counter does not hold it longer");
+    assert_eq!(sends(&out).len() + refused(&out), 1, "it is decided without the counter's answer");
 }
 
 #[test]
-fn a_deadline_too_near_for_any_answer_is_refused_at_once() {
+fn a_request_that_expires_before_any_answer_is_refused_at_once() {
     let mut rig = Rig::new(settings());
     let mut near = request("j", rig.now);
     near.expires = rig.now + 0.003;
@@ -50,7 +52,7 @@
 }
 
 #[test]
-fn a_deadline_nearer_than_the_holds_end_is_decided_at_once_and_the_count_is_asked_all_the_same() {
+fn a_request_that_expires_before_the_counter_answers_is_decided_at_once_and_the_counter_still_called() {
     let mut s = settings();
     s.counter_timeout = 0.05;
     let mut rig = Rig::new(s);
@@ -60,31 +62,31 @@
         rig.event(Event::Request(near))
     };
     let first = ask(&mut rig, "j");
-    assert_eq!((sends(&first).len(), refused(&first)), (1, 0), "the even share has it");
+    assert_eq!((sends(&first).len(), refused(&first)), (1, 0), "the even share covers it");
     let [(counter, amount)] = counts(&first)[..] else { panic!("one call") };
-    assert!(amount >= 1.0, "what it takes is asked for");
-    // While the call is out, too: nothing is held.
+    assert!(amount >= 1.0, "the call asks for the units that were sent");
+    // Requests do not wait while the call is in flight either.
     let second = ask(&mut rig, "k");
     assert_eq!(sends(&second).len() + refused(&second), 1);
     rig.counted(counter, Status::Ok, amount);
     let third = ask(&mut rig, "l");
-    assert_eq!(sends(&third).len(), 1, "what was granted is there");
+    assert_eq!(sends(&third).len(), 1, "the granted units cover it");
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_is_neither_repeated_nor_refused() {
-    let mut rig = Rig::new(plain(Effect::AtMostOnce));
+fn an_at_most_once_request_that_may_have_run_is_neither_repeated_nor_refused() {
+    let mut rig = Rig::new(without_quota(Effect::AtMostOnce));
     let (_, server) = sends(&rig.ask("j")).remove(0);
     let out = rig.outcome("j", 0, &server, Status::Reset);
     assert_eq!((sends(&out).len(), refused(&out), failed(&out)), (0, 0, 1));
     let (_, server) = sends(&rig.ask("k")).remove(0);
     let out = rig.outcome("k", 0, &server, Status::Rejected);
-    assert_eq!(sends(&out).len(), 1, "one that surely never ran goes out again");
+    assert_eq!(sends(&out).len(), 1, "one that certainly has not run is sent again");
 }
 
 #[test]
-fn a_keyed_request_stays_in_its_group_and_window() {
-    let mut s = plain(Effect::Deduplicated { group: Group::Zone, window: 1.0 });
+fn a_deduplicated_request_is_repeated_only_in_its_group_and_window() {
+    let mut s = without_quota(Effect::Deduplicated { group: Group::Zone, window: 1.0 });
     s.max_attempts = 9;
     let mut rig = Rig::empty(s);
     let mut list: Vec<Server> =
@@ -94,45 +96,49 @@
     let zone = |id: &ServerId| usize::from(id.as_ref() >= "c");
     let (_, first) = sends(&rig.ask("j")).remove(0);
     let (_, second) = sends(&rig.outcome("j", 0, &first, Status::Error)).remove(0);
-    assert_eq!(zone(&first), zone(&second), "only the group discards the repeat");
+    assert_eq!(zone(&first), zone(&second), "only servers of the group discard the repeat");
     rig.now += 2.0;
     let out = rig.outcome("j", 1, &second, Status::Error);
-    assert_eq!((sends(&out).len(), refused(&out), failed(&out)), (0, 0, 1), "the group has forgotten it");
+    assert_eq!(
+        (sends(&out).len(), refused(&out), failed(&out)),
+        (0, 0, 1),
+        "the group no longer recognises a repeat"
+    );
 }
 
 #[test]
-fn an_attempt_may_be_sent_until_the_window_of_the_first_ends_where_a_repeat_may_follow() {
-    let until = |out: &[Action]| match out.iter().find(|a| matches!(a, Action::Send { .. })) {
+fn attempts_of_a_deduplicated_request_must_be_sent_within_the_window_of_the_first() {
+    let send_by = |out: &[Action]| match out.iter().find(|a| matches!(a, Action::Send { .. })) {
         Some(Action::Send { send_by, server, .. }) => (*send_by, server.clone()),
-        _ => panic!("it is sent"),
+        _ => panic!("no attempt was sent"),
     };
-    let mut rig = Rig::new(plain(Effect::Deduplicated { group: Group::All, window: 1.0 }));
+    let mut rig = Rig::new(without_quota(Effect::Deduplicated { group: Group::All, window: 1.0 }));
     let start = rig.now;
-    let (first, server) = until(&rig.ask("j"));
-    assert_eq!(first, start + 1.0, "a second copy may run before it");
+    let (first, server) = send_by(&rig.ask("j"));
+    assert_eq!(first, start + 1.0, "a hedged attempt may run before it");
     rig.now += 0.5;
-    assert_eq!(until(&rig.outcome("j", 0, &server, Status::Reset)).0, first);
+    assert_eq!(send_by(&rig.outcome("j", 0, &server, Status::Reset)).0, first);
     for effect in
         [Effect::Deduplicated { group: Group::All, window: 0.0 }, Effect::Idempotent, Effect::AtMostOnce]
     {
-        let mut rig = Rig::new(plain(effect));
-        assert_eq!(until(&rig.ask("j")).0, f64::INFINITY, "{effect:?}");
+        let mut rig = Rig::new(without_quota(effect));
+        assert_eq!(send_by(&rig.ask("j")).0, f64::INFINITY, "{effect:?}");
     }
 }
 
 #[test]
-fn no_second_copy_where_none_is_allowed() {
-    let mut s = plain(Effect::Idempotent);
+fn no_hedged_attempt_where_hedging_is_not_allowed() {
+    let mut s = without_quota(Effect::Idempotent);
     s.hedging_allowed = false;
     let mut rig = Rig::new(s);
     let out = rig.ask("j");
     assert_eq!(sends(&out).len(), 1);
-    assert!(!out.iter().any(|a| matches!(a, Action::Timer { .. })), "no hedge is even planned");
+    assert!(!out.iter().any(|a| matches!(a, Action::Timer { .. })), "no timer for a hedged attempt");
 }
 
 #[test]
-fn a_draining_or_missing_server_gets_nothing_new() {
-    let mut rig = Rig::new(plain(Effect::Idempotent));
+fn a_draining_or_unlisted_server_gets_no_new_attempts() {
+    let mut rig = Rig::new(without_quota(Effect::Idempotent));
     rig.list(ListKind::Changes, vec![server("a", Lifecycle::Draining, 0.0)]);
     rig.list(
         ListKind::Full,
@@ -145,12 +151,12 @@
         }
     }
     rig.list(ListKind::Full, vec![]);
-    assert_eq!(refused(&rig.ask("last")), 1, "with all servers gone it is refused, not held");
+    assert_eq!(refused(&rig.ask("last")), 1, "without servers a request is refused at once");
 }
 
 #[test]
-fn a_cold_server_gets_a_small_part() {
-    let mut rig = Rig::new(plain(Effect::Idempotent));
+fn a_cold_server_gets_a_small_share_of_the_attempts() {
+    let mut rig = Rig::new(without_quota(Effect::Idempotent));
     rig.list(ListKind::Changes, vec![server("a", Lifecycle::Running, 99.9)]);
     let mut cold = 0;
     for i in 0..90 {
@@ -160,12 +166,12 @@
             rig.outcome(&job, 0, &to, Status::Ok);
         }
     }
-    assert!(cold <= 12, "{cold} of 90 went to the cold one of three servers");
+    assert!(cold <= 12, "{cold} of 90 attempts were sent to the cold one of three servers");
 }
 
 #[test]
-fn a_server_that_comes_back_untold_is_suspected_cold() {
-    let mut rig = Rig::new(plain(Effect::Idempotent));
+fn a_server_that_answers_after_failed_connections_starts_slowly_without_a_list_entry() {
+    let mut rig = Rig::new(without_quota(Effect::Idempotent));
     rig.list(ListKind::Full, vec![server("a", Lifecycle::Running, 0.0)]);
     rig.ask("j0");
     rig.outcome("j0", 0, &"a".into(), Status::ConnectFailed);
@@ -173,11 +179,11 @@
     rig.ask("j1");
     rig.outcome("j1", 0, &"a".into(), Status::Ok);
     let sent = (2..20).map(|i| sends(&rig.ask(&format!("j{i}"))).len()).sum::<usize>();
-    assert!(sent <= 1, "{sent} sent at once to a server that may be cold");
+    assert!(sent <= 1, "{sent} attempts sent at once to a server that may be cold");
 }
 
 #[test]
-fn off_the_count_a_restarted_gateway_spends_nothing_of_a_ceiling_at_first() {
+fn without_the_counter_a_restarted_gateway_has_no_even_share_under_a_ceiling_at_first() {
     let mut s = settings();
     s.has_counter = false;
     (s.plans[0].ceiling_rate, s.plans[0].ceiling_burst) = (17.0, 34.0);
@@ -186,12 +192,12 @@
     assert_eq!(at_once, 0);
     rig.now += 100.0;
     let later = (0..30).map(|i| sends(&rig.ask(&format!("b{i}"))).len()).sum::<usize>();
-    assert!(later <= 7, "{later}: an even share of the room between quota and ceiling is 7 at most");
+    assert!(later <= 7, "{later}: the even share of the room between quota and ceiling is at most 7");
 }
 
 #[test]
-fn time_outs_in_overload_do_not_put_the_fleet_out() {
-    let mut rig = Rig::new(plain(Effect::Idempotent));
+fn time_outs_in_an_overload_do_not_eject_the_fleet() {
+    let mut rig = Rig::new(without_quota(Effect::Idempotent));
     for i in 0..12 {
         for (job, to) in sends(&rig.ask(&format!("j{i}"))) {
             rig.outcome(&job, 0, &to, Status::Timeout);
@@ -202,8 +208,8 @@
 }
 
 #[test]
-fn what_is_not_held_in_full_has_no_second_copy_and_no_further_attempt() {
-    let mut rig = Rig::new(plain(Effect::Idempotent));
+fn an_unrepeatable_request_has_no_hedged_attempt_and_no_retry() {
+    let mut rig = Rig::new(without_quota(Effect::Idempotent));
     let (_, server) = sends(&rig.ask("j")).remove(0);
     assert!(rig.event(Event::Unrepeatable { job: "j".into() }).is_empty());
     let timers = rig.actions.clone().into_iter().filter_map(|a| match a {
@@ -212,25 +218,25 @@
     });
     rig.now += 0.9;
     let out: Vec<Action> = timers.flat_map(|token| rig.event(Event::Timer { token })).collect();
-    assert!(sends(&out).is_empty(), "a second copy");
+    assert!(sends(&out).is_empty(), "a hedged attempt was sent");
     let out = rig.outcome("j", 0, &server, Status::Rejected);
     assert_eq!((sends(&out).len(), refused(&out)), (0, 1));
 }
 
 #[test]
-fn a_server_that_turns_away_is_left_alone_for_a_while_and_not_by_all_for_as_long() {
-    // Seconds until a gateway sends again to a server that turned it away, the others being as free.
-    let away = |seed: u64| {
-        let gateway = Gateway::new(plain(Effect::Idempotent), seed).expect("usable settings");
+fn a_server_that_rejects_is_ejected_for_a_time_that_differs_between_gateways() {
+    // Seconds until a gateway sends to the rejecting server again, while the other servers are equally loaded.
+    let ejection_time = |seed: u64| {
+        let gateway = Gateway::new(without_quota(Effect::Idempotent), seed).expect("usable settings");
         let mut rig = Rig { gateway, now: 100.0, actions: Vec::new() };
         let servers = ["a", "b", "c"].map(|n| server(n, Lifecycle::Running, 0.0)).to_vec();
         rig.list(ListKind::Stale, servers);
-        let (job, full) = sends(&rig.ask("full")).remove(0);
-        rig.outcome(&job, 0, &full, Status::Rejected);
+        let (job, rejecting) = sends(&rig.ask("rejected")).remove(0);
+        rig.outcome(&job, 0, &rejecting, Status::Rejected);
         for i in 0..400 {
             rig.now += 0.01;
             for (job, server) in sends(&rig.ask(&format!("j{i}"))) {
-                if server == full {
+                if server == rejecting {
                     return rig.now - 100.0;
                 }
                 rig.outcome(&job, 0, &server, Status::Ok);
@@ -238,9 +244,9 @@
         }
         f64::INFINITY
     };
-    let times: Vec<f64> = (0..20).map(away).collect();
+    let times: Vec<f64> = (0..20).map(ejection_time).collect();
     let (first, last) =
         times.iter().fold((f64::INFINITY, 0.0), |(a, b): (f64, f64), t| (a.min(*t), b.max(*t)));
     assert!(first > 0.3 && last < 2.0, "{times:?}");
-    assert!(last - first > 0.3, "they come back one after another: {times:?}");
+    assert!(last - first > 0.3, "the gateways return at different times: {times:?}");
 }
--- a/crates/gateway/tests/shape.rs
+++ b/crates/gateway/tests/shape.rs
@@ -1,4 +1,4 @@
-//! What the operators ask of the text of the decisions.
+//! Requirements on the source text of the decisions: the list of their files, no I/O or clock, and short lines.
 
 use std::{
     collections::BTreeSet,
@@ -6,17 +6,18 @@
     path::{Path, PathBuf},
 };
 
-/// Longest line.
+/// Maximum length of a line, in characters.
 const MAX_LINE_CHARS: usize = 110;
-/// Paths whose use would make the decisions depend on more than their inputs.
+/// Paths whose use would make the decisions depend on more than their events.
 const IMPURE: [&str; 8] =
     ["std::net", "std::fs", "std::io", "std::env", "std::thread", "std::process", "tokio", "SystemTime"];
 
+/// The root of the repository.
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// The files that `policy` of deploy/balancer.toml lists.
+/// The files that deploy/balancer.toml lists under `policy`.
 fn policy_files() -> BTreeSet<PathBuf> {
     let deploy = fs::read_to_string(root().join("deploy/balancer.toml")).expect("deploy/balancer.toml");
     let start = deploy.find("policy = [").expect("a list of policy files");
@@ -25,7 +26,7 @@
 }
 
 #[test]
-fn policy_lists_all_files_of_the_decisions_and_no_other() {
+fn policy_lists_all_files_of_the_decisions_and_no_others() {
     let decisions = root().join("crates/gateway/src/decisions");
     let mut expected: BTreeSet<PathBuf> = fs::read_dir(decisions)
         .expect("the folder of the decisions")
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn the_decisions_name_their_interface_first() {
+fn the_first_line_of_the_decisions_names_their_interface() {
     let text = fs::read_to_string(root().join("crates/gateway/src/decisions/mod.rs")).expect("the module");
     assert!(text.lines().next().is_some_and(|line| line.contains("src/interface.rs")));
 }
