--- a/crates/gateway/src/bin/gateway-simulator-adapter.rs
+++ b/crates/gateway/src/bin/gateway-simulator-adapter.rs
@@ -51,10 +51,11 @@
 /// Messages to several instances at one simulated time.
 #[derive(Deserialize)]
 struct Batch {
+    /// Simulated time, in seconds.
     #[serde(rename = "Moment")]
-    now: f64,
-    #[serde(rename = "n")]
-    number: u64,
+    moment: f64,
+    /// Number of the batch.
+    n: u64,
     groups: Vec<Inbox>,
 }
 
@@ -294,15 +295,15 @@
         for inbox in &batch.groups {
             let mut out = Vec::new();
             for message in &inbox.messages {
-                self.handle_message(batch.now, inbox.gateway, message, &mut out)
-                    .context(BatchSnafu { number: batch.number })?;
+                self.handle_message(batch.moment, inbox.gateway, message, &mut out)
+                    .context(BatchSnafu { number: batch.n })?;
             }
             if !out.is_empty() {
                 let decisions: Vec<Value> = out.into_iter().map(action_reply).collect();
                 groups.push(json!({"GatekeeperId": inbox.gateway, "decisions": decisions}));
             }
         }
-        Ok(json!({"n": batch.number, "groups": groups}))
+        Ok(json!({"n": batch.n, "groups": groups}))
     }
 }
 
--- a/crates/gateway/src/decisions/admission.rs
+++ b/crates/gateway/src/decisions/admission.rs
@@ -79,15 +79,15 @@
     /// By Little's law the limit follows the recent mean in flight, scaled by how far latency is below the
     /// larger of a share of the latency target and a multiple of the unloaded latency, whichever gateway
     /// causes the load. An allowance for random arrivals is added; it shrinks as latency rises, and later
-    /// where few attempts are in flight. The comparison with a random fraction of an attempt lets many
-    /// gateways with little load each keep a limit below one attempt on average.
+    /// where few attempts are in flight. The fractional part of the limit admits by chance, so that many
+    /// gateways with little load keep to the limit in sum.
     pub(super) fn has_capacity(&mut self, share: f64) -> bool {
-        let least =
+        let always_allowed =
             MIN_IN_FLIGHT * self.running_servers.len() as f64 / f64::from(self.settings.gateway_count);
         let uncongested = (TARGET_LATENCY_SHARE * self.latency_target())
             .max(UNLOADED_LATENCY_FACTOR * self.state.unloaded_latency);
         let factor = (uncongested / self.state.typical_latency.max(1e-3)).min(MAX_LIMIT_FACTOR);
-        let mean = (self.state.mean_in_flight + least) * factor;
+        let mean = (self.state.mean_in_flight + always_allowed) * factor;
         let fade = (1.0 - 1.0 / factor + (1.0 + mean).powi(-2)).clamp(0.0, 1.0);
         self.inflight + self.random() <= share * (mean + fade * (1.0 + IN_FLIGHT_DEVIATIONS * mean.sqrt()))
     }
--- a/crates/gateway/src/decisions/attempts.rs
+++ b/crates/gateway/src/decisions/attempts.rs
@@ -134,8 +134,8 @@
         if never_ran
             || matches!(job.class.effect, Effect::Idempotent | Effect::Deduplicated { group: Group::All, .. })
         {
-            let most = if self.settings.retry_after { self.settings.max_retry_after } else { 0.0 };
-            let retry_after = retry_after.max(0.0).min(most);
+            let max_retry_after = if self.settings.retry_after { self.settings.max_retry_after } else { 0.0 };
+            let retry_after = retry_after.max(0.0).min(max_retry_after);
             self.actions.push(Action::Refuse { job: id.clone(), retry_after, reason });
         } else {
             self.actions.push(Action::Fail { job: id.clone() });
--- a/crates/gateway/src/decisions/even_share.rs
+++ b/crates/gateway/src/decisions/even_share.rs
@@ -27,7 +27,7 @@
         if self.handed_over {
             return false;
         }
-        let (most, Request { units, customer: key, peer_view, .. }) =
+        let (max_units, Request { units, customer: key, peer_view, .. }) =
             (self.settings.max_request_units.max(1.0), &self.jobs[id].request);
         let customer = self.state.customers.get_mut(key).expect("asked for known customers only");
         let (mut rate, mut burst) = (plan.rate, plan.burst);
@@ -35,14 +35,14 @@
             rate = rate.min(CEILING_SHARE * (plan.ceiling_rate - plan.rate)).max(1e-9);
             burst = burst.min(CEILING_SHARE * (plan.ceiling_burst - plan.burst)).max(0.0);
         }
-        let (spread, request_interval) = (f64::from(customer.spread), most / rate);
+        let (spread, request_interval) = (f64::from(customer.spread), max_units / rate);
         if plan.ceiling_rate == 0.0 {
             let even = customer.even_share.refill(self.now, rate / spread, (burst / spread).max(*units));
             let correction = |v: &PeerView| v.coverage * (-v.age / PEER_VIEW_MEMORY).exp() * (v.level - even);
             return even + peer_view.as_ref().map_or(0.0, correction) >= *units;
         }
         let phase = f64::from(customer.gateway_position % customer.spread) + window_phase(key);
-        let dealt = |at: Time| ((at / request_interval - phase) / spread).floor() * most;
+        let dealt = |at: Time| ((at / request_interval - phase) / spread).floor() * max_units;
         let (new, valid) = (
             dealt(self.now) - dealt(customer.even_share.at),
             dealt(self.now) - dealt(self.now - burst / rate),
--- a/crates/gateway/src/decisions/mod.rs
+++ b/crates/gateway/src/decisions/mod.rs
@@ -206,7 +206,9 @@
         {
             let Some(plan_settings) = self.settings.plans.get(plan) else { continue };
             let (window, age) = window(plan_settings, &id, now);
-            let lease = if window == lease_window && recovered.max_elapsed.is_some_and(|most| most <= age) {
+            let lease = if window == lease_window
+                && recovered.max_elapsed.is_some_and(|max_elapsed| max_elapsed <= age)
+            {
                 lease
             } else {
                 0.0
--- a/crates/gateway/src/decisions/quota_lease.rs
+++ b/crates/gateway/src/decisions/quota_lease.rs
@@ -121,8 +121,8 @@
         } else if uncounted {
             // At most the burst of an even share is owed: the rest was paid by the refill during the time in
             // which it was spent.
-            let most = (plan.burst / f64::from(customer.spread)).max(units);
-            customer.owed = (customer.owed + units).min(most);
+            let max_owed = (plan.burst / f64::from(customer.spread)).max(units);
+            customer.owed = (customer.owed + units).min(max_owed);
         } else {
             customer.lease -= units;
         }
@@ -249,8 +249,8 @@
             customer.lease -= paid;
             let unpaid = std::mem::take(&mut customer.sent_ahead) - paid;
             if unpaid > 0.0 {
-                let most = (plan.burst / f64::from(customer.spread)).max(self.settings.max_request_units);
-                customer.owed = (customer.owed + unpaid).min(most);
+                let max_owed = (plan.burst / f64::from(customer.spread)).max(self.settings.max_request_units);
+                customer.owed = (customer.owed + unpaid).min(max_owed);
             }
             let reason = if status == Status::Ok { Reason::CounterTotal } else { Reason::CounterUnanswered };
             let pending = std::mem::take(&mut customer.pending);
--- a/crates/gateway/src/interface.rs
+++ b/crates/gateway/src/interface.rs
@@ -177,26 +177,26 @@
                 SettingsError::GatewayIndexOutOfRange
             });
         }
-        let mut figures =
+        let mut numbers =
             vec![("count_limit", self.counter_timeout), ("max_retry_after", self.max_retry_after)];
-        figures.extend([
+        numbers.extend([
             ("cold_from", self.initial_capacity_share),
             ("cold", self.warm_up),
             ("step", self.min_event_interval),
             ("fall", self.overload_window),
         ]);
-        figures.push(("fall_multiple", self.overload_factor));
-        figures.extend(
+        numbers.push(("fall_multiple", self.overload_factor));
+        numbers.extend(
             self.classes
                 .iter()
                 .flat_map(|c| [("aim", c.latency_target), ("worth", c.value), ("late_worth", c.late_value)]),
         );
         for p in &self.plans {
-            figures.extend([("rate", p.rate), ("burst", p.burst), ("excess_worth", p.excess_value)]);
-            figures.extend([("overrun_cost", p.overrun_cost), ("ceiling_rate", p.ceiling_rate)]);
-            figures.extend([("ceiling_burst", p.ceiling_burst), ("pays", p.unit_value)]);
+            numbers.extend([("rate", p.rate), ("burst", p.burst), ("excess_worth", p.excess_value)]);
+            numbers.extend([("overrun_cost", p.overrun_cost), ("ceiling_rate", p.ceiling_rate)]);
+            numbers.extend([("ceiling_burst", p.ceiling_burst), ("pays", p.unit_value)]);
         }
-        let bad = figures.into_iter().find(|(_, v)| !v.is_finite() || *v < 0.0);
+        let bad = numbers.into_iter().find(|(_, v)| !v.is_finite() || *v < 0.0);
         bad.map_or(Ok(()), |(name, _)| Err(SettingsError::InvalidNumber(name)))
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,4 +1,4 @@
-//! opalrun-gateway: the decisions of a gateway that holds customers to shared quotas before a common back end.
+//! opalrun-gateway: the decisions of a gateway that enforces customers' shared quotas in front of a common back end.
 //!
 //! The crate does no I/O and reads no clock: pass [`Gateway::handle`] one [`Event`] at a time with the current time,
 //! and carry out the [`Action`]s that it appends. An overview:
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -243,8 +243,8 @@
 impl Ledger {
     /// Whether the figures are finite, within bounds and, where they must be, not negative.
     pub fn is_plausible(&self) -> bool {
-        let figures = [self.lease, self.owed, self.share, self.level.unwrap_or(0.0)];
-        figures.into_iter().all(|f| f.is_finite() && f.abs() < 1e12) && self.share >= 0.0 && self.lease >= 0.0
+        let numbers = [self.lease, self.owed, self.share, self.level.unwrap_or(0.0)];
+        numbers.into_iter().all(|f| f.is_finite() && f.abs() < 1e12) && self.share >= 0.0 && self.lease >= 0.0
     }
 }
 
--- a/crates/gateway/src/zones.rs
+++ b/crates/gateway/src/zones.rs
@@ -148,9 +148,9 @@
         } else {
             fair
         };
-        let most = (zones * fair).min(MAX_LOCAL_SHARE);
+        let max_share = (zones * fair).min(MAX_LOCAL_SHARE);
         (self.local_share, self.local_zone) =
-            (self.local_share.clamp(fair.min(most), most), Some(local_zone));
+            (self.local_share.clamp(fair.min(max_share), max_share), Some(local_zone));
         let local_share = if total > local { self.local_share } else { 1.0 };
         let step = 1.0 - (-(now - self.weighed_at).max(0.0) / WEIGHT_TIME_CONSTANT).exp();
         (self.weighed_at, self.servers_changed) = (now, false);
@@ -214,12 +214,13 @@
     /// failures of its own: what fails in all zones alike is not the single zone's fault.
     fn eject_failed_zone(&mut self, now: Time, jitter: f64) -> ZoneUpdate {
         let in_use = || self.all.iter().filter(|(_, z)| z.ejected.is_none() && z.server_range.1 > 0);
-        let least = MIN_REMAINING_SERVERS * self.all.values().map(|z| z.server_range.1).sum::<usize>() as f64;
+        let min_remaining =
+            MIN_REMAINING_SERVERS * self.all.values().map(|z| z.server_range.1).sum::<usize>() as f64;
         let failed = |(id, zone): &(&u32, &Zone)| {
             let mut others = in_use().filter(|(other, _)| other != id);
             let remaining: usize = others.clone().map(|(_, z)| z.server_range.1).sum();
             zone.failed_servers.len() >= FAILED_SERVERS_TO_EJECT.min(zone.server_range.1)
-                && remaining as f64 >= least
+                && remaining as f64 >= min_remaining
                 && others.any(|(_, z)| z.last_answer >= zone.failing_since && z.failed_servers.len() <= 1)
         };
         let id = *in_use().find(failed)?.0;
--- a/crates/gateway/tests/property.rs
+++ b/crates/gateway/tests/property.rs
@@ -124,13 +124,16 @@
             }
             _ => {
                 let name = ["a", "b", "c"][random.below(3) as usize];
-                let life =
+                let lifecycle =
                     [Lifecycle::Running, Lifecycle::Draining, Lifecycle::Gone][random.below(3) as usize];
-                match life {
+                match lifecycle {
                     Lifecycle::Running => world.stopped.remove(name),
                     _ => world.stopped.insert(name.into()),
                 };
-                rig.event(Event::List { kind: ListKind::Changes, servers: vec![server(name, life, rig.now)] })
+                rig.event(Event::List {
+                    kind: ListKind::Changes,
+                    servers: vec![server(name, lifecycle, rig.now)],
+                })
             }
         };
         world.check(rig.now, at_most_once, &out);
--- a/crates/gateway/tests/rules.rs
+++ b/crates/gateway/tests/rules.rs
@@ -158,15 +158,15 @@
 fn a_cold_server_gets_a_small_share_of_the_attempts() {
     let mut rig = Rig::new(without_quota(Effect::Idempotent));
     rig.list(ListKind::Changes, vec![server("a", Lifecycle::Running, 99.9)]);
-    let mut cold = 0;
+    let mut sent_to_cold = 0;
     for i in 0..90 {
         rig.now += 0.01;
         for (job, to) in sends(&rig.ask(&format!("j{i}"))) {
-            cold += usize::from(to.as_ref() == "a");
+            sent_to_cold += usize::from(to.as_ref() == "a");
             rig.outcome(&job, 0, &to, Status::Ok);
         }
     }
-    assert!(cold <= 12, "{cold} of 90 attempts were sent to the cold one of three servers");
+    assert!(sent_to_cold <= 12, "{sent_to_cold} of 90 attempts were sent to the cold one of three servers");
 }
 
 #[test]
