--- a/crates/gatekeeper/src/proxy/run.rs
+++ b/crates/gatekeeper/src/proxy/run.rs
@@ -74,7 +74,7 @@
 }
 
 /// Serves clients and readiness checks until `stop` completes, and then shuts down gracefully: accepts connections for
-/// [`NEW_CONNECTIONS_LINGER`], and waits until all connections have closed or the grace period ends.
+/// `NEW_CONNECTIONS_LINGER`, and waits until all connections have closed or the grace period ends.
 pub async fn serve(
     proxy: Rc<Proxy>,
     settings: &Settings,
