--- a/crates/gatekeeper/src/proxy/handler.rs
+++ b/crates/gatekeeper/src/proxy/handler.rs
@@ -43,7 +43,7 @@
     type Body = ResponseBody;
 
     async fn handle(&self, request: Request<Incoming>, client: Client) -> Answer {
-        client.peer.use_it();
+        client.peer.mark_used();
         self.0.clone().serve(request).await
     }
 }
--- a/crates/gatekeeper/src/proxy/readiness.rs
+++ b/crates/gatekeeper/src/proxy/readiness.rs
@@ -21,7 +21,7 @@
     type Body = ResponseBody;
 
     async fn handle(&self, request: Request<Incoming>, client: Client) -> Answer {
-        client.peer.use_it();
+        client.peer.mark_used();
         if request.uri().path() != READINESS_PATH {
             return without_body(StatusCode::NOT_FOUND);
         }
--- a/crates/gatekeeper/src/proxy/run.rs
+++ b/crates/gatekeeper/src/proxy/run.rs
@@ -94,7 +94,7 @@
     info!("stopping");
     proxy.stop();
     server.stop();
-    server.send_away(true);
+    server.set_out_of_service(true);
     let lingering = tokio::time::sleep(NEW_CONNECTIONS_LINGER);
     tokio::join!(lingering, proxy.return_unused_units(LEASE_RETURN_TIMEOUT));
     accept_task.abort();
@@ -121,7 +121,7 @@
 
 async fn all_connections_closed(server: &Rc<Server<ClientHandler>>) {
     while server.connections() > 0 {
-        server.one_ended().await;
+        server.connection_closed().await;
     }
 }
 
@@ -131,12 +131,12 @@
 
 fn server_settings() -> server::Settings {
     server::Settings {
-        longest_head: MAX_HEAD_BYTES,
-        head_time: Duration::from_secs(5),
-        first_time: Duration::from_secs(20),
-        idle_time: Duration::from_mins(1),
-        spare_time: Duration::from_millis(500),
-        untaken_time: Duration::from_secs(30),
+        max_head_bytes: MAX_HEAD_BYTES,
+        head_timeout: Duration::from_secs(5),
+        first_head_timeout: Duration::from_secs(20),
+        idle_timeout: Duration::from_mins(1),
+        eviction_min_idle: Duration::from_millis(500),
+        write_stall_timeout: Duration::from_secs(30),
     }
 }
 
--- a/crates/gatekeeper/src/proxy/upstream.rs
+++ b/crates/gatekeeper/src/proxy/upstream.rs
@@ -103,7 +103,7 @@
 
     /// Returns the next chunk of the body; `None` at its end.
     pub async fn chunk(&mut self) -> Result<Option<Bytes>, BodyBroken> {
-        self.lease.connection().piece(&mut self.body).await.map_err(|_| BodyBroken)
+        self.lease.connection().next_chunk(&mut self.body).await.map_err(|_| BodyBroken)
     }
 
     /// Reads the complete body until `deadline`, returns the connection to its pool, and records success or failure of
@@ -116,7 +116,7 @@
             } else {
                 self.worker_request.succeeded();
             }
-            self.lease.give_back(false);
+            self.lease.release(false);
             Ok((self.parts, bytes))
         } else {
             self.fail();
@@ -149,7 +149,7 @@
 
     /// Returns the connection to its pool after the body was read completely.
     pub fn finish(self) {
-        self.lease.give_back(false);
+        self.lease.release(false);
     }
 }
 
@@ -174,18 +174,18 @@
             let sent = timeout_at(deadline, lease.connection().send(message)).await;
             match sent {
                 Ok(Ok(response)) => {
-                    lease.heard();
+                    lease.report_response();
                     let (parts, body) = response.into_parts();
                     let exchange = Exchange { lease, body, parts, worker_request };
                     return self.check_head(request, selected, exchange).await;
                 }
-                Ok(Err(Failure::Unsent)) if lease.kept() && dead_connections < MAX_DEAD_CONNECTIONS => {
-                    lease.stale();
+                Ok(Err(Failure::Unsent)) if lease.is_reused() && dead_connections < MAX_DEAD_CONNECTIONS => {
+                    lease.report_dead();
                     dead_connections += 1;
                 }
                 Ok(Err(failure)) => {
                     info!(worker = &*selected.id, ?failure, "connection to worker broke before its answer");
-                    lease.cut_off();
+                    lease.report_closed_early();
                     self.failed(request, selected);
                     return Err(failure_of(&progress));
                 }
@@ -267,7 +267,7 @@
         for _ in 0..MAX_CHUNKS {
             match self.chunk().await {
                 Ok(Some(_)) => {}
-                Ok(None) => return self.lease.give_back(true),
+                Ok(None) => return self.lease.release(true),
                 Err(BodyBroken) => return,
             }
         }
@@ -276,7 +276,7 @@
 
 /// Returns the failure of an attempt without an answer, depending on whether the request was sent completely.
 fn failure_of(progress: &Progress) -> AttemptFailure {
-    if progress.sent_whole() { AttemptFailure::MayHaveRun } else { AttemptFailure::NotSent }
+    if progress.is_fully_sent() { AttemptFailure::MayHaveRun } else { AttemptFailure::NotSent }
 }
 
 /// Builds the request to be sent to this worker.
--- a/crates/gatekeeper/src/proxy/worker_connections.rs
+++ b/crates/gatekeeper/src/proxy/worker_connections.rs
@@ -32,10 +32,13 @@
     /// Creates pools of at most `max_connections` connections to all workers together.
     #[must_use]
     pub fn new(max_connections: usize) -> Self {
-        let settings =
-            pool::Settings { idle_limit: DEFAULT_IDLE_LIMIT_S, sharers: 1, connect_timeout: CONNECT_TIMEOUT };
+        let settings = pool::Settings {
+            worker_idle_timeout: DEFAULT_IDLE_LIMIT_S,
+            gateway_count: 1,
+            connect_timeout: CONNECT_TIMEOUT,
+        };
         Self {
-            pools: Pools::new(max_connections, settings, Clock::steady(), fastrand::u64(..)),
+            pools: Pools::new(max_connections, settings, Clock::monotonic(), fastrand::u64(..)),
             keep_alive_s: RefCell::default(),
         }
     }
@@ -44,11 +47,11 @@
     pub fn set_workers(&self, workers: &HashMap<String, Workers>) {
         let all = || workers.values().flat_map(Workers::values);
         let ids: FnvHashSet<&str> = all().map(|worker| worker.id.as_str()).collect();
-        self.pools.only(|id| ids.contains(id));
+        self.pools.retain_workers(|id| ids.contains(id));
         for worker in all() {
             let ready = worker.state == WorkerState::Ready;
             let id = WorkerId::from(worker.id.as_str());
-            self.pools.listed(&id, worker.address.parse().ok(), 0.0, ready, false);
+            self.pools.update_worker(&id, worker.address.parse().ok(), 0.0, ready, false);
         }
     }
 
@@ -60,7 +63,8 @@
             let max_connections = configured.unwrap_or(DEFAULT_WORKER_CONNECTIONS);
             let share = (max_connections / services.gatekeepers()).max(1) as usize;
             let idle = keep_alive_s.get(id).copied().map(f64::from);
-            self.pools.set_worker_limits(id, WorkerLimits { connections: Some(share), idle });
+            self.pools
+                .set_worker_limits(id, WorkerLimits { max_connections: Some(share), idle_timeout: idle });
         });
     }
 
--- a/crates/gateway/src/bin/opalrun-gateway/admin.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/admin.rs
@@ -100,7 +100,7 @@
         }
         let ok_or_conflict = |ok| if ok { StatusCode::OK } else { StatusCode::CONFLICT };
         match call {
-            "ready" if !self.clients.ready() => empty(StatusCode::SERVICE_UNAVAILABLE),
+            "ready" if !self.clients.is_accepting() => empty(StatusCode::SERVICE_UNAVAILABLE),
             "pools" => (StatusCode::OK, self.driver.pools().report()),
             "zones" => (StatusCode::OK, self.driver.zones()),
             "fleet" => match self.driver.fleet() {
@@ -123,7 +123,7 @@
             "out-of-service" | "in-service" => {
                 let is_out_of_service = call == "out-of-service";
                 info!("gateway set {}", if is_out_of_service { "out of service" } else { "in service" });
-                self.clients.send_away(is_out_of_service);
+                self.clients.set_out_of_service(is_out_of_service);
                 empty(StatusCode::OK)
             }
             _ => empty(StatusCode::OK),
--- a/crates/gateway/src/bin/opalrun-gateway/clients.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/clients.rs
@@ -16,12 +16,12 @@
 const FIRST_REQUEST_TIME: Duration = Duration::from_millis(2700);
 /// Limits of a client's connection. Slow clients take 2 s for a head, and a connection may be closed after 2 s of idling.
 const SETTINGS: Settings = Settings {
-    longest_head: 16 * 1024,
-    head_time: Duration::from_millis(2600),
-    first_time: FIRST_REQUEST_TIME,
-    idle_time: Duration::from_millis(2200),
-    spare_time: Duration::from_millis(500),
-    untaken_time: Duration::from_secs(30),
+    max_head_bytes: 16 * 1024,
+    head_timeout: Duration::from_millis(2600),
+    first_head_timeout: FIRST_REQUEST_TIME,
+    idle_timeout: Duration::from_millis(2200),
+    eviction_min_idle: Duration::from_millis(500),
+    write_stall_timeout: Duration::from_secs(30),
 };
 /// Time for a request body in addition to the time that its length allows: the second value on a connection that has
 /// served a request. The first body of a connection has what is left of `FIRST_REQUEST_TIME`, which bounds misbehaving
@@ -48,7 +48,7 @@
 
     async fn handle(&self, request: Request<Incoming>, client: Client) -> Response<body::ResponseBody> {
         if request.uri().path() == "/up" {
-            return empty_response(if client.up { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE });
+            return empty_response(if client.is_in_service { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE });
         }
         match self.read_request(request, &client).await {
             Ok(request) => self.answer(request).await,
@@ -138,7 +138,7 @@
         };
         let (budget, discards) = (self.driver.memory_budget(), self.driver.discards());
         let (body, upload) =
-            match body::receive(body, budget, body_time, discards, client.in_hand.clone()).await {
+            match body::receive(body, budget, body_time, discards, client.busy_guard.clone()).await {
                 Ok(ReceivedBody::Complete(buffered)) => (Some(buffered), None),
                 Ok(ReceivedBody::Streaming(upload)) => (None, Some(upload)),
                 Err(BodyError::TooSlow) => return Err(StatusCode::REQUEST_TIMEOUT),
@@ -148,7 +148,7 @@
         if head.method == Method::GET && !body.as_ref().is_some_and(body::BodyBuffer::is_empty) {
             return Err(bad_request);
         }
-        client.peer.use_it();
+        client.peer.mark_used();
         // The settings may have changed while the body arrived: the class may have another index or be gone. If its
         // effect has changed so that the request does not fit it, the client is told to retry, as nothing was sent yet.
         let now = self.driver.options();
--- a/crates/gateway/src/bin/opalrun-gateway/driver/handover.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/driver/handover.rs
@@ -10,7 +10,7 @@
     /// Hands over the decisions' state, leases included, and the workers' addresses. From then on idle connections to
     /// workers are closed instead of kept for reuse.
     pub fn hand_over(&self) -> (State, BTreeMap<ServerId, SocketAddr>) {
-        self.pools.keep_none(true);
+        self.pools.set_idle_disabled(true);
         self.has_handed_over.set(true);
         self.recovery.borrow().iter().for_each(|r| r.release());
         let state = self.gateway.borrow_mut().hand_over(self.clock.now());
@@ -22,14 +22,14 @@
         self.other_process.take();
         self.has_handed_over.set(false);
         self.recovery.borrow().iter().for_each(|r| r.resume());
-        self.pools.keep_none(false);
+        self.pools.set_idle_disabled(false);
         self.gateway.borrow_mut().resume(self.clock.now());
     }
 
     /// Continues from the state that another process has handed over.
     pub fn take_over(&self, state: State, addrs: &BTreeMap<ServerId, SocketAddr>) {
         self.gateway.borrow_mut().take_over(state);
-        self.pools.told(addrs);
+        self.pools.add_addresses(addrs);
     }
 
     /// Number of attempts in flight at this process, by customer.
--- a/crates/gateway/src/bin/opalrun-gateway/driver/mod.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/driver/mod.rs
@@ -53,8 +53,8 @@
 /// Settings of the connection pools, from the gateway's options.
 fn pool_settings(options: &Options) -> pool::Settings {
     pool::Settings {
-        idle_limit: options.connection_idle_timeout,
-        sharers: options.settings.gateway_count,
+        worker_idle_timeout: options.connection_idle_timeout,
+        gateway_count: options.settings.gateway_count,
         connect_timeout: Duration::from_secs_f64(options.connect_timeout),
     }
 }
@@ -187,7 +187,7 @@
     pub fn commit(&self, prepared: PreparedOptions, counter: Option<SocketAddr>) {
         let PreparedOptions { settings, options } = prepared;
         self.gateway.borrow_mut().commit(settings);
-        self.pools.retune(pool_settings(&options));
+        self.pools.set_settings(pool_settings(&options));
         self.fleet.borrow().iter().for_each(|f| f.set_plans(plans(&options)));
         if let Some(counter_client) = &self.counter {
             counter_client.set_call_timeout(Duration::from_secs_f64(options.settings.counter_timeout));
@@ -320,13 +320,13 @@
             // An entry without a readable address leaves the known address in place.
             let (addr, lifecycle) = (entry.addr.parse().ok(), server.lifecycle);
             let (wanted, gone) = (lifecycle == Lifecycle::Running, lifecycle == Lifecycle::Gone);
-            self.pools.listed(&server.id, addr, server.started, wanted, gone);
+            self.pools.update_worker(&server.id, addr, server.started, wanted, gone);
             self.fleet.borrow().iter().for_each(|f| f.register_worker(&server.id));
             servers.push(server);
         }
         if kind != ListKind::Changes {
             let named: FnvHashSet<&str> = servers.iter().map(|s| &*s.id).collect();
-            self.pools.only(|id| named.contains(id));
+            self.pools.retain_workers(|id| named.contains(id));
         }
         self.post(Event::List { kind, servers });
     }
@@ -335,7 +335,7 @@
     pub fn set_worker_offline(&self, id: &str, is_offline: bool) -> bool {
         let known = self.gateway.borrow_mut().set_offline(self.clock.now(), id, is_offline);
         if known {
-            self.pools.set_aside(id, is_offline);
+            self.pools.set_worker_disabled(id, is_offline);
         }
         self.recovery.borrow().iter().filter(|_| known).for_each(|r| r.hand(id, is_offline));
         let state = if is_offline { "offline" } else { "online" };
--- a/crates/gateway/src/bin/opalrun-gateway/driver/requests.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/driver/requests.rs
@@ -229,7 +229,7 @@
                 a.task.abort();
                 let ran = may_have_run(&a.trace);
                 if ran && status == Status::Timeout {
-                    self.pools.silent(&a.server, a.sent);
+                    self.pools.request_timed_out(&a.server, a.sent);
                 }
                 ran
             })
--- a/crates/gateway/src/bin/opalrun-gateway/handover.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/handover.rs
@@ -82,7 +82,7 @@
     match timeout(STATE_TIMEOUT, ask(place)).await.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into())) {
         Ok((state, link)) => {
             driver.take_over(state.state, &state.addresses);
-            clients.send_away(state.is_out_of_service);
+            clients.set_out_of_service(state.is_out_of_service);
             set_descriptor_budgets(driver, clients, state.descriptors);
             configuration.continue_from_version(state.configuration_version);
             Some(link)
@@ -144,7 +144,7 @@
             Ok(socket) => {
                 hand_over(socket, &driver, &clients, configuration.version()).await;
                 driver.take_back();
-                clients.take_back();
+                clients.resume_accepting();
                 warn!("the process that took over has ended; this one takes clients again");
             }
             Err(e) => {
@@ -184,13 +184,13 @@
 
 /// Hands all over and stays on the line until it breaks.
 async fn hand_over(socket: UnixStream, driver: &Rc<Driver>, clients: &Rc<Clients>, version: u64) {
-    clients.hand_over();
+    clients.stop_accepting();
     let (state, addresses) = driver.hand_over();
     let state = HandoverState {
         format_version: FORMAT_VERSION,
         state,
         addresses,
-        is_out_of_service: clients.sends_away(),
+        is_out_of_service: clients.is_out_of_service(),
         descriptors: open_descriptors(driver, clients),
         configuration_version: version,
     };
@@ -203,7 +203,7 @@
     let serves = timeout(SERVING_TIMEOUT, read_message(&mut lines)).await;
     let (Ok(Ok(())), Ok(Some(HandoverMessage::Serving))) = (sent, serves) else { return };
     info!("another process has taken over; this one ends what it has");
-    clients.leave();
+    clients.drain();
     let messages = driver.subscribe_to_handover_messages();
     let said = tokio::task::spawn_local(write_messages(writer, messages, None));
     let tell = async {
--- a/crates/gateway/src/bin/opalrun-gateway/main.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/main.rs
@@ -171,7 +171,7 @@
         _ = term.recv() => {}
         _ = int.recv() => {}
         // By then the last calls to the counter are sent.
-        () = clients.all_left(HANDOVER_LINGER) => {
+        () = clients.drained(HANDOVER_LINGER) => {
             info!("{name} has handed over and ends");
             return Ok(());
         }
@@ -211,10 +211,10 @@
     sleep_until(start + LAST_REQUEST_TIME).await;
     clients.close();
     // No more requests arrive: idle connections to workers are closed now, the others when their attempts end.
-    driver.pools().keep_none(true);
+    driver.pools().set_idle_disabled(true);
     let answered = async {
         while clients.connections() > 0 {
-            clients.one_ended().await;
+            clients.connection_closed().await;
         }
     };
     let mut answered = std::pin::pin!(answered);
--- a/crates/gateway/src/bin/opalrun-gateway/workers.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/workers.rs
@@ -85,7 +85,7 @@
 
 /// Whether a worker may have run the attempt: its request has been written completely.
 pub fn may_have_run(trace: &Trace) -> bool {
-    trace.borrow().as_ref().is_some_and(|p| p.sent_whole())
+    trace.borrow().as_ref().is_some_and(|p| p.is_fully_sent())
 }
 
 /// Status of an attempt that got no connection.
@@ -93,7 +93,7 @@
     match reason {
         NoConnection::Refused | NoConnection::TimedOut => Status::ConnectFailed,
         // The attempt was not sent, for a reason that is no evidence about the worker.
-        NoConnection::Unknown | NoConnection::NoDescriptor | NoConnection::Bound => Status::NotSent,
+        NoConnection::Unavailable | NoConnection::NoDescriptor | NoConnection::LimitReached => Status::NotSent,
     }
 }
 
@@ -122,12 +122,12 @@
             *trace.borrow_mut() = Some(progress);
             match lease.connection().send(request).await {
                 Ok(response) => {
-                    lease.heard();
+                    lease.report_response();
                     return Ok((lease, response));
                 }
-                Err(Failure::Unsent) if lease.kept() => lease.stale(),
+                Err(Failure::Unsent) if lease.is_reused() => lease.report_dead(),
                 Err(failure) => {
-                    lease.cut_off();
+                    lease.report_closed_early();
                     let ran = failure == Failure::Reset;
                     return Err(if ran { Status::Reset } else { Status::ConnectFailed });
                 }
@@ -203,9 +203,9 @@
     /// Ends an attempt with `status`, whatever the body holds. A short body is read so that the connection can be reused.
     async fn drop_answer(&self, mut lease: Lease, mut body: Incoming, status: Status) -> Ending {
         if body.size_hint().upper().is_some_and(|n| n <= MAX_DRAINED_BYTES) {
-            let rest = async { while let Ok(Some(_)) = lease.connection().piece(&mut body).await {} };
+            let rest = async { while let Ok(Some(_)) = lease.connection().next_chunk(&mut body).await {} };
             if tokio::time::timeout(ANSWER_BUFFERING_TIME, rest).await.is_ok() {
-                lease.give_back(status == Status::Rejected);
+                lease.release(status == Status::Rejected);
             }
         }
         Ending::without_body(status)
@@ -228,7 +228,7 @@
         while !is_long && buffered.fits(1) {
             let chunk = tokio::select! {
                 biased;
-                chunk = lease.connection().piece(&mut body) => chunk,
+                chunk = lease.connection().next_chunk(&mut body) => chunk,
                 () = buffering_end.as_mut(), if length.is_none() => break,
             };
             match chunk {
@@ -237,7 +237,7 @@
                     buffered.push(data);
                 }
                 Ok(None) => {
-                    lease.give_back(false);
+                    lease.release(false);
                     return Ending { body: Some(buffered), ..Ending::without_body(Status::Ok) };
                 }
                 Err(_) => return Ending::without_body(Status::Reset),
@@ -248,7 +248,7 @@
         };
         loop {
             let chunk = tokio::select! {
-                chunk = tokio::time::timeout(TRANSFER_IDLE_TIMEOUT, lease.connection().piece(&mut body)) => chunk,
+                chunk = tokio::time::timeout(TRANSFER_IDLE_TIMEOUT, lease.connection().next_chunk(&mut body)) => chunk,
                 () = client.closed() => return Ending::without_body(Status::Cancelled),
             };
             let chunk = match chunk {
@@ -258,7 +258,7 @@
                 }
                 Ok(Ok(None)) => {
                     forwarding.received(0);
-                    lease.give_back(false);
+                    lease.release(false);
                     // A closed channel means that the client has disconnected, which its own connection handles.
                     let _ = client.send(Chunk::End).await;
                     return Ending::without_body(Status::Ok);
@@ -288,9 +288,9 @@
         if parts.status != StatusCode::OK {
             return self.drop_answer(lease, body, Status::Error).await;
         }
-        match lease.connection().whole(&mut body).await {
+        match lease.connection().read_to_end(&mut body).await {
             Ok(body) => {
-                lease.give_back(false);
+                lease.release(false);
                 let load = std::str::from_utf8(&body).map(parse_load_report).unwrap_or_default();
                 Ending { load, ..Ending::without_body(Status::Ok) }
             }
--- a/crates/transport/src/body/request_body.rs
+++ b/crates/transport/src/body/request_body.rs
@@ -40,7 +40,7 @@
             Self::Streaming(upload, progress) => {
                 let frame = Pin::new(upload).poll_frame(cx);
                 if matches!(frame, Poll::Ready(None)) {
-                    progress.end();
+                    progress.mark_body_ended();
                 }
                 frame
             }
--- a/crates/transport/src/clock.rs
+++ b/crates/transport/src/clock.rs
@@ -22,7 +22,7 @@
 
     /// Counts from now on; the time of day is not read.
     #[must_use]
-    pub fn steady() -> Self {
+    pub fn monotonic() -> Self {
         Self { start: Instant::now(), origin: 0.0 }
     }
 
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -66,7 +66,7 @@
 
     /// Whether the last byte has been handed to the socket: the server may have begun.
     #[must_use]
-    pub fn sent_whole(&self) -> bool {
+    pub fn is_fully_sent(&self) -> bool {
         match (self.head.get(), self.body.get()) {
             (Some(head), Some(body)) => self.written.get() >= head + body,
             (Some(_), None) => self.flushed.get(),
@@ -81,7 +81,7 @@
     }
 
     /// A body in chunks has come to its end: what is written from now on ends with the last chunk.
-    pub fn end(&self) {
+    pub fn mark_body_ended(&self) {
         self.ended.set(true);
     }
 
@@ -201,7 +201,7 @@
         })
         .await;
         result.map_err(|handed_back| {
-            if self.progress.sent_whole() {
+            if self.progress.is_fully_sent() {
                 Failure::Reset
             } else if handed_back || self.progress.written.get() == 0 {
                 Failure::Unsent
@@ -215,7 +215,7 @@
     ///
     /// # Errors
     /// The connection broke.
-    pub async fn piece(&mut self, body: &mut Incoming) -> Result<Option<Bytes>, Failure> {
+    pub async fn next_chunk(&mut self, body: &mut Incoming) -> Result<Option<Bytes>, Failure> {
         loop {
             let mut frame = body.frame();
             let (driver, over) = (&mut self.driver, &mut self.over);
@@ -242,16 +242,16 @@
     /// How the exchange failed; an answer of over 4 MiB counts as a reset.
     pub async fn exchange(&mut self, request: Request<RequestBody>) -> Result<(Parts, Bytes), Failure> {
         let (parts, mut body) = self.send(request).await?.into_parts();
-        Ok((parts, self.whole(&mut body).await?))
+        Ok((parts, self.read_to_end(&mut body).await?))
     }
 
     /// Reads a complete body.
     ///
     /// # Errors
     /// The connection broke, or the body is longer than 4 MiB.
-    pub async fn whole(&mut self, body: &mut Incoming) -> Result<Bytes, Failure> {
+    pub async fn read_to_end(&mut self, body: &mut Incoming) -> Result<Bytes, Failure> {
         let mut whole = BytesMut::new();
-        while let Some(data) = self.piece(body).await? {
+        while let Some(data) = self.next_chunk(body).await? {
             if whole.len() + data.len() > MAX_BODY {
                 return Err(Failure::Reset);
             }
--- a/crates/transport/src/pool/lease.rs
+++ b/crates/transport/src/pool/lease.rs
@@ -17,15 +17,15 @@
     pub(super) id: ConnectionId,
     pub(super) held: Option<Held>,
     /// It has been idle, or has carried a request before.
-    pub(super) kept: bool,
+    pub(super) is_reused: bool,
     pub(super) used: bool,
 }
 
 impl Lease {
     /// It has been idle, or has carried a request before.
     #[must_use]
-    pub fn kept(&self) -> bool {
-        self.kept
+    pub fn is_reused(&self) -> bool {
+        self.is_reused
     }
 
     /// The connection itself: from now on it counts as used.
@@ -47,27 +47,31 @@
     }
 
     /// The worker answers on it.
-    pub fn heard(&self) {
+    pub fn report_response(&self) {
         if let Some(held) = &self.held {
-            self.pools.state.borrow_mut().heard(self.pools.clock.now(), &self.worker, held.opened);
+            self.pools.state.borrow_mut().response_received(
+                self.pools.clock.now(),
+                &self.worker,
+                held.opened,
+            );
         }
     }
 
     /// It was dead already when it was handed out.
-    pub fn stale(self) {
-        self.pools.state.borrow_mut().stale(&self.worker);
+    pub fn report_dead(self) {
+        self.pools.state.borrow_mut().found_dead(&self.worker);
     }
 
     /// Fresh as it was, the worker ended it instead of answering.
-    pub fn cut_off(self) {
-        if !self.kept {
-            self.pools.state.borrow_mut().no_room(self.pools.clock.now(), &self.worker, false);
+    pub fn report_closed_early(self) {
+        if !self.is_reused {
+            self.pools.state.borrow_mut().capacity_reached(self.pools.clock.now(), &self.worker, false);
         }
     }
 
     /// The answer is whole: another request may have it, after a rest. `turned_away`: it said that the worker has no
     /// room.
-    pub fn give_back(self, turned_away: bool) {
+    pub fn release(self, turned_away: bool) {
         tokio::task::spawn_local(async move {
             tokio::time::sleep(REST).await;
             self.rested(turned_away);
@@ -77,8 +81,8 @@
     fn rested(mut self, turned_away: bool) {
         let Some(held) = self.held.take() else { return };
         let lives = self.pools.clone().take_back(&self.worker, self.id, held);
-        if turned_away && !lives && !self.kept {
-            self.pools.state.borrow_mut().no_room(self.pools.clock.now(), &self.worker, true);
+        if turned_away && !lives && !self.is_reused {
+            self.pools.state.borrow_mut().capacity_reached(self.pools.clock.now(), &self.worker, true);
         }
     }
 }
--- a/crates/transport/src/pool/mod.rs
+++ b/crates/transport/src/pool/mod.rs
@@ -37,17 +37,17 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Settings {
     /// Seconds after which a worker closes an idle connection.
-    pub idle_limit: f64,
+    pub worker_idle_timeout: f64,
     /// How many gatekeepers share what connections a worker takes, where it is learned how many these are.
-    pub sharers: u32,
+    pub gateway_count: u32,
     /// How long a connection may take to come up.
     pub connect_timeout: Duration,
 }
 
 impl Settings {
     fn of_state(&self) -> PoolSettings {
-        let keep = (self.idle_limit - BEFORE_LIMIT).max(self.idle_limit / 2.0);
-        PoolSettings { keep, sharers: self.sharers }
+        let keep = (self.worker_idle_timeout - BEFORE_LIMIT).max(self.worker_idle_timeout / 2.0);
+        PoolSettings { keep, gateway_count: self.gateway_count }
     }
 }
 
@@ -123,20 +123,20 @@
                 (Asked::Use(id), _) => id,
                 (Asked::Wait(_), Some((_waiting, granted))) => {
                     return match tokio::time::timeout(self.connect.get(), granted).await {
-                        Ok(grant) => grant.unwrap_or(Err(NoConnection::Unknown)),
+                        Ok(grant) => grant.unwrap_or(Err(NoConnection::Unavailable)),
                         Err(_) => Err(self.state.borrow().overdue(worker)),
                     };
                 }
-                (Asked::Wait(_), None) => return Err(NoConnection::Unknown),
+                (Asked::Wait(_), None) => return Err(NoConnection::Unavailable),
             };
             let held = self.idle.borrow_mut().remove(&id);
-            let Some((_, mut held)) = held else { return Err(NoConnection::Unknown) };
+            let Some((_, mut held)) = held else { return Err(NoConnection::Unavailable) };
             let lease = |held| Lease {
                 pools: self.clone(),
                 worker: worker.clone(),
                 id,
                 held: Some(held),
-                kept: true,
+                is_reused: true,
                 used: false,
             };
             if held.connection.ready(&held.waker) {
@@ -187,7 +187,7 @@
         let (now, mut commands) = (self.clock.now(), Vec::new());
         let lives = held.connection.ready(&held.waker);
         if lives {
-            let placed = self.state.borrow_mut().given_back(now, worker, id, held.opened, &mut commands);
+            let placed = self.state.borrow_mut().released(now, worker, id, held.opened, &mut commands);
             self.placed(&placed, worker, id, held, true);
         } else {
             drop(held);
@@ -203,16 +203,16 @@
         worker: &WorkerId,
         id: ConnectionId,
         mut held: Held,
-        kept: bool,
+        is_reused: bool,
     ) {
         match placed {
             Placed::Granted(waiter) => {
                 let (pools, worker, held) = (self.clone(), worker.clone(), Some(held));
-                self.grant(*waiter, Ok(Lease { pools, worker, id, held, kept, used: false }));
+                self.grant(*waiter, Ok(Lease { pools, worker, id, held, is_reused, used: false }));
             }
             Placed::Idle => {
                 // Polled since it was in use, so that its end is told.
-                if kept || held.connection.ready(&held.waker) {
+                if is_reused || held.connection.ready(&held.waker) {
                     self.idle.borrow_mut().insert(id, (worker.clone(), held));
                 } else {
                     self.state.borrow_mut().ended(worker, id);
@@ -245,7 +245,7 @@
     }
 
     /// What a list says of one worker.
-    pub fn listed(
+    pub fn update_worker(
         self: &Rc<Self>,
         worker: &WorkerId,
         addr: Option<SocketAddr>,
@@ -254,13 +254,13 @@
         gone: bool,
     ) {
         self.change(|state, now, commands| {
-            state.listed(now, worker, addr, started, (wanted, gone), commands);
+            state.update_worker(now, worker, addr, started, (wanted, gone), commands);
         });
     }
 
     /// A whole list has come: those that it does not name are gone.
-    pub fn only(self: &Rc<Self>, named: impl Fn(&str) -> bool) {
-        self.change(|state, _, commands| state.only(named, commands));
+    pub fn retain_workers(self: &Rc<Self>, named: impl Fn(&str) -> bool) {
+        self.change(|state, _, commands| state.retain_workers(named, commands));
     }
 
     /// Where a worker is, as far as it is known.
@@ -274,14 +274,14 @@
     }
 
     /// Where workers are, by the process before this one.
-    pub fn told(self: &Rc<Self>, addrs: &BTreeMap<WorkerId, SocketAddr>) {
-        self.change(|state, now, _| addrs.iter().for_each(|(id, addr)| state.told(now, id, *addr)));
+    pub fn add_addresses(self: &Rc<Self>, addrs: &BTreeMap<WorkerId, SocketAddr>) {
+        self.change(|state, now, _| addrs.iter().for_each(|(id, addr)| state.add_address(now, id, *addr)));
     }
 
     /// Other settings hold from now on, at once for what is idle.
-    pub fn retune(self: &Rc<Self>, settings: Settings) {
+    pub fn set_settings(self: &Rc<Self>, settings: Settings) {
         self.connect.set(settings.connect_timeout);
-        self.change(|state, now, commands| state.retune(now, settings.of_state(), commands));
+        self.change(|state, now, commands| state.set_settings(now, settings.of_state(), commands));
     }
 
     /// From now on `budget` connections at most; those beyond it end with their attempts.
@@ -290,8 +290,8 @@
     }
 
     /// Whether no connection is kept idle any more.
-    pub fn keep_none(self: &Rc<Self>, none: bool) {
-        self.change(|state, _, commands| state.keep_none(none, commands));
+    pub fn set_idle_disabled(self: &Rc<Self>, none: bool) {
+        self.change(|state, _, commands| state.set_idle_disabled(none, commands));
     }
 
     /// What holds for one worker beside the settings that hold for all. A worker that is not known yet is passed over.
@@ -300,8 +300,8 @@
     }
 
     /// Takes a worker out by hand, whatever the lists say, or puts it back.
-    pub fn set_aside(self: &Rc<Self>, worker: &str, out: bool) {
-        self.change(|state, _, commands| state.set_aside(worker, out, commands));
+    pub fn set_worker_disabled(self: &Rc<Self>, worker: &str, out: bool) {
+        self.change(|state, _, commands| state.set_worker_disabled(worker, out, commands));
     }
 
     /// Closes idle connections that are due or that recent demand does not need. To be called about every second.
@@ -310,8 +310,8 @@
     }
 
     /// Nothing came in time for what was sent at `sent`.
-    pub fn silent(&self, worker: &str, sent: Time) {
-        self.state.borrow_mut().silent(self.clock.now(), worker, sent);
+    pub fn request_timed_out(&self, worker: &str, sent: Time) {
+        self.state.borrow_mut().request_timed_out(self.clock.now(), worker, sent);
     }
 
     /// Connections that are open or on their way.
--- a/crates/transport/src/pool/state/connects.rs
+++ b/crates/transport/src/pool/state/connects.rs
@@ -9,10 +9,10 @@
     /// A request needs a connection to `worker`.
     pub fn ask(&mut self, now: Time, worker: &WorkerId, commands: &mut Vec<Command>) -> Asked {
         let (keep, memory) = (self.limits.keep, self.memory());
-        let Some(pool) = self.pools.get_mut(worker) else { return Asked::No(NoConnection::Unknown) };
+        let Some(pool) = self.pools.get_mut(worker) else { return Asked::No(NoConnection::Unavailable) };
         if !pool.wanted || pool.aside {
             // It was told between the decision and this.
-            return Asked::No(NoConnection::Unknown);
+            return Asked::No(NoConnection::Unavailable);
         }
         if pool.suspect.is_none() {
             // The one used last first: the rest stay idle and go.
@@ -62,7 +62,7 @@
             if bound || short {
                 let hope = pool.in_use + pool.connecting > 0;
                 return (!hope).then_some(if bound {
-                    NoConnection::Bound
+                    NoConnection::LimitReached
                 } else {
                     NoConnection::NoDescriptor
                 });
@@ -88,7 +88,7 @@
     /// Why somebody waits for a connection to `worker` for longer than one may take to come up.
     pub fn overdue(&self, worker: &str) -> NoConnection {
         let connects = self.pools.get(worker).is_some_and(|p| p.connecting > 0);
-        if connects { NoConnection::TimedOut } else { NoConnection::Bound }
+        if connects { NoConnection::TimedOut } else { NoConnection::LimitReached }
     }
 
     /// A request waits no more.
--- a/crates/transport/src/pool/state/listing.rs
+++ b/crates/transport/src/pool/state/listing.rs
@@ -7,7 +7,7 @@
 
 impl PoolState {
     /// What a list says of one worker: where it is, when it started, and whether it may be sent to.
-    pub fn listed(
+    pub fn update_worker(
         &mut self,
         now: Time,
         worker: &WorkerId,
@@ -69,7 +69,7 @@
     }
 
     /// Takes a worker out by hand, or puts it back.
-    pub fn set_aside(&mut self, worker: &str, out: bool, commands: &mut Vec<Command>) {
+    pub fn set_worker_disabled(&mut self, worker: &str, out: bool, commands: &mut Vec<Command>) {
         self.pools.get_mut(worker).into_iter().for_each(|pool| pool.aside = out);
         if out {
             self.turn_away(worker, commands);
@@ -77,7 +77,7 @@
     }
 
     /// A whole list has come: those that it does not name are gone.
-    pub fn only(&mut self, named: impl Fn(&str) -> bool, commands: &mut Vec<Command>) {
+    pub fn retain_workers(&mut self, named: impl Fn(&str) -> bool, commands: &mut Vec<Command>) {
         let unnamed: Vec<WorkerId> = self.pools.keys().filter(|id| !named(id)).cloned().collect();
         for worker in unnamed {
             if let Some(pool) = self.pools.get_mut(&worker) {
@@ -88,11 +88,11 @@
     }
 
     /// Where a worker is that no list has named yet.
-    pub fn told(&mut self, now: Time, worker: &WorkerId, addr: SocketAddr) {
+    pub fn add_address(&mut self, now: Time, worker: &WorkerId, addr: SocketAddr) {
         self.pools.entry(worker.clone()).or_insert_with(|| WorkerPool::new(addr, now));
     }
 
-    pub fn retune(&mut self, now: Time, limits: PoolSettings, commands: &mut Vec<Command>) {
+    pub fn set_settings(&mut self, now: Time, limits: PoolSettings, commands: &mut Vec<Command>) {
         self.limits = limits;
         self.sweep(now, commands);
     }
@@ -104,7 +104,7 @@
     }
 
     /// Whether no connection is kept idle any more.
-    pub fn keep_none(&mut self, none: bool, commands: &mut Vec<Command>) {
+    pub fn set_idle_disabled(&mut self, none: bool, commands: &mut Vec<Command>) {
         self.none = none;
         if none {
             let workers: Vec<WorkerId> = self.pools.keys().cloned().collect();
--- a/crates/transport/src/pool/state/outcomes.rs
+++ b/crates/transport/src/pool/state/outcomes.rs
@@ -40,7 +40,7 @@
     }
 
     /// A connection in use is free again; it came up at `opened`.
-    pub fn given_back(
+    pub fn released(
         &mut self,
         now: Time,
         worker: &WorkerId,
@@ -99,7 +99,7 @@
     ) {
         self.connecting -= 1;
         self.open -= 1;
-        let sharers = self.limits.sharers;
+        let gateway_count = self.limits.gateway_count;
         let Some(pool) = self.pools.get_mut(worker) else { return };
         pool.connecting -= 1;
         match why {
@@ -107,7 +107,7 @@
                 pool.counts.refused += 1;
                 if pool.in_use > 0 || !pool.idle.is_empty() {
                     // It lives for those that are there, and has no room for more.
-                    pool.shrink(now, sharers);
+                    pool.shrink(now, gateway_count);
                 }
             }
             NoConnection::TimedOut => {
@@ -117,7 +117,7 @@
             NoConnection::NoDescriptor => {
                 self.close_least_useful(now, commands);
             }
-            NoConnection::Unknown | NoConnection::Bound => {}
+            NoConnection::Unavailable | NoConnection::LimitReached => {}
         }
         // Who still has a connect under way waits for it; who waits for one in use may be far from its turn.
         if let Some(pool) = self.pools.get_mut(worker) {
@@ -140,7 +140,7 @@
     }
 
     /// One that was handed out turned out dead before a byte was written on it.
-    pub fn stale(&mut self, worker: &str) {
+    pub fn found_dead(&mut self, worker: &str) {
         self.pools.get_mut(worker).into_iter().for_each(|p| p.counts.stale += 1);
     }
 
@@ -156,7 +156,7 @@
     }
 
     /// It has answered on a connection that came up at `opened`.
-    pub fn heard(&mut self, now: Time, worker: &str, opened: Time) {
+    pub fn response_received(&mut self, now: Time, worker: &str, opened: Time) {
         if let Some(pool) = self.pools.get_mut(worker) {
             pool.heard = now;
             if pool.suspect.is_some_and(|since| opened < since) {
@@ -167,7 +167,7 @@
 
     /// Nothing came in time for what was sent at `sent`. Where nothing else has come since either, it is
     /// silent and not only slow.
-    pub fn silent(&mut self, now: Time, worker: &str, sent: Time) {
+    pub fn request_timed_out(&mut self, now: Time, worker: &str, sent: Time) {
         if let Some(pool) = self.pools.get_mut(worker)
             && pool.heard < sent
         {
@@ -177,10 +177,10 @@
 
     /// It ended a connection that had just come up and is still counted as in use. With others there it lives
     /// and has no room for more; with none it may as well have ended. `said`: it turned the request away.
-    pub fn no_room(&mut self, now: Time, worker: &str, said: bool) {
-        let sharers = self.limits.sharers;
+    pub fn capacity_reached(&mut self, now: Time, worker: &str, said: bool) {
+        let gateway_count = self.limits.gateway_count;
         if let Some(pool) = self.pools.get_mut(worker).filter(|p| said || p.held() > 1) {
-            pool.shrink(now, sharers);
+            pool.shrink(now, gateway_count);
         }
     }
 }
--- a/crates/transport/src/pool/state/tests.rs
+++ b/crates/transport/src/pool/state/tests.rs
@@ -9,7 +9,7 @@
 const KEEP: f64 = 20.0;
 
 fn limits() -> PoolSettings {
-    PoolSettings { keep: KEEP, sharers: 4 }
+    PoolSettings { keep: KEEP, gateway_count: 4 }
 }
 
 fn addr(port: u16) -> SocketAddr {
@@ -43,7 +43,14 @@
     }
 
     fn list(&mut self, id: &WorkerId, port: u16, started: Time, wanted: bool) {
-        self.state.listed(self.now, id, Some(addr(port)), started, (wanted, false), &mut self.commands);
+        self.state.update_worker(
+            self.now,
+            id,
+            Some(addr(port)),
+            started,
+            (wanted, false),
+            &mut self.commands,
+        );
         self.carry_out();
     }
 
@@ -126,7 +133,7 @@
 
     fn back(&mut self, link: ConnectionId) -> Placed {
         let (worker, opened) = self.in_use.remove(&link).expect("in use");
-        let placed = self.state.given_back(self.now, &worker, link, opened, &mut self.commands);
+        let placed = self.state.released(self.now, &worker, link, opened, &mut self.commands);
         self.placed(&placed, link, worker, opened);
         placed
     }
@@ -175,16 +182,16 @@
         let mut world = World::new(8, 1);
         world.list(&id, 1, 0.0, true);
         if by_hand {
-            world.state.set_aside(&id, true, &mut world.commands);
+            world.state.set_worker_disabled(&id, true, &mut world.commands);
         } else {
             world.list(&id, 1, 0.0, false);
         }
-        assert_eq!(world.ask(&id), Asked::No(NoConnection::Unknown));
+        assert_eq!(world.ask(&id), Asked::No(NoConnection::Unavailable));
         assert_eq!(world.state.open(), 0);
         // Lists do not put back what is out by hand.
         world.list(&id, 1, 0.0, true);
         assert_eq!(matches!(world.ask(&id), Asked::No(_)), by_hand);
-        world.state.set_aside(&id, false, &mut world.commands);
+        world.state.set_worker_disabled(&id, false, &mut world.commands);
         assert!(matches!(world.ask(&id), Asked::Wait(_)));
     }
 }
@@ -236,9 +243,9 @@
                     world.list(id, rng.u16(1..6), started, rng.u32(..4) > 0);
                 }
                 14 => {
-                    world.state.silent(world.now, id, world.now - rng.f64());
-                    world.state.heard(world.now, id, world.now - 5.0 * rng.f64());
-                    world.state.no_room(world.now, id, rng.bool());
+                    world.state.request_timed_out(world.now, id, world.now - rng.f64());
+                    world.state.response_received(world.now, id, world.now - 5.0 * rng.f64());
+                    world.state.capacity_reached(world.now, id, rng.bool());
                     if let Some(link) = pick(&mut rng, &world.idle) {
                         let (worker, _) = world.idle.remove(&link).expect("picked");
                         world.state.ended(&worker, link);
@@ -313,8 +320,8 @@
     let id: WorkerId = "w".into();
     let mut world = World::new(100, 1);
     world.list(&id, 1, 0.0, true);
-    world.state.no_room(world.now, &id, true);
-    assert_eq!(world.ask(&id), Asked::No(NoConnection::Bound), "its share of the time is not now");
+    world.state.capacity_reached(world.now, &id, true);
+    assert_eq!(world.ask(&id), Asked::No(NoConnection::LimitReached), "its share of the time is not now");
     world.now += REGROWTH;
     assert!(matches!(world.ask(&id), Asked::Wait(_)));
 }
@@ -385,14 +392,14 @@
     let sent = world.now;
     world.now += 1.0;
     // Slow, not silent: something else came since.
-    world.state.heard(world.now, &id, sent);
-    world.state.silent(world.now, &id, sent);
+    world.state.response_received(world.now, &id, sent);
+    world.state.request_timed_out(world.now, &id, sent);
     assert!(!world.view(&id).suspect);
     let (sent, asked) = (world.now + 0.1, world.ask(&id));
     assert_eq!(asked, Asked::Use(links[2]));
     world.now += 1.0;
     world.lose(links[2]);
-    world.state.silent(world.now, &id, sent);
+    world.state.request_timed_out(world.now, &id, sent);
     assert!(matches!(world.ask(&id), Asked::Wait(_)), "none of the others is handed out");
     let link = *world.connecting.keys().next().expect("a connect");
     assert!(matches!(world.up(link), Placed::Granted(_)));
@@ -403,9 +410,9 @@
     let links = world.idle(&id, 2);
     world.ask(&id);
     world.now += 1.0;
-    world.state.silent(world.now, &id, world.now - 0.5);
+    world.state.request_timed_out(world.now, &id, world.now - 0.5);
     assert!(world.view(&id).suspect);
-    world.state.heard(world.now, &id, world.now - 5.0);
+    world.state.response_received(world.now, &id, world.now - 5.0);
     assert_eq!(world.ask(&id), Asked::Use(links[0]));
 }
 
@@ -514,7 +521,7 @@
     let Asked::Use(used) = world.ask(&old) else { panic!("one is idle") };
     let new: WorkerId = "new".into();
     world.list(&new, 99, 0.0, true);
-    world.state.only(|id| id == &*new, &mut world.commands);
+    world.state.retain_workers(|id| id == &*new, &mut world.commands);
     world.carry_out();
     assert!(world.idle.is_empty());
     world.sweep();
@@ -534,7 +541,7 @@
     world.carry_out();
     assert_eq!(world.idle.len(), 2);
     world.now += 2.0;
-    world.state.retune(world.now, PoolSettings { keep: 1.0, ..limits() }, &mut world.commands);
+    world.state.set_settings(world.now, PoolSettings { keep: 1.0, ..limits() }, &mut world.commands);
     world.carry_out();
     assert!(world.idle.is_empty());
 }
--- a/crates/transport/src/pool/state/types.rs
+++ b/crates/transport/src/pool/state/types.rs
@@ -47,7 +47,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoConnection {
     /// No list has told where the worker is.
-    Unknown,
+    Unavailable,
     /// The worker refused, or reset what had just come up.
     Refused,
     /// No connection came up in time.
@@ -55,7 +55,7 @@
     /// No descriptor is left, or none within the budget.
     NoDescriptor,
     /// The worker's bound is reached: this says nothing of how it is.
-    Bound,
+    LimitReached,
 }
 
 /// Where a request gets its connection from.
@@ -89,16 +89,16 @@
     /// Seconds that a connection may stand idle.
     pub keep: f64,
     /// How many gatekeepers share the workers' connections.
-    pub sharers: u32,
+    pub gateway_count: u32,
 }
 
 /// What holds for one worker beside the settings that hold for all.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct WorkerLimits {
     /// Connections that this gatekeeper may hold there at most, one at least; `None`: only what is learned counts.
-    pub connections: Option<usize>,
+    pub max_connections: Option<usize>,
     /// Seconds that a connection may stand idle at most; `None`: what holds for all.
-    pub idle: Option<f64>,
+    pub idle_timeout: Option<f64>,
 }
 
 /// How many of each there were since the start.
--- a/crates/transport/src/pool/state/worker.rs
+++ b/crates/transport/src/pool/state/worker.rs
@@ -92,18 +92,18 @@
 
     pub fn bound(&self, now: Time) -> f64 {
         let learned = self.bound * ((now - self.bound_at).max(0.0) / REGROWTH).exp2();
-        let set = self.limits.connections.map_or(UNBOUND, |most| most.max(1) as f64);
+        let set = self.limits.max_connections.map_or(UNBOUND, |most| most.max(1) as f64);
         learned.min(set)
     }
 
     /// How long a connection may stand idle here, where it is `keep` for all.
     pub fn keep(&self, keep: Time) -> Time {
-        self.limits.idle.map_or(keep, |own| own.min(keep))
+        self.limits.idle_timeout.map_or(keep, |own| own.min(keep))
     }
 
     /// The worker had no room: what is held there has to do, and less.
-    pub fn shrink(&mut self, now: Time, sharers: u32) {
-        let least = 1.0 / f64::from(sharers.max(1));
+    pub fn shrink(&mut self, now: Time, gateway_count: u32) {
+        let least = 1.0 / f64::from(gateway_count.max(1));
         let held = (self.held() as f64).max(1.0);
         self.bound = (self.bound(now).min(held) * SHRINK).max(least);
         self.bound_at = now;
@@ -133,7 +133,7 @@
 
     /// Who waits is to choose anew: it was not sent.
     pub fn fail_waiters(&mut self, commands: &mut Vec<Command>) {
-        commands.extend(self.waiters.drain(..).map(|w| Command::Fail(w, NoConnection::Unknown)));
+        commands.extend(self.waiters.drain(..).map(|w| Command::Fail(w, NoConnection::Unavailable)));
     }
 
     pub fn close(&mut self, why: CloseReason) {
--- a/crates/transport/src/server/handler.rs
+++ b/crates/transport/src/server/handler.rs
@@ -33,18 +33,18 @@
     /// Its connection.
     pub peer: Rc<Peer>,
     /// The connection counts as busy as long as anybody holds this, such as a body that still comes.
-    pub in_hand: Rc<dyn Any>,
+    pub busy_guard: Rc<dyn Any>,
     /// New clients are welcome, by this server.
-    pub up: bool,
+    pub is_in_service: bool,
 }
 
 /// The body of an answer, whose connection counts as busy until it has been written.
-pub struct HeldBody<B> {
+pub struct BusyBody<B> {
     pub(super) body: B,
-    pub(super) _in_hand: Rc<dyn Any>,
+    pub(super) _busy_guard: Rc<dyn Any>,
 }
 
-impl<B: Body<Data = Bytes> + Unpin> Body for HeldBody<B> {
+impl<B: Body<Data = Bytes> + Unpin> Body for BusyBody<B> {
     type Data = Bytes;
     type Error = B::Error;
 
--- a/crates/transport/src/server/mod.rs
+++ b/crates/transport/src/server/mod.rs
@@ -8,7 +8,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use handler::{Client, Handler, HeldBody};
+pub use handler::{BusyBody, Client, Handler};
 pub use peer::Peer;
 pub use settings::Settings;
 
@@ -96,7 +96,7 @@
     }
 
     /// This process takes server.
-    pub fn ready(&self) -> bool {
+    pub fn is_accepting(&self) -> bool {
         self.begun.get() && !self.stopping.get() && *self.accepting.borrow()
     }
 
@@ -105,31 +105,36 @@
         self.budget.set(budget);
     }
 
-    /// From now on a head may take `head_time` to come, and a connection stand idle for `idle_time`. One that is idle
+    /// From now on a head may take `head_timeout` to come, and a connection stand idle for `idle_timeout`. One that is idle
     /// already may go on for as long as it might before, if that was longer.
-    pub fn set_times(&self, head_time: Duration, idle_time: Duration) {
-        self.settings.set(Settings { head_time, first_time: idle_time, idle_time, ..self.settings.get() });
+    pub fn set_times(&self, head_timeout: Duration, idle_timeout: Duration) {
+        self.settings.set(Settings {
+            head_timeout,
+            first_head_timeout: idle_timeout,
+            idle_timeout,
+            ..self.settings.get()
+        });
     }
 
     /// Accepts no more: another process of this gatekeeper is about to.
-    pub fn hand_over(&self) {
+    pub fn stop_accepting(&self) {
         self.accepting.send_replace(false);
     }
 
     /// That one serves: clients go to it as their connections end.
-    pub fn leave(self: &Rc<Self>) {
+    pub fn drain(self: &Rc<Self>) {
         self.handed_over.set(true);
         self.shed();
     }
 
     /// That one has ended: this one accepts again.
-    pub fn take_back(&self) {
+    pub fn resume_accepting(&self) {
         self.handed_over.set(false);
         self.accepting.send_replace(true);
     }
 
     /// Waits until another process has taken over, and no client has been left here for `settled`.
-    pub async fn all_left(&self, settled: Duration) {
+    pub async fn drained(&self, settled: Duration) {
         loop {
             let gone = || self.handed_over.get() && self.connections() == 0;
             while !gone() {
@@ -144,13 +149,13 @@
     }
 
     /// Whether an operator has clients sent away.
-    pub fn sends_away(&self) -> bool {
+    pub fn is_out_of_service(&self) -> bool {
         self.out_of_service.get()
     }
 
     /// Sends clients away, or ends that: meanwhile `/up` says no, each answer closes its connection, and
     /// idle ones are closed.
-    pub fn send_away(self: &Rc<Self>, away: bool) {
+    pub fn set_out_of_service(self: &Rc<Self>, away: bool) {
         self.out_of_service.set(away);
         self.shed();
     }
@@ -178,7 +183,7 @@
     }
 
     /// Whether the front is to send server. One that has handed over speaks for the process that serves.
-    fn up(&self) -> bool {
+    fn is_in_service(&self) -> bool {
         !self.out_of_service.get() && (self.handed_over.get() || !self.stopping.get())
     }
 
@@ -193,7 +198,7 @@
     }
 
     /// Waits until a connection ends.
-    pub async fn one_ended(&self) {
+    pub async fn connection_closed(&self) {
         self.connection_ended.notified().await;
     }
 
@@ -257,7 +262,7 @@
             // Without this an answer might wait for the acknowledgement of the one before.
             let _ = socket.set_nodelay(true);
             let mut builder = Builder::new();
-            builder.max_buf_size(server.settings.get().longest_head).auto_date_header(false);
+            builder.max_buf_size(server.settings.get().max_head_bytes).auto_date_header(false);
             let socket = Rc::new(RefCell::new(socket));
             let service = service_fn(|request| {
                 let (server, peer, socket) = (server.clone(), peer.clone(), socket.clone());
@@ -285,7 +290,7 @@
                     () = tokio::time::sleep(LAST_ANSWER_TIMEOUT) => {}
                 }
                 let owed = peer.busy() || peer.head.get().is_some();
-                if !owed || peer.taken.get().elapsed() >= server.settings.get().untaken_time {
+                if !owed || peer.taken.get().elapsed() >= server.settings.get().write_stall_timeout {
                     return;
                 }
             }
@@ -297,23 +302,27 @@
         request: Request<Incoming>,
         peer: &Rc<Peer>,
         socket: &RefCell<TcpStream>,
-    ) -> Response<HeldBody<H::Body>> {
+    ) -> Response<BusyBody<H::Body>> {
         peer.head.set(None);
         peer.head_complete.notify_one();
         peer.taken.set(Instant::now());
         // Also when the client goes and this is dropped half way.
-        let in_hand: Rc<dyn Any> = Rc::new(Busy::new(peer));
+        let busy_guard: Rc<dyn Any> = Rc::new(Busy::new(peer));
         if !peer.used() && has_ended(socket).await {
             // It went before its request was read. The task that serves it ends with the same look.
             return pending().await;
         }
-        let client = Client { peer: peer.clone(), in_hand: in_hand.clone(), up: self.up() };
+        let client = Client {
+            peer: peer.clone(),
+            busy_guard: busy_guard.clone(),
+            is_in_service: self.is_in_service(),
+        };
         let mut response = self.handler.handle(request, client).await;
         if self.closing() {
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         peer.taken.set(Instant::now());
-        response.map(|body| HeldBody { body, _in_hand: in_hand })
+        response.map(|body| BusyBody { body, _busy_guard: busy_guard })
     }
 }
 
--- a/crates/transport/src/server/peer.rs
+++ b/crates/transport/src/server/peer.rs
@@ -47,7 +47,7 @@
     /// The server's, which may change meanwhile.
     settings: Rc<Cell<Settings>>,
     /// How long it may stand idle by the settings that held when it last had something in hand: its client may go by them.
-    idle_time: Cell<Duration>,
+    idle_timeout: Cell<Duration>,
     /// Requests on it that are in hand: the rest of one that is answered may still be coming to its end when the
     /// next has come.
     pub(super) in_hand: Cell<usize>,
@@ -73,13 +73,13 @@
 impl Peer {
     pub(super) fn new(settings: Rc<Cell<Settings>>) -> Self {
         let now = Instant::now();
-        let idle_time = Cell::new(settings.get().idle_time);
+        let idle_timeout = Cell::new(settings.get().idle_timeout);
         let (in_hand, used, untaken, evicted) = Default::default();
         let (since, head, taken) = (Cell::new(now), Cell::new(None), Cell::new(now));
         let (close, head_complete, head_begun, evict) = Default::default();
         Self {
             settings,
-            idle_time,
+            idle_timeout,
             in_hand,
             since,
             used,
@@ -105,7 +105,7 @@
     }
 
     /// A proper request has come on it, whole as far as it is gathered.
-    pub fn use_it(&self) {
+    pub fn mark_used(&self) {
         self.used.set(true);
     }
 
@@ -136,37 +136,37 @@
     /// It may be idle from now on.
     fn rest(&self) {
         self.since.set(Instant::now());
-        self.idle_time.set(self.settings.get().idle_time);
+        self.idle_timeout.set(self.settings.get().idle_timeout);
     }
 
     /// The longest that it may stand idle: a limit that has become shorter holds from its next request on.
     pub(super) fn idle_limit(&self) -> Duration {
-        self.idle_time.get().max(self.settings.get().idle_time)
+        self.idle_timeout.get().max(self.settings.get().idle_timeout)
     }
 
     /// One that has just come, or just had its answer, may have a request on its way.
     pub(super) fn idle(&self) -> bool {
-        let spare_time = self.settings.get().spare_time;
-        !self.busy() && self.head.get().is_none() && self.since.get().elapsed() > spare_time
+        let eviction_min_idle = self.settings.get().eviction_min_idle;
+        !self.busy() && self.head.get().is_none() && self.since.get().elapsed() > eviction_min_idle
     }
 
     /// Whether it may be ended at once to make room for another, and how soon before others: never while a request of
     /// its is under way.
     pub(super) fn eviction_rank(&self, now: Instant) -> Option<EvictionRank> {
-        let spare_time = self.settings.get().spare_time;
+        let eviction_min_idle = self.settings.get().eviction_min_idle;
         let (kind, since, min_age) = match (self.in_hand.get() > 0, self.head.get()) {
             _ if self.evicted.get() => return None,
             _ if self.untaken.get() => (Kind::Unread, self.taken.get(), UNREAD_TIMEOUT),
             (true, _) if self.used.get() => return None,
-            (true, None) => (Kind::HalfRequest, self.since.get(), spare_time),
-            (_, Some(head)) => (Kind::HalfRequest, head, spare_time),
+            (true, None) => (Kind::HalfRequest, self.since.get(), eviction_min_idle),
+            (_, Some(head)) => (Kind::HalfRequest, head, eviction_min_idle),
             (false, None) if self.used.get() => (Kind::Kept, self.since.get(), Duration::ZERO),
             (false, None) => (Kind::NothingReceived, self.since.get(), NEW_CONNECTION_GRACE),
         };
         let age = now.saturating_duration_since(since);
         let kind = match kind {
-            Kind::Kept if age < spare_time => Kind::JustUsed,
-            Kind::NothingReceived if age < spare_time => Kind::Fresh,
+            Kind::Kept if age < eviction_min_idle => Kind::JustUsed,
+            Kind::NothingReceived if age < eviction_min_idle => Kind::Fresh,
             kind => kind,
         };
         (age >= min_age).then_some(EvictionRank { kind, since })
@@ -201,12 +201,12 @@
     pub(super) async fn overdue(&self) {
         loop {
             let settings = self.settings.get();
-            let first = self.since.get() + settings.first_time;
+            let first = self.since.get() + settings.first_head_timeout;
             let until = match (self.busy(), self.head.get()) {
-                (true, _) if self.untaken.get() => self.taken.get() + settings.untaken_time,
+                (true, _) if self.untaken.get() => self.taken.get() + settings.write_stall_timeout,
                 (true, _) => Instant::now() + BUSY_CHECK_INTERVAL,
-                (false, Some(head)) if self.used.get() => head + settings.head_time,
-                (false, Some(head)) => first.min(head + settings.head_time),
+                (false, Some(head)) if self.used.get() => head + settings.head_timeout,
+                (false, Some(head)) => first.min(head + settings.head_timeout),
                 (false, None) if self.used.get() => self.since.get() + self.idle_limit(),
                 (false, None) => first,
             };
--- a/crates/transport/src/server/settings.rs
+++ b/crates/transport/src/server/settings.rs
@@ -6,15 +6,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Settings {
     /// Longest head of a request, in bytes.
-    pub longest_head: usize,
+    pub max_head_bytes: usize,
     /// Longest time for a head to come, from its first byte on.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Longest time for the first head on a connection to come, from the connection's beginning on.
-    pub first_time: Duration,
+    pub first_head_timeout: Duration,
     /// Longest time for a connection to stand idle between requests.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
     /// A connection that has carried nothing for so long may be closed to make room.
-    pub spare_time: Duration,
+    pub eviction_min_idle: Duration,
     /// An answer of which its client takes nothing for so long is given up.
-    pub untaken_time: Duration,
+    pub write_stall_timeout: Duration,
 }
--- a/crates/transport/tests/idle_clients.rs
+++ b/crates/transport/tests/idle_clients.rs
@@ -22,12 +22,12 @@
 
 fn settings() -> Settings {
     Settings {
-        longest_head: 16 * 1024,
-        head_time: HOUR,
-        first_time: HOUR,
-        idle_time: HOUR,
-        spare_time: Duration::from_millis(50),
-        untaken_time: HOUR,
+        max_head_bytes: 16 * 1024,
+        head_timeout: HOUR,
+        first_head_timeout: HOUR,
+        idle_timeout: HOUR,
+        eviction_min_idle: Duration::from_millis(50),
+        write_stall_timeout: HOUR,
     }
 }
 
@@ -41,7 +41,7 @@
     type Body = Full<Bytes>;
 
     async fn handle(&self, _request: Request<Incoming>, client: Client) -> Response<Full<Bytes>> {
-        client.peer.use_it();
+        client.peer.mark_used();
         self.seen.set(self.seen.get() + 1);
         let _ = self.open.clone().wait_for(|open| *open).await;
         Response::new(Full::from("ok"))
