--- a/crates/transport/src/body/buffer.rs
+++ b/crates/transport/src/body/buffer.rs
@@ -1,15 +1,15 @@
-//! Bytes of bodies that are buffered in memory, within a budget of the whole process.
+//! Buffering of bodies in memory, within a budget for the whole process.
 
 use super::MAX_BUFFERED_BYTES;
 use bytes::{Bytes, BytesMut};
 use std::{cell::Cell, collections::VecDeque, rc::Rc};
 
-/// Bytes that the process may still buffer, of all bodies together. Clones share one budget.
+/// The number of bytes that may still be buffered, for all bodies together. Clones share one budget.
 #[derive(Clone)]
 pub struct MemoryBudget(Rc<Cell<usize>>);
 
 impl MemoryBudget {
-    /// A budget of so many bytes.
+    /// Creates a budget of `bytes` bytes.
     #[must_use]
     pub fn new(bytes: usize) -> Self {
         Self(Rc::new(Cell::new(bytes)))
@@ -19,7 +19,7 @@
         self.0.get()
     }
 
-    /// Takes so many bytes, or all that are left.
+    /// Reserves `bytes` bytes, or what is available if that is less. Returns the number of bytes reserved.
     fn reserve(&self, bytes: usize) -> usize {
         let reserved = bytes.min(self.0.get());
         self.0.set(self.0.get() - reserved);
@@ -31,34 +31,34 @@
     }
 }
 
-/// The buffered beginning of a body. Its bytes go back to the budget when it is dropped.
+/// The buffered beginning of a body. Dropping it releases its bytes to the budget.
 pub struct BodyBuffer {
     budget: MemoryBudget,
-    /// Bytes taken from the budget.
+    /// Bytes reserved from the budget.
     reserved: usize,
     pub(super) chunks: VecDeque<Bytes>,
 }
 
 impl BodyBuffer {
-    /// An empty buffer on this budget.
+    /// Creates an empty buffer that reserves its bytes from `budget`.
     #[must_use]
     pub fn new(budget: &MemoryBudget) -> Self {
         Self { budget: budget.clone(), reserved: 0, chunks: VecDeque::new() }
     }
 
-    /// Whether so many more bytes may be buffered.
+    /// Whether `more` further bytes may be buffered.
     #[must_use]
     pub fn fits(&self, more: usize) -> bool {
         self.reserved + more <= MAX_BUFFERED_BYTES && more <= self.budget.available()
     }
 
-    /// Adds a chunk, also one that does not fit: that has to be the last, and what follows streams.
+    /// Appends a chunk. One that does not fit has to be the last; the rest of the body is forwarded in chunks.
     pub fn push(&mut self, chunk: Bytes) {
         self.reserved += self.budget.reserve(chunk.len());
         self.chunks.push_back(chunk);
     }
 
-    /// Bytes buffered.
+    /// Returns the number of bytes buffered.
     #[must_use]
     pub fn len(&self) -> u64 {
         self.chunks.iter().map(|chunk| chunk.len() as u64).sum()
@@ -70,7 +70,7 @@
         self.chunks.iter().all(Bytes::is_empty)
     }
 
-    /// Makes one chunk of all, which is cheap to send more than once.
+    /// Joins all chunks into one, which can be sent several times without copying.
     pub(super) fn coalesce(&mut self) {
         if self.chunks.len() < 2 {
             return;
@@ -82,7 +82,7 @@
         self.chunks.push_back(joined.freeze());
     }
 
-    /// The bytes of a coalesced buffer.
+    /// Returns the bytes of a coalesced buffer.
     #[must_use]
     pub fn bytes(&self) -> Bytes {
         self.chunks.front().cloned().unwrap_or_default()
--- a/crates/transport/src/body/forwarding.rs
+++ b/crates/transport/src/body/forwarding.rs
@@ -1,4 +1,4 @@
-//! How far an answer has come that is passed on in chunks.
+//! Progress of a response that is forwarded in chunks.
 
 use super::MAX_BUFFERED_BYTES;
 use std::{
@@ -6,37 +6,39 @@
     time::{Duration, Instant},
 };
 
-/// The progress of an answer that is passed on to its client in chunks.
+/// The progress of a response that is forwarded to its client in chunks. A response of at most [`MAX_BUFFERED_BYTES`]
+/// is short and due as a whole; a longer one is not.
 #[derive(Debug)]
 pub struct Forwarding {
-    /// Bytes that it may still bring and be a short one, which is due as a whole; `None`: it is a long one.
+    /// Number of further bytes with which the response still counts as short; `None` if it is long.
     short_remaining: Cell<Option<usize>>,
-    /// Since when its worker is waited for; `None`: its client is.
+    /// Since when the worker has been waited for; `None` while the client is waited for.
     waiting_since: Cell<Option<Instant>>,
 }
 
 impl Forwarding {
-    /// An answer of `length` bytes, where that is known, of which `received` have come, the last ones at `last`.
+    /// Creates the progress of a response of `length` bytes, if that is known, of which `received` bytes have been
+    /// received, the last ones at `last_received_at`.
     #[must_use]
-    pub fn new(length: Option<u64>, received: usize, last: Instant) -> Self {
+    pub fn new(length: Option<u64>, received: usize, last_received_at: Instant) -> Self {
         let may_be_short = length.is_none_or(|length| length <= MAX_BUFFERED_BYTES as u64);
         let short_remaining = if may_be_short { MAX_BUFFERED_BYTES.checked_sub(received) } else { None };
-        Self { short_remaining: Cell::new(short_remaining), waiting_since: Cell::new(Some(last)) }
+        Self { short_remaining: Cell::new(short_remaining), waiting_since: Cell::new(Some(last_received_at)) }
     }
 
-    /// The client has taken what came: the worker is waited for from now on.
+    /// Records that the client has accepted all bytes received: the worker is waited for from now on.
     pub fn delivered(&self) {
         self.waiting_since.set(Some(Instant::now()));
     }
 
-    /// The worker has sent so many bytes more.
+    /// Records that the worker has sent `bytes` further bytes.
     pub fn received(&self, bytes: usize) {
         self.waiting_since.set(None);
         self.short_remaining
             .set(self.short_remaining.get().and_then(|remaining| remaining.checked_sub(bytes)));
     }
 
-    /// How long a short answer has been waiting for its worker by now; `None`: it is a long one.
+    /// Returns for how long a short response has been waiting for its worker; `None` for a long response.
     #[must_use]
     pub fn stalled(&self) -> Option<Duration> {
         self.short_remaining.get()?;
--- a/crates/transport/src/body/mod.rs
+++ b/crates/transport/src/body/mod.rs
@@ -1,4 +1,4 @@
-//! Bodies on their way through: short ones are buffered completely, longer ones are passed on in chunks.
+//! Request and response bodies: short ones are buffered completely, longer ones are forwarded in chunks.
 
 mod buffer;
 mod discard;
@@ -22,19 +22,19 @@
 use hyper::body::Frame;
 use std::{io, task::Poll, time::Duration};
 
-/// Bytes of a body that are buffered, either way: a longer body is passed on in chunks.
+/// Maximum number of bytes of a request or response body that are buffered. A longer body is forwarded in chunks.
 pub const MAX_BUFFERED_BYTES: usize = 64 * 1024;
-/// Bytes of a request's body; a longer one is rejected.
+/// Maximum length of a request's body in bytes. A request with a longer one is rejected.
 pub const MAX_BODY_BYTES: u64 = 32 << 20;
-/// Bytes a second that a client has to send of a body at least ...
+/// Minimum rate at which a client has to send a body, in bytes per second.
 const MIN_UPLOAD_RATE: f64 = 24.0 * 1024.0;
-/// ... and the longest that a reader waits for the next ones.
+/// Longest wait for the next bytes of a body.
 const UPLOAD_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What polling a body for its next frame returns.
+/// The result of polling a body for its next frame.
 type FramePoll = Poll<Option<Result<Frame<Bytes>, io::Error>>>;
 
-/// How long so many bytes may take a client at the slowest.
+/// Returns the time that `bytes` take at [`MIN_UPLOAD_RATE`].
 fn time_at_min_rate(bytes: u64) -> Duration {
     Duration::from_secs_f64(bytes as f64 / MIN_UPLOAD_RATE)
 }
--- a/crates/transport/src/body/receive.rs
+++ b/crates/transport/src/body/receive.rs
@@ -10,27 +10,28 @@
 };
 use tokio::{sync::mpsc, time::timeout_at};
 
-/// Why a request's body could not be received.
+/// Why a request body could not be received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyError {
-    /// It is longer than [`MAX_BODY_BYTES`].
+    /// The body is longer than [`MAX_BODY_BYTES`].
     TooLong,
-    /// It came slower than it has to.
+    /// The client sent the body too slowly.
     TooSlow,
-    /// The connection broke, or what came is no body.
+    /// The connection failed, or the body's framing is invalid.
     Broken,
 }
 
-/// A request's body, buffered as far as it may be.
+/// A request body, of which as much is buffered as the limits allow.
 pub enum ReceivedBody {
-    /// All of it, in one chunk.
+    /// The complete body in one chunk.
     Complete(BodyBuffer),
-    /// Its beginning, and the rest as it comes.
+    /// The buffered beginning, and the rest as it is received.
     Streaming(Upload),
 }
 
-/// Receives a request's body, for `grace` and as long as its bytes may take at the slowest. A body that is not read to its
-/// end goes to `discards` with its `guard`.
+/// Receives a request body until it is complete or no more of it may be buffered. The time-out is `grace` plus the time
+/// that the received bytes take at the minimum rate. If an [`Upload`] is dropped before its end, its rest is sent to
+/// `discards` together with `guard`.
 ///
 /// # Errors
 /// The body is too long, too slow or broken.
@@ -48,15 +49,15 @@
     let started = Instant::now();
     let mut received = 0;
     let mut buffer = BodyBuffer::new(budget);
-    // One that is known not to fit need not be waited for.
+    // A body that is known not to fit into the buffer is forwarded without waiting for more of it.
     while declared.is_none_or(|length| buffer.fits((length - received) as usize)) && buffer.fits(1) {
-        let until = started + grace + time_at_min_rate(received);
-        let frame = timeout_at(until.into(), body.frame()).await.map_err(|_| BodyError::TooSlow)?;
+        let deadline = started + grace + time_at_min_rate(received);
+        let frame = timeout_at(deadline.into(), body.frame()).await.map_err(|_| BodyError::TooSlow)?;
         let Some(frame) = frame else {
             buffer.coalesce();
             return Ok(ReceivedBody::Complete(buffer));
         };
-        // Trailers are no part of the body.
+        // Trailers are not part of the body.
         if let Ok(data) = frame.map_err(|_| BodyError::Broken)?.into_data() {
             received += data.len() as u64;
             buffer.push(data);
@@ -64,7 +65,7 @@
     }
     let remaining = declared.map(|length| length - received);
     if remaining == Some(0) {
-        // It fills the buffer to the byte: no further frame tells its end.
+        // The body fills the buffer exactly, so the loop ended before the frame that marks the body's end.
         buffer.coalesce();
         return Ok(ReceivedBody::Complete(buffer));
     }
@@ -78,7 +79,7 @@
         discards,
         guard,
         grace,
-        waited: started.elapsed(),
+        total_wait: started.elapsed(),
         wait: None,
     }))
 }
--- a/crates/transport/src/body/request_body.rs
+++ b/crates/transport/src/body/request_body.rs
@@ -1,4 +1,4 @@
-//! The body of a request on its way to a worker.
+//! The body of a request that is sent to a worker.
 
 use super::{FramePoll, Upload};
 use crate::connection::Progress;
@@ -11,16 +11,16 @@
     task::{Context, Poll},
 };
 
-/// A request's body as a worker gets it.
+/// The body of a request that is sent to a worker.
 pub enum RequestBody {
-    /// All of it, until it has been given.
+    /// The complete body; `None` if it is empty or has been sent.
     Complete(Option<Bytes>),
-    /// A body that a client is still sending; the progress is marked at its end.
+    /// A body that the client is still sending, and the write progress in which its end is recorded.
     Streaming(Box<Upload>, Rc<Progress>),
 }
 
 impl RequestBody {
-    /// No body.
+    /// Creates an empty body.
     #[must_use]
     pub fn empty() -> Self {
         Self::Complete(None)
--- a/crates/transport/src/body/response_body.rs
+++ b/crates/transport/src/body/response_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer on its way to a client.
+//! The body of a response that is sent to a client.
 
 use super::{BodyBuffer, FramePoll};
 use bytes::Bytes;
@@ -10,45 +10,45 @@
 };
 use tokio::sync::mpsc;
 
-/// What follows the buffered beginning of a long answer.
+/// A part of a response that follows its buffered beginning.
 pub enum Chunk {
-    /// Some of its bytes.
+    /// The next bytes of the body.
     Data(Bytes),
-    /// Its end: without this the answer has broken off.
+    /// The end of the body. If the sender is dropped before this, the response is truncated.
     End,
 }
 
-/// An answer's body as a client gets it.
+/// The body of a response that is sent to a client.
 pub struct ResponseBody {
     buffer: Option<BodyBuffer>,
     rest: Option<mpsc::Receiver<Chunk>>,
-    /// Bytes still to be given, where that is known.
+    /// Bytes still to be sent, if the length is known.
     remaining: Option<u64>,
-    /// The worker's answer has broken off.
-    is_broken: bool,
+    /// The worker's response ended before its end.
+    is_truncated: bool,
 }
 
 impl ResponseBody {
-    /// A complete body.
+    /// Creates a body that is completely buffered.
     #[must_use]
     pub fn complete(buffer: BodyBuffer) -> Self {
         let remaining = Some(buffer.len());
-        Self { buffer: Some(buffer), rest: None, remaining, is_broken: false }
+        Self { buffer: Some(buffer), rest: None, remaining, is_truncated: false }
     }
 
-    /// No body.
+    /// Creates an empty body.
     #[must_use]
     pub fn empty() -> Self {
-        Self { buffer: None, rest: None, remaining: Some(0), is_broken: false }
+        Self { buffer: None, rest: None, remaining: Some(0), is_truncated: false }
     }
 
-    /// The buffer and then the chunks; `length` bytes in all, where that is known.
+    /// Creates a body that consists of `buffer` and the chunks of `rest`, with `length` bytes in all, if that is known.
     #[must_use]
     pub fn streaming(buffer: BodyBuffer, rest: mpsc::Receiver<Chunk>, length: Option<u64>) -> Self {
-        Self { buffer: Some(buffer), rest: Some(rest), remaining: length, is_broken: false }
+        Self { buffer: Some(buffer), rest: Some(rest), remaining: length, is_truncated: false }
     }
 
-    /// The next data; `None` at the body's end.
+    /// Polls for the next data; `None` at the body's end.
     fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
         if let Some(chunk) = self.buffer.as_mut().and_then(|buffer| buffer.chunks.pop_front()) {
             return Poll::Ready(Some(Ok(chunk)));
@@ -61,14 +61,14 @@
                 self.rest = None;
                 Poll::Ready(None)
             }
-            // What has come of it goes out first, head and all: otherwise its client would see a connection that closes
-            // on its request without a word.
-            None if !self.is_broken => {
-                self.is_broken = true;
+            // Lets the head and the data so far be written first. Otherwise the connection would close without any
+            // response to the client.
+            None if !self.is_truncated => {
+                self.is_truncated = true;
                 cx.waker().wake_by_ref();
                 Poll::Pending
             }
-            // The client can tell by the framing that it is incomplete.
+            // The client recognises by the framing that the response is incomplete.
             None => Poll::Ready(Some(Err(ErrorKind::UnexpectedEof.into()))),
         }
     }
--- a/crates/transport/src/body/upload.rs
+++ b/crates/transport/src/body/upload.rs
@@ -1,4 +1,4 @@
-//! A body that a client is still sending.
+//! A request body that a client is still sending.
 
 use super::{BodyBuffer, DiscardedBody, FramePoll, MAX_BODY_BYTES, UPLOAD_IDLE_TIMEOUT, time_at_min_rate};
 use bytes::Bytes;
@@ -17,24 +17,26 @@
     time::{Sleep, sleep},
 };
 
-/// A body that a client is still sending: what is buffered of it, and the rest as it comes. Dropped before its end, the rest
-/// is discarded.
+/// A request body that a client is still sending: the buffered beginning, and the rest as it is received. If it is
+/// dropped before its end, the rest is read and discarded.
 pub struct Upload {
     pub(super) buffer: BodyBuffer,
     /// Bytes received so far.
     pub(super) received: u64,
-    /// Bytes still to come, where that is known.
+    /// Bytes still to be received, if the length is known.
     pub(super) remaining: Option<u64>,
+    /// The part that has not been received; `None` at the body's end or after a failure.
     pub(super) rest: Option<Incoming>,
-    /// Called once the last byte has come.
+    /// Called once the last byte has been received.
     pub(super) on_end: Option<Box<dyn FnOnce()>>,
     pub(super) discards: mpsc::UnboundedSender<DiscardedBody>,
     pub(super) guard: Rc<dyn Any>,
-    /// How long the reader may wait for the client, beside the time that its bytes may take.
+    /// How long the reader may wait for the client in all, in addition to the time that the received bytes take at the
+    /// minimum rate.
     pub(super) grace: Duration,
-    /// How long the reader has waited.
-    pub(super) waited: Duration,
-    /// The wait that is under way.
+    /// Duration of all finished waits for the client.
+    pub(super) total_wait: Duration,
+    /// The current wait for the client.
     pub(super) wait: Option<Wait>,
 }
 
@@ -45,7 +47,7 @@
 }
 
 impl Upload {
-    /// Calls this once the last byte has come.
+    /// Sets a function that is called once the last byte has been received.
     pub fn on_end(&mut self, callback: impl FnOnce() + 'static) {
         self.on_end = Some(Box::new(callback));
     }
@@ -57,11 +59,11 @@
         }
     }
 
-    /// Waits for the client, until its time is up. Time counts only while the reader waits: a slow worker is not the
-    /// client's fault.
+    /// Waits for the client, until its time-out. Only the time in which the reader waits counts, so that a slow worker
+    /// does not use up the client's time.
     fn poll_wait(&mut self, cx: &mut Context<'_>) -> FramePoll {
         let allowed = self.grace + time_at_min_rate(self.received);
-        let limit = allowed.saturating_sub(self.waited).min(UPLOAD_IDLE_TIMEOUT);
+        let limit = allowed.saturating_sub(self.total_wait).min(UPLOAD_IDLE_TIMEOUT);
         let wait =
             self.wait.get_or_insert_with(|| Wait { since: Instant::now(), timeout: Box::pin(sleep(limit)) });
         match wait.timeout.as_mut().poll(cx) {
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Counts received data; fails where the body has become too long.
+    /// Counts received data. Fails if the body is longer than [`MAX_BODY_BYTES`].
     fn count(&mut self, data: &Bytes) -> io::Result<()> {
         self.received += data.len() as u64;
         if self.received > MAX_BODY_BYTES {
@@ -100,7 +102,7 @@
                 return self.poll_wait(cx);
             };
             if let Some(wait) = self.wait.take() {
-                self.waited += wait.since.elapsed();
+                self.total_wait += wait.since.elapsed();
             }
             match frame {
                 None => {
@@ -112,7 +114,7 @@
                     return Poll::Ready(Some(Err(io::Error::other(error))));
                 }
                 Some(Ok(frame)) => {
-                    // Trailers are no part of the body.
+                    // Trailers are not part of the body.
                     let Ok(data) = frame.into_data() else { continue };
                     return Poll::Ready(Some(self.count(&data).map(|()| Frame::data(data))));
                 }
@@ -129,7 +131,7 @@
 impl Drop for Upload {
     fn drop(&mut self) {
         if let Some(body) = self.rest.take() {
-            // Where nobody discards bodies any more, the process ends.
+            // The receiver is dropped only when the process ends.
             let _ = self.discards.send(DiscardedBody { body, guard: self.guard.clone() });
         }
     }
--- a/crates/transport/src/clock.rs
+++ b/crates/transport/src/clock.rs
@@ -1,41 +1,42 @@
-//! The one clock of a process.
+//! The monotonic clock that all parts of a process share.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Seconds since the origin of a [`Clock`].
 pub type Time = f64;
 
-/// Seconds that never go back, by the steady clock.
+/// A clock whose time in seconds never decreases, based on the system's monotonic clock.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
-    start: Instant,
+    started_at: Instant,
     origin: Time,
 }
 
 impl Clock {
-    /// Counts from the Unix epoch: the system's clock is read once, now, and never again.
+    /// A clock with the Unix epoch as its origin. The system's time of day is read only here, so later adjustments of
+    /// it have no effect.
     #[must_use]
     pub fn unix() -> Self {
         let origin = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64();
-        Self { start: Instant::now(), origin }
+        Self { started_at: Instant::now(), origin }
     }
 
-    /// Counts from now on; the time of day is not read.
+    /// A clock with the present moment as its origin. Does not read the time of day.
     #[must_use]
     pub fn monotonic() -> Self {
-        Self { start: Instant::now(), origin: 0.0 }
+        Self { started_at: Instant::now(), origin: 0.0 }
     }
 
-    /// The time now.
+    /// Returns the seconds since the origin.
     #[must_use]
     pub fn now(&self) -> Time {
-        self.origin + self.start.elapsed().as_secs_f64()
+        self.origin + self.started_at.elapsed().as_secs_f64()
     }
 
-    /// The instant of `at`.
+    /// Converts a time of this clock to an [`Instant`], limited to the range from the origin to 1e9 s after it.
     #[must_use]
     pub fn instant(&self, at: Time) -> Instant {
-        let ahead = (at - self.origin).clamp(0.0, 1e9);
-        self.start + Duration::from_secs_f64(ahead)
+        let offset = (at - self.origin).clamp(0.0, 1e9);
+        self.started_at + Duration::from_secs_f64(offset)
     }
 }
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -1,7 +1,7 @@
-//! One HTTP connection to a server, which knows how much of a request has been written to it.
+//! A client connection over HTTP/1.1 that tracks how much of the current request has been written to the socket.
 //!
-//! The connection has no task of its own: whoever holds it drives it, so dropping it closes the socket at
-//! once, and nothing can be sent again behind the holder's back.
+//! The connection has no task of its own: its owner polls it. Dropping it therefore closes the socket at once, and
+//! nothing is sent or retried unless the owner asks for it.
 
 use crate::body::RequestBody;
 use bytes::{Bytes, BytesMut};
@@ -25,104 +25,108 @@
     net::{TcpSocket, TcpStream},
 };
 
-/// Most bytes of a body that is read whole.
-const MAX_BODY: usize = 4 << 20;
-/// Most bytes that a connection buffers either way, and longest head.
-const BUFFER: usize = 16 * 1024;
+/// Longest body that [`Connection::read_to_end`] accepts, in bytes.
+const MAX_BODY_BYTES: usize = 4 << 20;
+/// Largest read or write buffer of a connection, and thereby the longest response head, in bytes.
+const MAX_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Connects a socket that holds no small writes back. That is set before it connects: bytes that are still held back when
-/// a connection is reset go with it.
+/// Connects a TCP socket with `TCP_NODELAY`. The option is set before connecting, since bytes that Nagle's algorithm
+/// still delays are lost when the connection is reset.
 ///
 /// # Errors
-/// The system's, as it gives them.
+/// The error of the system call that failed.
 pub async fn connect(addr: SocketAddr) -> io::Result<TcpStream> {
     let socket = if addr.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_nodelay(true)?;
     socket.connect(addr).await
 }
 
-/// How much of the present request has been written to the socket.
+/// How much of the current request has been written to the socket.
 #[derive(Debug, Default)]
 pub struct Progress {
-    /// Bytes of its body; `None`: it goes in chunks.
-    body: Cell<Option<u64>>,
+    /// Length of the request's body in bytes; `None` with chunked transfer encoding.
+    body_length: Cell<Option<u64>>,
+    /// Bytes of head and body that the socket has accepted.
     written: Cell<u64>,
-    /// Bytes of the head, known from the first write on, which begins with the whole of it.
-    head: Cell<Option<u64>>,
-    /// The body's last chunk has been made.
-    ended: Cell<bool>,
-    /// All has been written that there was to write since then.
+    /// Length of the request's head in bytes; `None` before the first write, which contains the complete head.
+    head_length: Cell<Option<u64>>,
+    /// Whether the body has produced its last frame.
+    body_ended: Cell<bool>,
+    /// Whether the socket accepted all offered bytes in a write after the body's end.
     flushed: Cell<bool>,
 }
 
 impl Progress {
-    fn begin(&self, body: Option<u64>) {
-        self.body.set(body);
+    fn reset(&self, body_length: Option<u64>) {
+        self.body_length.set(body_length);
         self.written.set(0);
-        self.head.set(None);
-        self.ended.set(false);
+        self.head_length.set(None);
+        self.body_ended.set(false);
         self.flushed.set(false);
     }
 
-    /// Whether the last byte has been handed to the socket: the server may have begun.
+    /// Whether the socket has accepted the last byte of the request, so that the server may have executed it.
     #[must_use]
     pub fn is_fully_sent(&self) -> bool {
-        match (self.head.get(), self.body.get()) {
+        match (self.head_length.get(), self.body_length.get()) {
             (Some(head), Some(body)) => self.written.get() >= head + body,
             (Some(_), None) => self.flushed.get(),
             (None, _) => false,
         }
     }
 
-    /// Bytes of the request that have been handed to the socket.
+    /// Returns the bytes of head and body that the socket has accepted.
     #[must_use]
     pub fn written(&self) -> u64 {
         self.written.get()
     }
 
-    /// A body in chunks has come to its end: what is written from now on ends with the last chunk.
+    /// Records that a chunked body has ended: the next complete write contains the last chunk.
     pub fn mark_body_ended(&self) {
-        self.ended.set(true);
+        self.body_ended.set(true);
     }
 
-    fn offered(&self, bytes: &[u8]) {
-        if self.head.get().is_none() {
-            let head = bytes.windows(4).position(|w| w == b"\r\n\r\n").map_or(bytes.len(), |at| at + 4);
-            self.head.set(Some(head as u64));
+    fn record_offered(&self, bytes: &[u8]) {
+        if self.head_length.get().is_none() {
+            let head = bytes
+                .windows(4)
+                .position(|window| window == b"\r\n\r\n")
+                .map_or(bytes.len(), |position| position + 4);
+            self.head_length.set(Some(head as u64));
         }
     }
 
-    fn took(&self, n: usize, offered: usize) {
+    fn record_written(&self, n: usize, offered: usize) {
         self.written.set(self.written.get() + n as u64);
-        self.flushed.set(self.ended.get() && n == offered);
+        self.flushed.set(self.body_ended.get() && n == offered);
     }
 }
 
-/// A socket that counts what it takes. It offers no vectored writes, so that hyper hands over the head, and
-/// what it has of the body, as one piece.
-struct Counted {
+/// A socket that counts the bytes it accepts. It does not support vectored writes, so that hyper passes the head and
+/// the available part of the body in one buffer.
+struct CountingStream {
     socket: TcpStream,
     progress: Rc<Progress>,
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-        to: &mut ReadBuf<'_>,
+        buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.socket).poll_read(cx, to)
+        Pin::new(&mut self.socket).poll_read(cx, buffer)
     }
 }
 
-impl AsyncWrite for Counted {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, from: &[u8]) -> Poll<io::Result<usize>> {
-        self.progress.offered(from);
-        let done = Pin::new(&mut self.socket).poll_write(cx, from);
-        if let Poll::Ready(Ok(n)) = done {
-            self.progress.took(n, from.len());
+impl AsyncWrite for CountingStream {
+    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
+        self.progress.record_offered(data);
+        let result = Pin::new(&mut self.socket).poll_write(cx, data);
+        if let Poll::Ready(Ok(n)) = result {
+            self.progress.record_written(n, data.len());
         }
-        done
+        result
     }
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         Pin::new(&mut self.socket).poll_flush(cx)
@@ -132,78 +136,79 @@
     }
 }
 
-/// How an exchange failed, as far as it matters whether the request has run.
+/// How an exchange failed. The variants tell whether the server may have executed the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// Nothing was written: the connection was dead already.
+    /// No byte was written, since the connection was already closed. The server has not executed the request.
     Unsent,
-    /// The connection broke before the last byte was written; it can't have run.
+    /// The connection failed before the last byte was written. The server cannot have executed the request.
     Partial,
-    /// It broke, or sent what is no answer, after the last byte; it may have run.
+    /// The connection failed, or the server sent an invalid response, after the last byte was written. The server may
+    /// have executed the request.
     Reset,
 }
 
-/// One HTTP/1.1 connection to a server.
+/// An HTTP/1.1 connection to a server.
 pub struct Connection {
     sender: SendRequest<RequestBody>,
-    driver: Pin<Box<Driver<TokioIo<Counted>, RequestBody>>>,
-    over: bool,
+    driver: Pin<Box<Driver<TokioIo<CountingStream>, RequestBody>>>,
+    driver_finished: bool,
     progress: Rc<Progress>,
 }
 
 impl Connection {
-    /// Connects within `limit`.
+    /// Connects within `timeout`.
     ///
     /// # Errors
-    /// The system's, `TimedOut` after the limit, and those of the protocol.
-    pub async fn open(addr: SocketAddr, limit: Duration) -> io::Result<Self> {
-        let socket = tokio::time::timeout(limit, connect(addr)).await??;
+    /// The error of the system, `TimedOut` after `timeout`, or an error of the HTTP handshake.
+    pub async fn open(addr: SocketAddr, timeout: Duration) -> io::Result<Self> {
+        let socket = tokio::time::timeout(timeout, connect(addr)).await??;
         let progress = Rc::new(Progress::default());
-        let io = TokioIo::new(Counted { socket, progress: progress.clone() });
+        let io = TokioIo::new(CountingStream { socket, progress: progress.clone() });
         let (sender, driver) = Builder::new()
-            .max_buf_size(BUFFER)
+            .max_buf_size(MAX_BUFFER_BYTES)
             .allow_obsolete_multiline_headers_in_responses(true)
             .allow_spaces_after_header_name_in_responses(true)
             .handshake(io)
             .await
             .map_err(io::Error::other)?;
-        Ok(Self { sender, driver: Box::pin(driver), over: false, progress })
+        Ok(Self { sender, driver: Box::pin(driver), driver_finished: false, progress })
     }
 
-    /// What is known of the request now under way, also once this connection is gone.
+    /// Returns the write progress of the current request. It stays readable after the connection is dropped.
     #[must_use]
     pub fn progress(&self) -> Rc<Progress> {
         self.progress.clone()
     }
 
-    /// Takes in what has happened on the idle connection; whether it can carry a request. `waker` is woken when
-    /// more happens while it is idle.
+    /// Polls an idle connection and returns whether it can carry a request. Wakes `waker` on later events of the
+    /// socket, until the connection is used.
     pub fn ready(&mut self, waker: &Waker) -> bool {
         let mut cx = Context::from_waker(waker);
-        !self.over && self.driver.as_mut().poll(&mut cx).is_pending() && self.sender.is_ready()
+        !self.driver_finished && self.driver.as_mut().poll(&mut cx).is_pending() && self.sender.is_ready()
     }
 
-    /// Sends one request and reads its answer's head.
+    /// Sends a request and reads the head of its response.
     ///
     /// # Errors
-    /// How the exchange failed.
+    /// The [`Failure`], which tells whether the server may have executed the request.
     pub async fn send(&mut self, request: Request<RequestBody>) -> Result<Response<Incoming>, Failure> {
-        self.progress.begin(request.body().size_hint().exact());
-        let mut sending = pin!(self.sender.try_send_request(request));
-        let (driver, over) = (&mut self.driver, &mut self.over);
+        self.progress.reset(request.body().size_hint().exact());
+        let mut response = pin!(self.sender.try_send_request(request));
+        let (driver, driver_finished) = (&mut self.driver, &mut self.driver_finished);
         let result = poll_fn(|cx| {
-            *over = *over || driver.as_mut().poll(cx).is_ready();
-            match sending.as_mut().poll(cx) {
+            *driver_finished = *driver_finished || driver.as_mut().poll(cx).is_ready();
+            match response.as_mut().poll(cx) {
                 Poll::Ready(result) => Poll::Ready(result.map_err(|mut e| e.take_message().is_some())),
-                Poll::Pending if *over => Poll::Ready(Err(false)),
+                Poll::Pending if *driver_finished => Poll::Ready(Err(false)),
                 Poll::Pending => Poll::Pending,
             }
         })
         .await;
-        result.map_err(|handed_back| {
+        result.map_err(|returned_unsent| {
             if self.progress.is_fully_sent() {
                 Failure::Reset
-            } else if handed_back || self.progress.written.get() == 0 {
+            } else if returned_unsent || self.progress.written.get() == 0 {
                 Failure::Unsent
             } else {
                 Failure::Partial
@@ -211,20 +216,20 @@
         })
     }
 
-    /// The next piece of an answer's body; `None` at its end.
+    /// Reads the next chunk of a response's body; `None` at its end. Trailers are skipped.
     ///
     /// # Errors
-    /// The connection broke.
+    /// [`Failure::Reset`] if the connection fails.
     pub async fn next_chunk(&mut self, body: &mut Incoming) -> Result<Option<Bytes>, Failure> {
         loop {
             let mut frame = body.frame();
-            let (driver, over) = (&mut self.driver, &mut self.over);
+            let (driver, driver_finished) = (&mut self.driver, &mut self.driver_finished);
             let frame = poll_fn(|cx| {
-                *over = *over || driver.as_mut().poll(cx).is_ready();
+                *driver_finished = *driver_finished || driver.as_mut().poll(cx).is_ready();
                 match Pin::new(&mut frame).poll(cx) {
-                    Poll::Pending if *over => Poll::Ready(Some(Err(Failure::Reset))),
+                    Poll::Pending if *driver_finished => Poll::Ready(Some(Err(Failure::Reset))),
                     Poll::Pending => Poll::Pending,
-                    Poll::Ready(frame) => Poll::Ready(frame.map(|f| f.map_err(|_| Failure::Reset))),
+                    Poll::Ready(frame) => Poll::Ready(frame.map(|frame| frame.map_err(|_| Failure::Reset))),
                 }
             })
             .await;
@@ -236,27 +241,28 @@
         }
     }
 
-    /// Sends one request without a body and reads the complete answer.
+    /// Sends a request and reads the complete response.
     ///
     /// # Errors
-    /// How the exchange failed; an answer of over 4 MiB counts as a reset.
+    /// The [`Failure`], which tells whether the server may have executed the request. A response body of more than 4
+    /// MiB gives [`Failure::Reset`].
     pub async fn exchange(&mut self, request: Request<RequestBody>) -> Result<(Parts, Bytes), Failure> {
         let (parts, mut body) = self.send(request).await?.into_parts();
         Ok((parts, self.read_to_end(&mut body).await?))
     }
 
-    /// Reads a complete body.
+    /// Reads a response's body to its end.
     ///
     /// # Errors
-    /// The connection broke, or the body is longer than 4 MiB.
+    /// [`Failure::Reset`] if the connection fails or the body is longer than 4 MiB.
     pub async fn read_to_end(&mut self, body: &mut Incoming) -> Result<Bytes, Failure> {
-        let mut whole = BytesMut::new();
+        let mut bytes = BytesMut::new();
         while let Some(data) = self.next_chunk(body).await? {
-            if whole.len() + data.len() > MAX_BODY {
+            if bytes.len() + data.len() > MAX_BODY_BYTES {
                 return Err(Failure::Reset);
             }
-            whole.extend_from_slice(&data);
+            bytes.extend_from_slice(&data);
         }
-        Ok(whole.freeze())
+        Ok(bytes.freeze())
     }
 }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,7 +1,7 @@
-//! What carries HTTP/1.1 between clients and workers: a server for the connections of clients, connections to workers
-//! that know how much of a request has been written, pools of these, and bodies on their way through.
+//! HTTP/1.1 transport between clients and workers: a server for client connections, connections to workers that
+//! track how much of a request has been written, pools of worker connections, and request and response bodies.
 //!
-//! Nothing here decides where a request goes, or whether it may go at all.
+//! Routing and admission are decided by the users of this crate.
 #![forbid(unsafe_code)]
 
 pub mod body;
@@ -12,5 +12,5 @@
 
 use std::sync::Arc;
 
-/// Names one incarnation of a worker.
+/// Identifier of one incarnation of a worker.
 pub type WorkerId = Arc<str>;
--- a/crates/transport/src/pool/lease.rs
+++ b/crates/transport/src/pool/lease.rs
@@ -1,87 +1,92 @@
-//! A pooled connection in the hands of one request.
+//! The exclusive use of a pooled connection by one request.
 
 use super::{
-    Held, Pools, WorkerId,
+    PooledConnection, Pools, WorkerId,
     state::{CloseReason, ConnectionId},
 };
 use crate::connection::{Connection, Progress};
 use std::{rc::Rc, time::Duration};
 
-/// An answer may be followed by another that nobody asked for, some milliseconds late, and nothing in it says whose it
-/// is: no request is written to a connection for so long after an answer. Twice what was seen at most.
-pub(super) const REST: Duration = Duration::from_millis(8);
-/// A connection in the hands of one request. Dropped unused it goes back; dropped under use it closes.
+/// Time between the end of a response and the reuse of its connection. A worker may send an unsolicited second response
+/// some milliseconds late (at most 4 ms were observed), and a later request would take it for its own.
+pub(super) const RELEASE_DELAY: Duration = Duration::from_millis(8);
+
+/// The exclusive use of a connection by one request. Dropping it returns an unused connection to its pool and closes a
+/// used one.
 pub struct Lease {
     pub(super) pools: Rc<Pools>,
     pub(super) worker: WorkerId,
     pub(super) id: ConnectionId,
-    pub(super) held: Option<Held>,
-    /// It has been idle, or has carried a request before.
+    /// `None` once the connection has been released or closed.
+    pub(super) pooled: Option<PooledConnection>,
+    /// Whether the connection was idle or in use before this lease, so that the worker may have closed it meanwhile.
     pub(super) is_reused: bool,
+    /// Whether this lease has handed out the connection with [`Lease::connection`].
     pub(super) used: bool,
 }
 
 impl Lease {
-    /// It has been idle, or has carried a request before.
+    /// Whether the connection was idle or in use before this lease, so that the worker may have closed it meanwhile.
     #[must_use]
     pub fn is_reused(&self) -> bool {
         self.is_reused
     }
 
-    /// The connection itself: from now on it counts as used.
+    /// Returns the connection, which counts as used from now on.
     ///
     /// # Panics
     /// Never: a lease has its connection until it is dropped.
     pub fn connection(&mut self) -> &mut Connection {
         self.used = true;
-        &mut self.held.as_mut().expect("held until it is dropped").connection
+        &mut self.pooled.as_mut().expect("a lease has its connection until it is dropped").connection
     }
 
-    /// How much of the present request has been written.
+    /// Returns how much of the current request has been written.
     ///
     /// # Panics
     /// Never: a lease has its connection until it is dropped.
     #[must_use]
     pub fn progress(&self) -> Rc<Progress> {
-        self.held.as_ref().expect("held until it is dropped").connection.progress()
+        self.pooled.as_ref().expect("a lease has its connection until it is dropped").connection.progress()
     }
 
-    /// The worker answers on it.
+    /// Reports that the worker has responded on this connection.
     pub fn report_response(&self) {
-        if let Some(held) = &self.held {
+        if let Some(pooled) = &self.pooled {
             self.pools.state.borrow_mut().response_received(
                 self.pools.clock.now(),
                 &self.worker,
-                held.opened,
+                pooled.opened_at,
             );
         }
     }
 
-    /// It was dead already when it was handed out.
+    /// Reports that the connection was already closed when it was leased.
     pub fn report_dead(self) {
         self.pools.state.borrow_mut().found_dead(&self.worker);
     }
 
-    /// Fresh as it was, the worker ended it instead of answering.
+    /// Reports that the worker closed the connection instead of responding. On a new connection this shows that the
+    /// worker has no capacity for more connections.
     pub fn report_closed_early(self) {
         if !self.is_reused {
             self.pools.state.borrow_mut().capacity_reached(self.pools.clock.now(), &self.worker, false);
         }
     }
 
-    /// The answer is whole: another request may have it, after a rest. `turned_away`: it said that the worker has no
-    /// room.
-    pub fn release(self, turned_away: bool) {
+    /// Returns the connection to its pool after [`RELEASE_DELAY`]. To be called once the response is complete.
+    /// `rejected` tells that the response rejected the request for lack of capacity.
+    pub fn release(self, rejected: bool) {
         tokio::task::spawn_local(async move {
-            tokio::time::sleep(REST).await;
-            self.rested(turned_away);
+            tokio::time::sleep(RELEASE_DELAY).await;
+            self.finish_release(rejected);
         });
     }
 
-    fn rested(mut self, turned_away: bool) {
-        let Some(held) = self.held.take() else { return };
-        let lives = self.pools.clone().take_back(&self.worker, self.id, held);
-        if turned_away && !lives && !self.is_reused {
+    fn finish_release(mut self, rejected: bool) {
+        let Some(pooled) = self.pooled.take() else { return };
+        let is_alive = self.pools.clone().return_connection(&self.worker, self.id, pooled);
+        if rejected && !is_alive && !self.is_reused {
             self.pools.state.borrow_mut().capacity_reached(self.pools.clock.now(), &self.worker, true);
         }
     }
@@ -89,24 +94,24 @@
 
 impl Drop for Lease {
     fn drop(&mut self) {
-        let Some(held) = self.held.take() else { return };
+        let Some(pooled) = self.pooled.take() else { return };
         if !self.used {
-            self.pools.clone().take_back(&self.worker, self.id, held);
+            self.pools.clone().return_connection(&self.worker, self.id, pooled);
             return;
         }
-        drop(held);
+        drop(pooled);
         let mut commands = Vec::new();
         let now = self.pools.clock.now();
-        self.pools.state.borrow_mut().lost(now, &self.worker, CloseReason::Broken, &mut commands);
-        self.pools.carry_out(commands);
+        self.pools.state.borrow_mut().connection_lost(now, &self.worker, CloseReason::Broken, &mut commands);
+        self.pools.execute(commands);
     }
 }
 
 impl Lease {
-    pub(super) fn close(mut self, why: CloseReason) {
-        drop(self.held.take());
+    pub(super) fn close(mut self, reason: CloseReason) {
+        drop(self.pooled.take());
         let (mut commands, now) = (Vec::new(), self.pools.clock.now());
-        self.pools.state.borrow_mut().lost(now, &self.worker, why, &mut commands);
-        self.pools.carry_out(commands);
+        self.pools.state.borrow_mut().connection_lost(now, &self.worker, reason, &mut commands);
+        self.pools.execute(commands);
     }
 }
--- a/crates/transport/src/pool/mod.rs
+++ b/crates/transport/src/pool/mod.rs
@@ -1,4 +1,5 @@
-//! The pools of connections to the workers: holds the sockets and carries out what `state::PoolState` commands.
+//! Connection pools, one for each worker. [`Pools`] owns the sockets and executes the commands of `state::PoolState`,
+//! which makes the decisions without I/O.
 
 mod lease;
 mod report;
@@ -13,7 +14,9 @@
     connection::Connection,
 };
 use fnv::FnvHashMap;
-use state::{Asked, CloseReason, Command, ConnectionId, Placed, PoolSettings, PoolState, WaiterId};
+use state::{
+    AcquireOutcome, CloseReason, Command, ConnectionId, Placement, PoolSettings, PoolState, WaiterId,
+};
 use std::{
     cell::{Cell, RefCell},
     collections::BTreeMap,
@@ -30,46 +33,49 @@
 pub use lease::Lease;
 pub use state::{NoConnection, WorkerLimits};
 
-/// A worker closes at its limit, and a request that crosses that is lost: this is closed as many seconds before.
-const BEFORE_LIMIT: f64 = 2.0;
+/// Seconds before a worker's idle time-out at which this side closes an idle connection. A request that is sent while
+/// the worker closes the connection would be lost.
+const CLOSE_MARGIN_S: f64 = 2.0;
 
-/// What holds for the connections to all workers.
+/// Settings of the connections to all workers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Settings {
     /// Seconds after which a worker closes an idle connection.
     pub worker_idle_timeout: f64,
-    /// How many gatekeepers share what connections a worker takes, where it is learned how many these are.
+    /// Number of gatekeepers that share the connections which a worker accepts. The lowest bound that is learned for a
+    /// worker without capacity is one connection divided by this number.
     pub gateway_count: u32,
-    /// How long a connection may take to come up.
+    /// Time-out of a connection attempt, and of a request's wait for a connection.
     pub connect_timeout: Duration,
 }
 
 impl Settings {
-    fn of_state(&self) -> PoolSettings {
-        let keep = (self.worker_idle_timeout - BEFORE_LIMIT).max(self.worker_idle_timeout / 2.0);
-        PoolSettings { keep, gateway_count: self.gateway_count }
+    fn for_state(&self) -> PoolSettings {
+        let idle_timeout = (self.worker_idle_timeout - CLOSE_MARGIN_S).max(self.worker_idle_timeout / 2.0);
+        PoolSettings { idle_timeout, gateway_count: self.gateway_count }
     }
 }
 
-/// A connection that is up.
-struct Held {
+/// An established connection of a pool.
+struct PooledConnection {
     connection: Connection,
-    /// When it came up.
-    opened: Time,
+    /// When the connection was established.
+    opened_at: Time,
+    /// Registers this connection in [`Wakeups`] when its socket has an event while it is idle.
     waker: Waker,
 }
 
-/// A request that waits for a connection; dropped, it waits no more.
-struct Waiting<'a> {
+/// A request's wait for a connection. Dropping it cancels the wait.
+struct WaiterGuard<'a> {
     pools: &'a Pools,
     worker: &'a WorkerId,
     id: WaiterId,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaiterGuard<'_> {
     fn drop(&mut self) {
-        self.pools.waiting.borrow_mut().remove(&self.id);
-        self.pools.state.borrow_mut().give_up(self.worker, self.id);
+        self.pools.waiters.borrow_mut().remove(&self.id);
+        self.pools.state.borrow_mut().cancel_waiter(self.worker, self.id);
     }
 }
 
@@ -79,273 +85,293 @@
 pub struct Pools {
     state: RefCell<PoolState>,
     clock: Clock,
-    idle: RefCell<FnvHashMap<ConnectionId, (WorkerId, Held)>>,
-    waiting: RefCell<FnvHashMap<WaiterId, oneshot::Sender<Grant>>>,
+    idle: RefCell<FnvHashMap<ConnectionId, (WorkerId, PooledConnection)>>,
+    waiters: RefCell<FnvHashMap<WaiterId, oneshot::Sender<Grant>>>,
     wakeups: Arc<Wakeups>,
-    connect: Cell<Duration>,
+    connect_timeout: Cell<Duration>,
 }
 
 impl Pools {
-    /// `budget` connections at most. Runs in the background from now on.
+    /// Creates pools with at most `budget` connections in all, and starts the task that watches idle connections. Has
+    /// to run inside a local task set.
     #[must_use]
     pub fn new(budget: usize, settings: Settings, clock: Clock, seed: u64) -> Rc<Self> {
         let pools = Rc::new(Self {
-            state: RefCell::new(PoolState::new(budget, settings.of_state(), seed)),
+            state: RefCell::new(PoolState::new(budget, settings.for_state(), seed)),
             clock,
             idle: RefCell::default(),
-            waiting: RefCell::default(),
+            waiters: RefCell::default(),
             wakeups: Arc::default(),
-            connect: Cell::new(settings.connect_timeout),
+            connect_timeout: Cell::new(settings.connect_timeout),
         });
-        tokio::task::spawn_local(watch_idle(Rc::downgrade(&pools), pools.wakeups.clone()));
+        tokio::task::spawn_local(watch_idle_connections(Rc::downgrade(&pools), pools.wakeups.clone()));
         pools
     }
 
-    /// A connection to `worker`, once there is one: nothing has been sent on it for this request.
+    /// Waits for a connection to `worker`, at most for the connect time-out. Nothing of the request has been sent on
+    /// it.
     ///
     /// # Errors
-    /// Why there is none. No longer waited for than a connection may take to come up.
+    /// Why no connection is available.
     pub async fn lease(self: &Rc<Self>, worker: &WorkerId) -> Grant {
         loop {
             let mut commands = Vec::new();
-            let asked = self.state.borrow_mut().ask(self.clock.now(), worker, &mut commands);
-            // Registered before anything is carried out, so that no answer misses it.
-            let waiter = if let Asked::Wait(id) = asked {
+            let outcome = self.state.borrow_mut().acquire(self.clock.now(), worker, &mut commands);
+            // Registered before the commands are executed, so that a failure among them reaches this waiter.
+            let waiter = if let AcquireOutcome::Wait(id) = outcome {
                 let (grant, granted) = oneshot::channel();
-                self.waiting.borrow_mut().insert(id, grant);
-                Some((Waiting { pools: self, worker, id }, granted))
+                self.waiters.borrow_mut().insert(id, grant);
+                Some((WaiterGuard { pools: self, worker, id }, granted))
             } else {
                 None
             };
-            self.carry_out(commands);
-            let id = match (asked, waiter) {
-                (Asked::No(why), _) => return Err(why),
-                (Asked::Use(id), _) => id,
-                (Asked::Wait(_), Some((_waiting, granted))) => {
-                    return match tokio::time::timeout(self.connect.get(), granted).await {
+            self.execute(commands);
+            let id = match (outcome, waiter) {
+                (AcquireOutcome::Failed(reason), _) => return Err(reason),
+                (AcquireOutcome::Use(id), _) => id,
+                (AcquireOutcome::Wait(_), Some((_waiting, granted))) => {
+                    return match tokio::time::timeout(self.connect_timeout.get(), granted).await {
                         Ok(grant) => grant.unwrap_or(Err(NoConnection::Unavailable)),
-                        Err(_) => Err(self.state.borrow().overdue(worker)),
+                        Err(_) => Err(self.state.borrow().wait_timeout_reason(worker)),
                     };
                 }
-                (Asked::Wait(_), None) => return Err(NoConnection::Unavailable),
+                (AcquireOutcome::Wait(_), None) => return Err(NoConnection::Unavailable),
             };
-            let held = self.idle.borrow_mut().remove(&id);
-            let Some((_, mut held)) = held else { return Err(NoConnection::Unavailable) };
-            let lease = |held| Lease {
+            let pooled = self.idle.borrow_mut().remove(&id);
+            let Some((_, mut pooled)) = pooled else { return Err(NoConnection::Unavailable) };
+            let lease = |pooled| Lease {
                 pools: self.clone(),
                 worker: worker.clone(),
                 id,
-                held: Some(held),
+                pooled: Some(pooled),
                 is_reused: true,
                 used: false,
             };
-            if held.connection.ready(&held.waker) {
-                return Ok(lease(held));
+            if pooled.connection.ready(&pooled.waker) {
+                return Ok(lease(pooled));
             }
-            // It ended a moment ago: the next one.
-            lease(held).close(CloseReason::Peer);
+            // The worker has just closed this connection: try the next one.
+            lease(pooled).close(CloseReason::ClosedByPeer);
         }
     }
 
-    fn carry_out(self: &Rc<Self>, commands: Vec<Command>) {
+    fn execute(self: &Rc<Self>, commands: Vec<Command>) {
         for command in commands {
             match command {
                 Command::Open { worker, addr, id } => {
                     tokio::task::spawn_local(self.clone().connect(worker, addr, id));
                 }
                 Command::Close(id) => drop(self.idle.borrow_mut().remove(&id)),
-                Command::Fail(waiter, why) => self.grant(waiter, Err(why)),
+                Command::Fail(waiter, reason) => self.grant(waiter, Err(reason)),
             }
         }
     }
 
-    /// Who has gone meanwhile drops what it is granted, and so gives it back.
+    /// Passes a connection or a failure to a waiter. If the waiter is gone, the lease is dropped, which returns its
+    /// connection to the pool.
     fn grant(&self, waiter: WaiterId, grant: Grant) {
-        let waits = self.waiting.borrow_mut().remove(&waiter);
-        if let Some(waits) = waits {
-            drop(waits.send(grant));
+        let sender = self.waiters.borrow_mut().remove(&waiter);
+        if let Some(sender) = sender {
+            drop(sender.send(grant));
         }
     }
 
     async fn connect(self: Rc<Self>, worker: WorkerId, addr: SocketAddr, id: ConnectionId) {
-        let opened = Connection::open(addr, self.connect.get()).await;
+        let result = Connection::open(addr, self.connect_timeout.get()).await;
         let (now, mut commands) = (self.clock.now(), Vec::new());
-        match opened {
+        match result {
             Ok(connection) => {
                 let waker = wakeups::waker(&self.wakeups, id);
-                let held = Held { connection, opened: now, waker };
-                let placed = self.state.borrow_mut().opened(now, &worker, addr, id, &mut commands);
-                self.placed(&placed, &worker, id, held, false);
+                let pooled = PooledConnection { connection, opened_at: now, waker };
+                let placement =
+                    self.state.borrow_mut().connect_succeeded(now, &worker, addr, id, &mut commands);
+                self.apply_placement(&placement, &worker, id, pooled, false);
             }
-            Err(e) => self.state.borrow_mut().not_opened(now, &worker, why(&e), &mut commands),
+            Err(error) => self.state.borrow_mut().connect_failed(
+                now,
+                &worker,
+                connect_error_reason(&error),
+                &mut commands,
+            ),
         }
-        self.carry_out(commands);
+        self.execute(commands);
     }
 
-    /// Takes back a connection that is not in use any more; `false`: its other end has closed it.
-    fn take_back(self: &Rc<Self>, worker: &WorkerId, id: ConnectionId, mut held: Held) -> bool {
+    /// Returns a connection to its pool after use. Returns `false` if the worker has closed it.
+    fn return_connection(
+        self: &Rc<Self>,
+        worker: &WorkerId,
+        id: ConnectionId,
+        mut pooled: PooledConnection,
+    ) -> bool {
         let (now, mut commands) = (self.clock.now(), Vec::new());
-        let lives = held.connection.ready(&held.waker);
-        if lives {
-            let placed = self.state.borrow_mut().released(now, worker, id, held.opened, &mut commands);
-            self.placed(&placed, worker, id, held, true);
+        let is_alive = pooled.connection.ready(&pooled.waker);
+        if is_alive {
+            let placement =
+                self.state.borrow_mut().released(now, worker, id, pooled.opened_at, &mut commands);
+            self.apply_placement(&placement, worker, id, pooled, true);
         } else {
-            drop(held);
-            self.state.borrow_mut().lost(now, worker, CloseReason::Peer, &mut commands);
+            drop(pooled);
+            self.state.borrow_mut().connection_lost(now, worker, CloseReason::ClosedByPeer, &mut commands);
         }
-        self.carry_out(commands);
-        lives
+        self.execute(commands);
+        is_alive
     }
 
-    fn placed(
+    fn apply_placement(
         self: &Rc<Self>,
-        placed: &Placed,
+        placement: &Placement,
         worker: &WorkerId,
         id: ConnectionId,
-        mut held: Held,
+        mut pooled: PooledConnection,
         is_reused: bool,
     ) {
-        match placed {
-            Placed::Granted(waiter) => {
-                let (pools, worker, held) = (self.clone(), worker.clone(), Some(held));
-                self.grant(*waiter, Ok(Lease { pools, worker, id, held, is_reused, used: false }));
+        match placement {
+            Placement::Granted(waiter) => {
+                let (pools, worker, pooled) = (self.clone(), worker.clone(), Some(pooled));
+                self.grant(*waiter, Ok(Lease { pools, worker, id, pooled, is_reused, used: false }));
             }
-            Placed::Idle => {
-                // Polled since it was in use, so that its end is told.
-                if is_reused || held.connection.ready(&held.waker) {
-                    self.idle.borrow_mut().insert(id, (worker.clone(), held));
+            Placement::Idle => {
+                // A reused connection was polled with its waker by the caller. A new one is polled here, so that its
+                // end wakes the watching task.
+                if is_reused || pooled.connection.ready(&pooled.waker) {
+                    self.idle.borrow_mut().insert(id, (worker.clone(), pooled));
                 } else {
-                    self.state.borrow_mut().ended(worker, id);
+                    self.state.borrow_mut().idle_closed(worker, id);
                 }
             }
-            Placed::Closed => {}
+            Placement::Closed => {}
         }
     }
 
-    /// Looks at idle connections that were woken: all but a stray wake means their end.
-    fn look_at_woken(&self) {
+    /// Polls the idle connections that were woken, and removes those that can no longer carry a request.
+    fn check_woken(&self) {
         for id in self.wakeups.take() {
             let mut idle = self.idle.borrow_mut();
-            let Some((_, held)) = idle.get_mut(&id) else { continue };
-            if held.connection.ready(&held.waker) {
+            let Some((_, pooled)) = idle.get_mut(&id) else { continue };
+            if pooled.connection.ready(&pooled.waker) {
                 continue;
             }
             if let Some((worker, _)) = idle.remove(&id) {
-                self.state.borrow_mut().ended(&worker, id);
+                self.state.borrow_mut().idle_closed(&worker, id);
             }
         }
     }
 
-    // ---- The lists, and what holds for all ----
-
-    fn change(self: &Rc<Self>, change: impl FnOnce(&mut PoolState, Time, &mut Vec<Command>)) {
+    fn update(self: &Rc<Self>, update: impl FnOnce(&mut PoolState, Time, &mut Vec<Command>)) {
         let mut commands = Vec::new();
-        change(&mut self.state.borrow_mut(), self.clock.now(), &mut commands);
-        self.carry_out(commands);
+        update(&mut self.state.borrow_mut(), self.clock.now(), &mut commands);
+        self.execute(commands);
     }
 
-    /// What a list says of one worker.
+    /// Updates one worker from a worker list: its address, when it started, whether it may receive requests (`wanted`),
+    /// and whether it has left the fleet (`is_gone`).
     pub fn update_worker(
         self: &Rc<Self>,
         worker: &WorkerId,
         addr: Option<SocketAddr>,
-        started: Time,
+        started_at: Time,
         wanted: bool,
-        gone: bool,
+        is_gone: bool,
     ) {
-        self.change(|state, now, commands| {
-            state.update_worker(now, worker, addr, started, (wanted, gone), commands);
+        self.update(|state, now, commands| {
+            state.update_worker(now, worker, addr, started_at, (wanted, is_gone), commands);
         });
     }
 
-    /// A whole list has come: those that it does not name are gone.
-    pub fn retain_workers(self: &Rc<Self>, named: impl Fn(&str) -> bool) {
-        self.change(|state, _, commands| state.retain_workers(named, commands));
+    /// Applies a complete worker list: workers for which `is_listed` returns `false` have left the fleet.
+    pub fn retain_workers(self: &Rc<Self>, is_listed: impl Fn(&str) -> bool) {
+        self.update(|state, _, commands| state.retain_workers(is_listed, commands));
     }
 
-    /// Where a worker is, as far as it is known.
+    /// Returns the address of a worker, if it is known.
     pub fn addr(&self, worker: &str) -> Option<SocketAddr> {
         self.state.borrow().addr(worker)
     }
 
-    /// Where all known workers are.
+    /// Returns the addresses of all known workers.
     pub fn addrs(&self) -> BTreeMap<WorkerId, SocketAddr> {
         self.state.borrow().addrs().map(|(id, addr)| (id.clone(), addr)).collect()
     }
 
-    /// Where workers are, by the process before this one.
+    /// Adds workers whose addresses the previous process has handed over.
     pub fn add_addresses(self: &Rc<Self>, addrs: &BTreeMap<WorkerId, SocketAddr>) {
-        self.change(|state, now, _| addrs.iter().for_each(|(id, addr)| state.add_address(now, id, *addr)));
+        self.update(|state, now, _| addrs.iter().for_each(|(id, addr)| state.add_address(now, id, *addr)));
     }
 
-    /// Other settings hold from now on, at once for what is idle.
+    /// Replaces the settings. A shorter idle time-out applies at once to idle connections.
     pub fn set_settings(self: &Rc<Self>, settings: Settings) {
-        self.connect.set(settings.connect_timeout);
-        self.change(|state, now, commands| state.set_settings(now, settings.of_state(), commands));
+        self.connect_timeout.set(settings.connect_timeout);
+        self.update(|state, now, commands| state.set_settings(now, settings.for_state(), commands));
     }
 
-    /// From now on `budget` connections at most; those beyond it end with their attempts.
+    /// Sets the maximum number of connections. Idle connections beyond it are closed at once, those in use when they
+    /// are released.
     pub fn set_budget(self: &Rc<Self>, budget: usize) {
-        self.change(|state, now, commands| state.set_budget(now, budget, commands));
+        self.update(|state, now, commands| state.set_budget(now, budget, commands));
     }
 
-    /// Whether no connection is kept idle any more.
-    pub fn set_idle_disabled(self: &Rc<Self>, none: bool) {
-        self.change(|state, _, commands| state.set_idle_disabled(none, commands));
+    /// Sets whether released connections are closed instead of kept idle. Disabling closes all idle connections.
+    pub fn set_idle_disabled(self: &Rc<Self>, disabled: bool) {
+        self.update(|state, _, commands| state.set_idle_disabled(disabled, commands));
     }
 
-    /// What holds for one worker beside the settings that hold for all. A worker that is not known yet is passed over.
+    /// Sets the limits of one worker, which apply in addition to the common settings. Has no effect for an unknown
+    /// worker.
     pub fn set_worker_limits(self: &Rc<Self>, worker: &str, limits: WorkerLimits) {
-        self.change(|state, now, commands| state.set_worker_limits(now, worker, limits, commands));
+        self.update(|state, now, commands| state.set_worker_limits(now, worker, limits, commands));
     }
 
-    /// Takes a worker out by hand, whatever the lists say, or puts it back.
-    pub fn set_worker_disabled(self: &Rc<Self>, worker: &str, out: bool) {
-        self.change(|state, _, commands| state.set_worker_disabled(worker, out, commands));
+    /// Disables a worker on an operator's request, independently of the worker lists, or enables it again.
+    pub fn set_worker_disabled(self: &Rc<Self>, worker: &str, disabled: bool) {
+        self.update(|state, _, commands| state.set_worker_disabled(worker, disabled, commands));
     }
 
-    /// Closes idle connections that are due or that recent demand does not need. To be called about every second.
+    /// Closes idle connections that have reached their idle time-out or that recent demand does not need. To be called
+    /// about once a second.
     pub fn sweep(self: &Rc<Self>) {
-        self.change(state::PoolState::sweep);
+        self.update(state::PoolState::sweep);
     }
 
-    /// Nothing came in time for what was sent at `sent`.
-    pub fn request_timed_out(&self, worker: &str, sent: Time) {
-        self.state.borrow_mut().request_timed_out(self.clock.now(), worker, sent);
+    /// Records that a request sent to `worker` at `sent_at` had no response in time.
+    pub fn request_timed_out(&self, worker: &str, sent_at: Time) {
+        self.state.borrow_mut().request_timed_out(self.clock.now(), worker, sent_at);
     }
 
-    /// Connections that are open or on their way.
+    /// Returns the number of connections that are open or being established.
     pub fn open(&self) -> usize {
         self.state.borrow().open()
     }
 
-    /// Whether a free connection to `worker` is kept that may be used now.
+    /// Whether an idle connection to `worker` can be used at once.
     pub fn has_idle(&self, worker: &str) -> bool {
         self.state.borrow().has_idle(self.clock.now(), worker)
     }
 
-    /// What stands where, as JSON.
+    /// Returns the state of the pools as JSON.
     pub fn report(&self) -> String {
         report::json(self.open(), &self.state.borrow().views(self.clock.now()))
     }
 }
 
-fn why(e: &io::Error) -> NoConnection {
-    match e.raw_os_error() {
-        // Where all local ports to it are in use (EADDRNOTAVAIL), that, too, is a lack on this side.
+/// Classifies the error of a connection attempt.
+fn connect_error_reason(error: &io::Error) -> NoConnection {
+    match error.raw_os_error() {
+        // EADDRNOTAVAIL means that all local ports for this address are in use, which is a shortage of this process
+        // too.
         Some(libc::EMFILE | libc::ENFILE | libc::ENOBUFS | libc::ENOMEM | libc::EADDRNOTAVAIL) => {
             NoConnection::NoDescriptor
         }
-        _ if e.kind() == ErrorKind::TimedOut => NoConnection::TimedOut,
+        _ if error.kind() == ErrorKind::TimedOut => NoConnection::TimedOut,
         _ => NoConnection::Refused,
     }
 }
 
-/// Looks at idle connections whenever one is woken, as long as there are pools.
-async fn watch_idle(pools: Weak<Pools>, wakeups: Arc<Wakeups>) {
+/// Checks idle connections whenever one is woken, until the pools are dropped.
+async fn watch_idle_connections(pools: Weak<Pools>, wakeups: Arc<Wakeups>) {
     loop {
         wakeups.wait().await;
         let Some(pools) = pools.upgrade() else { return };
-        pools.look_at_woken();
+        pools.check_woken();
     }
 }
--- a/crates/transport/src/pool/report.rs
+++ b/crates/transport/src/pool/report.rs
@@ -1,17 +1,18 @@
-//! What is told of the pools, as JSON.
+//! The state of the pools as JSON, for the administration interface.
 
 use super::state::{CloseReason, View};
 use serde::Serialize;
 use std::{collections::BTreeMap, net::SocketAddr};
 
-/// Pools that are told of at most.
-const MOST_POOLS: usize = 512;
-/// Characters of a worker's id at most.
-const LONGEST_ID: usize = 128;
+/// Maximum number of pools in a report.
+const MAX_REPORTED_POOLS: usize = 512;
+/// Characters after which a worker's identifier is cut off in a report.
+const MAX_ID_CHARS: usize = 128;
 
-/// The report: `open` connections in all, and the pools, those with most connections first.
+/// Formats the report: the total number of open connections, and the first pools of `views`, which are ordered by their
+/// number of connections.
 pub fn json(open: usize, views: &[View]) -> String {
-    let workers: Vec<PoolReport> = views.iter().take(MOST_POOLS).map(PoolReport::from).collect();
+    let workers: Vec<PoolReport> = views.iter().take(MAX_REPORTED_POOLS).map(PoolReport::from).collect();
     let report = Report { open, omitted: views.len() - workers.len(), workers };
     serde_json::to_string(&report).unwrap_or_default()
 }
@@ -20,7 +21,7 @@
 struct Report {
     open: usize,
     workers: Vec<PoolReport>,
-    /// Pools that are left out, those with the fewest connections.
+    /// Number of pools that exceed [`MAX_REPORTED_POOLS`], those with the fewest connections.
     omitted: usize,
 }
 
@@ -44,24 +45,24 @@
 }
 
 impl From<&View> for PoolReport {
-    fn from(v: &View) -> Self {
-        let closed = CloseReason::ALL.iter().zip(v.counts.closed).filter(|(_, n)| *n > 0);
+    fn from(view: &View) -> Self {
+        let closed = CloseReason::ALL.iter().zip(view.counts.closed).filter(|(_, count)| *count > 0);
         Self {
-            id: v.worker.chars().take(LONGEST_ID).collect(),
-            addr: v.addr,
-            wanted: v.wanted,
-            suspect: v.suspect,
-            idle: v.idle,
-            in_use: v.in_use,
-            connecting: v.connecting,
-            waiting: v.waiting,
-            bound: v.bound,
-            opened: v.counts.opened,
-            reused: v.counts.reused,
-            refused: v.counts.refused,
-            timed_out: v.counts.timed_out,
-            stale: v.counts.stale,
-            closed: closed.map(|((_, name), n)| (*name, n)).collect(),
+            id: view.worker.chars().take(MAX_ID_CHARS).collect(),
+            addr: view.addr,
+            wanted: view.wanted,
+            suspect: view.suspect,
+            idle: view.idle,
+            in_use: view.in_use,
+            connecting: view.connecting,
+            waiting: view.waiting,
+            bound: view.bound,
+            opened: view.counts.opened,
+            reused: view.counts.reused,
+            refused: view.counts.refused,
+            timed_out: view.counts.timed_out,
+            stale: view.counts.stale,
+            closed: closed.map(|((_, name), count)| (*name, count)).collect(),
         }
     }
 }
--- a/crates/transport/src/pool/state/connects.rs
+++ b/crates/transport/src/pool/state/connects.rs
@@ -1,67 +1,70 @@
-//! Requests that need a connection, and the connects begun for them.
+//! Requests that need a connection, and the connection attempts started for them.
 
 use super::{
-    Asked, CONNECTING_SHARE, CloseReason, Command, ConnectionId, NoConnection, PoolState, Time, WaiterId,
-    WorkerId,
+    AcquireOutcome, CloseReason, Command, ConnectionId, MAX_CONNECTING_SHARE, NoConnection, PoolState, Time,
+    WaiterId, WorkerId,
 };
 
 impl PoolState {
-    /// A request needs a connection to `worker`.
-    pub fn ask(&mut self, now: Time, worker: &WorkerId, commands: &mut Vec<Command>) -> Asked {
-        let (keep, memory) = (self.limits.keep, self.memory());
-        let Some(pool) = self.pools.get_mut(worker) else { return Asked::No(NoConnection::Unavailable) };
-        if !pool.wanted || pool.aside {
-            // It was told between the decision and this.
-            return Asked::No(NoConnection::Unavailable);
+    /// Gets a connection to `worker` for a request: an idle one, or a place among the waiters.
+    pub fn acquire(&mut self, now: Time, worker: &WorkerId, commands: &mut Vec<Command>) -> AcquireOutcome {
+        let (idle_timeout, time_constant) = (self.settings.idle_timeout, self.demand_time_constant());
+        let Some(pool) = self.pools.get_mut(worker) else {
+            return AcquireOutcome::Failed(NoConnection::Unavailable);
+        };
+        if !pool.wanted || pool.disabled {
+            // The worker became unavailable between the routing decision and this call.
+            return AcquireOutcome::Failed(NoConnection::Unavailable);
         }
-        if pool.suspect.is_none() {
-            // The one used last first: the rest stay idle and go.
+        if pool.suspect_since.is_none() {
+            // Uses the most recently used connection first, so that the surplus ones stay idle and are closed.
             while let Some(idle) = pool.idle.pop() {
-                if now - idle.since < pool.keep(keep) {
+                if now - idle.idle_since < pool.idle_timeout(idle_timeout) {
                     pool.counts.reused += 1;
-                    pool.use_one(now, memory);
-                    return Asked::Use(idle.id);
+                    pool.mark_one_used(now, time_constant);
+                    return AcquireOutcome::Use(idle.id);
                 }
-                pool.close(CloseReason::Aged);
+                pool.count_close(CloseReason::IdleTimeout);
                 self.open -= 1;
                 commands.push(Command::Close(idle.id));
             }
         }
-        self.numbers += 1;
-        let waiter = WaiterId(self.numbers);
+        self.last_id += 1;
+        let waiter = WaiterId(self.last_id);
         pool.waiters.push_back(waiter);
-        match self.open_needed(now, worker, commands) {
-            Some(why) => {
+        match self.open_for_waiters(now, worker, commands) {
+            Some(reason) => {
                 if let Some(pool) = self.pools.get_mut(worker) {
-                    pool.waiters.retain(|w| *w != waiter);
+                    pool.waiters.retain(|queued| *queued != waiter);
                 }
-                Asked::No(why)
+                AcquireOutcome::Failed(reason)
             }
-            None => Asked::Wait(waiter),
+            None => AcquireOutcome::Wait(waiter),
         }
     }
 
-    /// Begins connects, as many as wait and may be; `Some`: there is nothing that who waits could wait for.
-    pub(super) fn open_needed(
+    /// Starts connection attempts until there is one for each waiter or a limit is reached. Returns the limit if the
+    /// worker has no connection in use or being established that the waiters could get.
+    pub(super) fn open_for_waiters(
         &mut self,
         now: Time,
         worker: &WorkerId,
         commands: &mut Vec<Command>,
     ) -> Option<NoConnection> {
-        let most = ((self.budget as f64 * CONNECTING_SHARE) as usize).max(1);
+        let max_connecting = ((self.budget as f64 * MAX_CONNECTING_SHARE) as usize).max(1);
         loop {
             let pool = self.pools.get(worker)?;
             if pool.waiters.len() <= pool.connecting as usize {
                 return None;
             }
-            let bound = !pool.may_open(now);
-            let short = !bound
-                && (self.connecting >= most
-                    || self.open >= self.budget && !self.close_least_useful(now, commands));
+            let is_limited = !pool.may_open(now);
+            let is_exhausted = !is_limited
+                && (self.connecting >= max_connecting
+                    || self.open >= self.budget && !self.close_lowest_ranked_idle(now, commands));
             let pool = self.pools.get_mut(worker)?;
-            if bound || short {
-                let hope = pool.in_use + pool.connecting > 0;
-                return (!hope).then_some(if bound {
+            if is_limited || is_exhausted {
+                let can_wait = pool.in_use + pool.connecting > 0;
+                return (!can_wait).then_some(if is_limited {
                     NoConnection::LimitReached
                 } else {
                     NoConnection::NoDescriptor
@@ -70,31 +73,37 @@
             pool.connecting += 1;
             self.connecting += 1;
             self.open += 1;
-            self.numbers += 1;
-            let id = ConnectionId(self.numbers);
+            self.last_id += 1;
+            let id = ConnectionId(self.last_id);
             commands.push(Command::Open { worker: worker.clone(), addr: pool.addr, id });
         }
     }
 
-    /// As [`PoolState::open_needed`], where a connection has gone that somebody may have waited for.
-    pub(super) fn open_needed_or_fail(&mut self, now: Time, worker: &WorkerId, commands: &mut Vec<Command>) {
-        if let Some(why) = self.open_needed(now, worker, commands)
+    /// As [`PoolState::open_for_waiters`], but fails the waiters if no connection can be expected. To be called after
+    /// the loss of a connection that they may have waited for.
+    pub(super) fn open_for_waiters_or_fail(
+        &mut self,
+        now: Time,
+        worker: &WorkerId,
+        commands: &mut Vec<Command>,
+    ) {
+        if let Some(reason) = self.open_for_waiters(now, worker, commands)
             && let Some(pool) = self.pools.get_mut(worker)
         {
-            commands.extend(pool.waiters.drain(..).map(|w| Command::Fail(w, why)));
+            commands.extend(pool.waiters.drain(..).map(|waiter| Command::Fail(waiter, reason)));
         }
     }
 
-    /// Why somebody waits for a connection to `worker` for longer than one may take to come up.
-    pub fn overdue(&self, worker: &str) -> NoConnection {
-        let connects = self.pools.get(worker).is_some_and(|p| p.connecting > 0);
-        if connects { NoConnection::TimedOut } else { NoConnection::LimitReached }
+    /// Returns why a request has waited for a connection to `worker` for longer than the connect time-out.
+    pub fn wait_timeout_reason(&self, worker: &str) -> NoConnection {
+        let is_connecting = self.pools.get(worker).is_some_and(|pool| pool.connecting > 0);
+        if is_connecting { NoConnection::TimedOut } else { NoConnection::LimitReached }
     }
 
-    /// A request waits no more.
-    pub fn give_up(&mut self, worker: &str, waiter: WaiterId) {
+    /// Removes a waiter.
+    pub fn cancel_waiter(&mut self, worker: &str, waiter: WaiterId) {
         if let Some(pool) = self.pools.get_mut(worker) {
-            pool.waiters.retain(|w| *w != waiter);
+            pool.waiters.retain(|queued| *queued != waiter);
         }
     }
 }
--- a/crates/transport/src/pool/state/idle.rs
+++ b/crates/transport/src/pool/state/idle.rs
@@ -1,77 +1,84 @@
-//! Which idle connections are closed, and when.
+//! Closing of idle connections.
 
-use super::{CloseReason, Command, Idle, PoolState, Time, WorkerId, WorkerPool};
+use super::{CloseReason, Command, IdleConnection, PoolState, Time, WorkerId, WorkerPool};
 
 impl PoolState {
-    /// Whether a connection to a worker is idle and may be used.
+    /// Whether an idle connection to a worker can be used at once.
     pub fn has_idle(&self, now: Time, worker: &str) -> bool {
         let Some(pool) = self.pools.get(worker) else { return false };
-        let keep = pool.keep(self.limits.keep);
-        pool.suspect.is_none() && pool.idle.last().is_some_and(|idle| now - idle.since < keep)
+        let idle_timeout = pool.idle_timeout(self.settings.idle_timeout);
+        pool.suspect_since.is_none()
+            && pool.idle.last().is_some_and(|idle| now - idle.idle_since < idle_timeout)
     }
 
-    /// Closes the idle connections to one worker.
+    /// Closes all idle connections to one worker.
     pub fn close_idle(&mut self, worker: &str, commands: &mut Vec<Command>) {
-        self.close_where(worker, commands, |_, _| Some(CloseReason::Unwanted));
+        self.close_idle_where(worker, commands, |_, _| Some(CloseReason::Unwanted));
     }
 
-    pub(super) fn close_where(
+    /// Closes the idle connections to one worker for which `reason` returns a reason.
+    pub(super) fn close_idle_where(
         &mut self,
         worker: &str,
         commands: &mut Vec<Command>,
-        why: impl Fn(&WorkerPool, &Idle) -> Option<CloseReason>,
+        reason: impl Fn(&WorkerPool, &IdleConnection) -> Option<CloseReason>,
     ) {
         let Some(pool) = self.pools.get_mut(worker) else { return };
-        let mut at = 0;
-        while at < pool.idle.len() {
-            let Some(why) = why(pool, &pool.idle[at]) else {
-                at += 1;
+        let mut index = 0;
+        while index < pool.idle.len() {
+            let Some(reason) = reason(pool, &pool.idle[index]) else {
+                index += 1;
                 continue;
             };
-            let idle = pool.idle.remove(at);
-            pool.close(why);
+            let idle = pool.idle.remove(index);
+            pool.count_close(reason);
             self.open -= 1;
             commands.push(Command::Close(idle.id));
         }
     }
 
-    /// Closes idle connections that are due, or beyond what recent demand needs.
+    /// Closes idle connections that have reached their idle time-out or that recent demand does not need, and removes
+    /// the empty pools of workers that have left the fleet.
     pub fn sweep(&mut self, now: Time, commands: &mut Vec<Command>) {
-        let (keep, memory) = (self.limits.keep, self.memory());
+        let (idle_timeout, time_constant) = (self.settings.idle_timeout, self.demand_time_constant());
         let workers: Vec<WorkerId> =
-            self.pools.iter().filter(|(_, p)| !p.idle.is_empty()).map(|(id, _)| id.clone()).collect();
+            self.pools.iter().filter(|(_, pool)| !pool.idle.is_empty()).map(|(id, _)| id.clone()).collect();
         for worker in workers {
-            self.close_where(&worker, commands, |pool, idle| {
-                // A share of a connection is one for a share of the time.
-                let keep = pool.keep(keep) * pool.bound(now).min(1.0);
-                let needed = pool.peak(now, memory).ceil().max(1.0);
-                if now - idle.since >= keep {
-                    Some(CloseReason::Aged)
+            self.close_idle_where(&worker, commands, |pool, idle| {
+                // With a bound below one, a connection may be open for that share of the time only.
+                let idle_timeout = pool.idle_timeout(idle_timeout) * pool.bound(now).min(1.0);
+                let needed = pool.peak(now, time_constant).ceil().max(1.0);
+                if now - idle.idle_since >= idle_timeout {
+                    Some(CloseReason::IdleTimeout)
                 } else {
-                    (now >= idle.early && pool.held() as f64 > needed).then_some(CloseReason::Surplus)
+                    (now >= idle.surplus_close_at && pool.connections() as f64 > needed)
+                        .then_some(CloseReason::Surplus)
                 }
             });
         }
-        self.pools.retain(|_, p| !p.gone || p.held() > 0 || !p.waiters.is_empty());
+        self.pools.retain(|_, pool| !pool.gone || pool.connections() > 0 || !pool.waiters.is_empty());
     }
 
-    /// Closes the idle connection that is least useful; `false`: there is none.
-    pub(super) fn close_least_useful(&mut self, now: Time, commands: &mut Vec<Command>) -> bool {
-        let memory = self.memory();
+    /// Closes the idle connection with the lowest rank: first those of workers that may not receive requests, then
+    /// those that recent demand does not need, and among these the one that has been idle longest. Returns `false` if
+    /// no connection is idle.
+    pub(super) fn close_lowest_ranked_idle(&mut self, now: Time, commands: &mut Vec<Command>) -> bool {
+        let time_constant = self.demand_time_constant();
         let rank = |(worker, pool): (&WorkerId, &WorkerPool)| {
             let oldest = pool.idle.first()?;
-            let needed = pool.suspect.is_none() && pool.held() as f64 <= pool.peak(now, memory).ceil();
-            Some((pool.wanted, needed, oldest.since, worker.clone()))
+            let needed = pool.suspect_since.is_none()
+                && pool.connections() as f64 <= pool.peak(now, time_constant).ceil();
+            Some((pool.wanted, needed, oldest.idle_since, worker.clone()))
         };
-        let least =
+        let lowest_ranked =
             self.pools.iter().filter_map(rank).min_by(|a, b| {
                 (a.0, a.1).cmp(&(b.0, b.1)).then(a.2.total_cmp(&b.2)).then_with(|| a.3.cmp(&b.3))
             });
-        let Some(pool) = least.and_then(|(_, _, _, worker)| self.pools.get_mut(&worker)) else {
+        let Some(pool) = lowest_ranked.and_then(|(_, _, _, worker)| self.pools.get_mut(&worker)) else {
             return false;
         };
         let idle = pool.idle.remove(0);
-        pool.close(CloseReason::Pressure);
+        pool.count_close(CloseReason::DescriptorPressure);
         self.open -= 1;
         commands.push(Command::Close(idle.id));
         true
--- a/crates/transport/src/pool/state/types.rs
+++ b/crates/transport/src/pool/state/types.rs
@@ -1,119 +1,137 @@
-//! What goes into the state of the pools, and what comes out.
+//! Inputs and outputs of the pools' state.
 
 use crate::WorkerId;
 use std::net::SocketAddr;
 
+/// Identifies a connection, from the start of its connection attempt on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ConnectionId(pub(super) u64);
 
+/// Identifies a request that waits for a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct WaiterId(pub(super) u64);
 
 /// Why a connection was closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloseReason {
-    /// Its worker's idle limit came near.
-    Aged,
-    /// Recent demand does not need it.
+    /// The connection reached its idle time-out, which ends before that of the worker.
+    IdleTimeout,
+    /// More connections were open than recent demand needs.
     Surplus,
-    /// Its worker is not to be sent to, or none is kept any more.
+    /// The worker may not receive requests, or idle connections are disabled.
     Unwanted,
-    /// Its worker has started anew, or is elsewhere.
-    Changed,
-    /// The other end closed it, or sent what nobody asked for.
-    Peer,
-    /// Its worker had fallen silent.
+    /// The worker restarted or changed its address after the connection was opened.
+    WorkerChanged,
+    /// The worker closed the connection, or sent unsolicited data.
+    ClosedByPeer,
+    /// The worker had stopped responding when the connection was idle, and may have lost it.
     Suspect,
-    /// Others needed its descriptor.
-    Pressure,
-    /// It was given up under a request, or broke there.
+    /// The budget or the process's file descriptors were exhausted.
+    DescriptorPressure,
+    /// The connection failed while a request used it, or the request was abandoned.
     Broken,
 }
 
 impl CloseReason {
+    /// All reasons in the order of declaration, with their names in the report.
     pub const ALL: [(Self, &'static str); 8] = [
-        (Self::Aged, "idle_limit"),
+        (Self::IdleTimeout, "idle_limit"),
         (Self::Surplus, "surplus"),
         (Self::Unwanted, "unwanted"),
-        (Self::Changed, "changed"),
-        (Self::Peer, "peer"),
+        (Self::WorkerChanged, "changed"),
+        (Self::ClosedByPeer, "peer"),
         (Self::Suspect, "suspect"),
-        (Self::Pressure, "descriptors"),
+        (Self::DescriptorPressure, "descriptors"),
         (Self::Broken, "in_use"),
     ];
 }
 
-/// Why there is no connection for a request. Nothing of it has been sent.
+/// Why a request got no connection. Nothing of the request has been sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoConnection {
-    /// No list has told where the worker is.
+    /// The worker's address is unknown, or the worker may not receive requests.
     Unavailable,
-    /// The worker refused, or reset what had just come up.
+    /// The worker refused the connection, or the attempt failed for another reason than the ones below.
     Refused,
-    /// No connection came up in time.
+    /// No connection was established within the connect time-out.
     TimedOut,
-    /// No descriptor is left, or none within the budget.
+    /// The process has no file descriptor or local port left, or the budget of connections is exhausted.
     NoDescriptor,
-    /// The worker's bound is reached: this says nothing of how it is.
+    /// The limit of connections to the worker is reached, which is no sign of a failure of the worker.
     LimitReached,
 }
 
-/// Where a request gets its connection from.
+/// How a request gets its connection.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum AcquireOutcome {
+    /// An idle connection is now in use by the request.
     Use(ConnectionId),
-    /// The connection comes, or an [`Command::Fail`] does.
+    /// The request waits, until a connection is granted to the waiter or [`Command::Fail`] names it.
     Wait(WaiterId),
-    No(NoConnection),
+    /// No connection is available, and none is expected.
+    Failed(NoConnection),
 }
 
-/// Where a connection goes that has come up or was given back.
+/// What becomes of a connection that was established or released.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Placed {
+pub enum Placement {
+    /// It is in use by this waiter.
     Granted(WaiterId),
+    /// It is idle in its pool.
     Idle,
+    /// The owner of the connections has to close it.
     Closed,
 }
 
-/// What whoever holds the connections has to carry out.
+/// What the owner of the connections has to do.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Command {
+    /// Start a connection attempt, and report its outcome with `connect_succeeded` or `connect_failed`.
     Open { worker: WorkerId, addr: SocketAddr, id: ConnectionId },
+    /// Close an idle connection.
     Close(ConnectionId),
+    /// Tell a waiter that it gets no connection.
     Fail(WaiterId, NoConnection),
 }
 
-/// What holds for all pools.
+/// Settings of all pools.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PoolSettings {
-    /// Seconds that a connection may stand idle.
-    pub keep: f64,
-    /// How many gatekeepers share the workers' connections.
+    /// Seconds after which an idle connection is closed.
+    pub idle_timeout: f64,
+    /// Number of gatekeepers that share the connections which a worker accepts.
     pub gateway_count: u32,
 }
 
-/// What holds for one worker beside the settings that hold for all.
+/// Limits of one worker, which apply in addition to the common settings.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct WorkerLimits {
-    /// Connections that this gatekeeper may hold there at most, one at least; `None`: only what is learned counts.
+    /// Maximum number of this gatekeeper's connections to the worker, where 0 counts as 1; `None`: only the learned
+    /// bound applies.
     pub max_connections: Option<usize>,
-    /// Seconds that a connection may stand idle at most; `None`: what holds for all.
+    /// Seconds after which an idle connection is closed, if that is less than the common time-out; `None`: the common
+    /// time-out applies.
     pub idle_timeout: Option<f64>,
 }
 
-/// How many of each there were since the start.
+/// Counts of one pool since its creation.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct Counts {
+    /// Connections established.
     pub opened: u64,
+    /// Requests that got a connection which was idle or just released.
     pub reused: u64,
+    /// Connection attempts that were refused.
     pub refused: u64,
+    /// Connection attempts that timed out.
     pub timed_out: u64,
-    /// Met a connection that turned out dead before a byte was written.
+    /// Leased connections that were found closed before a byte of the request was written.
     pub stale: u64,
+    /// Connections closed, by [`CloseReason`].
     pub closed: [u64; CloseReason::ALL.len()],
 }
 
-/// What is told of one pool.
+/// The reported state of one pool.
 #[derive(Debug, Clone)]
 pub struct View {
     pub worker: WorkerId,
@@ -124,7 +142,7 @@
     pub in_use: u32,
     pub connecting: u32,
     pub waiting: usize,
-    /// `None`: no bound but the budget.
+    /// Maximum number of connections to the worker; `None`: only the budget limits them.
     pub bound: Option<f64>,
     pub counts: Counts,
 }
--- a/crates/transport/src/pool/wakeups.rs
+++ b/crates/transport/src/pool/wakeups.rs
@@ -1,4 +1,4 @@
-//! Tells which idle connections have something to say.
+//! Collects the idle connections whose sockets have had an event.
 
 use super::state::ConnectionId;
 use std::{
@@ -7,7 +7,7 @@
 };
 use tokio::sync::Notify;
 
-/// Idle connections whose sockets have something to say.
+/// Idle connections whose sockets have had an event since the last [`Wakeups::take`].
 #[derive(Default)]
 pub struct Wakeups {
     connections: Mutex<Vec<ConnectionId>>,
@@ -20,7 +20,7 @@
         self.notify.notified().await;
     }
 
-    /// Those that were woken since the last call.
+    /// Returns the connections that were woken since the last call.
     pub fn take(&self) -> Vec<ConnectionId> {
         std::mem::take(&mut *self.connections.lock().unwrap_or_else(PoisonError::into_inner))
     }
@@ -39,7 +39,7 @@
     }
 }
 
-/// The waker of `connection`, which notes it in `wakeups`.
+/// Returns a waker that adds `connection` to `wakeups`.
 pub fn waker(wakeups: &Arc<Wakeups>, connection: ConnectionId) -> Waker {
     Waker::from(Arc::new(IdleWaker { connection, wakeups: wakeups.clone() }))
 }
--- a/crates/transport/src/server/handler.rs
+++ b/crates/transport/src/server/handler.rs
@@ -1,4 +1,4 @@
-//! What answers the requests that the server reads.
+//! The interface of request handlers.
 
 use super::Peer;
 use bytes::Bytes;
@@ -17,10 +17,10 @@
 
 /// Answers requests.
 pub trait Handler: 'static {
-    /// The body of an answer. One that fails closes the connection before the answer's end.
+    /// The body of a response. If it fails, the connection is closed before the response's end.
     type Body: Body<Data = Bytes, Error: Into<Box<dyn Error + Send + Sync>>> + Unpin + 'static;
 
-    /// Answers one request. Dropped before it is done, its client has gone.
+    /// Answers one request. The future is dropped early if the client closes its connection.
     fn handle(
         &self,
         request: Request<Incoming>,
@@ -28,17 +28,18 @@
     ) -> impl Future<Output = Response<Self::Body>>;
 }
 
-/// Where a request comes from.
+/// The client that sent a request.
 pub struct Client {
-    /// Its connection.
+    /// The client's connection.
     pub peer: Rc<Peer>,
-    /// The connection counts as busy as long as anybody holds this, such as a body that still comes.
+    /// Keeps the connection counted as busy until all clones are dropped, for example by a body that is still being
+    /// received.
     pub busy_guard: Rc<dyn Any>,
-    /// New clients are welcome, by this server.
+    /// Whether the load balancer may send new clients to this server.
     pub is_in_service: bool,
 }
 
-/// The body of an answer, whose connection counts as busy until it has been written.
+/// The body of a response. Its connection counts as busy until the body is dropped.
 pub struct BusyBody<B> {
     pub(super) body: B,
     pub(super) _busy_guard: Rc<dyn Any>,
--- a/crates/transport/src/server/peer.rs
+++ b/crates/transport/src/server/peer.rs
@@ -1,4 +1,4 @@
-//! What is known of a client's connection while it is open.
+//! The state of one client connection.
 
 use super::Settings;
 use std::{
@@ -10,63 +10,66 @@
 };
 use tokio::sync::Notify;
 
-/// Between looks at a connection that has a request in hand.
+/// Interval at which the time-outs of a connection with an active request are checked.
 const BUSY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A new connection has so long to bring something before it may make room for another.
+/// Time after which a new connection that has sent nothing may be evicted.
 const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(100);
-/// An answer of which its client takes nothing for so long may be broken off to make room.
+/// A connection whose client accepts no byte of a response for this long may be evicted.
 const UNREAD_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What a connection holds its place for; the first gives way first.
+/// Why a connection is open, in the order in which connections are evicted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Kind {
-    /// It has sent nothing for a while.
+pub(super) enum EvictionClass {
+    /// The client has sent nothing since the connection was accepted, for at least [`Settings::eviction_min_idle`].
     NothingReceived,
-    /// It is idle after a request.
-    Kept,
-    /// It has sent nothing yet.
-    Fresh,
-    /// The beginning of a request has come, and not the whole.
-    HalfRequest,
-    /// It has had its answer a moment ago: the next request may be on its way.
-    JustUsed,
-    /// Its client does not read its answer.
+    /// The connection is idle after a request, for at least [`Settings::eviction_min_idle`].
+    Idle,
+    /// The connection was accepted recently, and the client has sent nothing yet.
+    New,
+    /// A request has been received in part.
+    PartialRequest,
+    /// A response was completed recently, so the next request may be on its way.
+    RecentlyUsed,
+    /// The client does not read its response.
     Unread,
 }
 
-/// How soon a connection gives way to another: kind by kind, and of one kind the oldest first.
+/// The order in which connections are evicted: by class, and the longest unchanged first within a class.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EvictionRank {
-    pub(super) kind: Kind,
+    pub(super) class: EvictionClass,
     pub(super) since: Instant,
 }
 
-/// A client's connection as the others see it.
+/// The state of a client connection, shared by its task, its socket and its requests.
 pub struct Peer {
-    /// The server's, which may change meanwhile.
+    /// The server's settings, which may change while the connection is open.
     settings: Rc<Cell<Settings>>,
-    /// How long it may stand idle by the settings that held when it last had something in hand: its client may go by them.
+    /// Idle time-out of the settings when the last request ended, on which the client may rely.
     idle_timeout: Cell<Duration>,
-    /// Requests on it that are in hand: the rest of one that is answered may still be coming to its end when the
-    /// next has come.
-    pub(super) in_hand: Cell<usize>,
-    pub(super) since: Cell<Instant>,
-    /// It has carried a request.
+    /// Number of active requests. There may be two: the rest of a request's body may still be received after its
+    /// response, when the next request has arrived.
+    pub(super) active_requests: Cell<usize>,
+    /// Since when the connection has been idle, or open if it has not carried a request yet.
+    pub(super) idle_since: Cell<Instant>,
+    /// The connection has carried a valid request.
     pub(super) used: Cell<bool>,
-    /// When the first byte came of a head that is still coming.
-    pub(super) head: Cell<Option<Instant>>,
-    /// When its client last took something.
-    pub(super) taken: Cell<Instant>,
-    /// Something is left that its client has not taken yet.
-    pub(super) untaken: Cell<bool>,
-    /// It ends to make room for another.
+    /// When the first byte was received of a request head that is not complete yet.
+    pub(super) head_started_at: Cell<Option<Instant>>,
+    /// When the socket last accepted a write, or a request began or was answered.
+    pub(super) last_write: Cell<Instant>,
+    /// The socket does not accept the rest of a response, since the client does not read it.
+    pub(super) write_pending: Cell<bool>,
+    /// The connection was evicted.
     evicted: Cell<bool>,
+    /// Notified when the connection is evicted.
     evict: Notify,
-    pub(super) close: Notify,
-    /// A head has come whole.
+    /// Notified when the server wants the connection closed.
+    pub(super) close_requested: Notify,
+    /// Notified when a request head is complete.
     pub(super) head_complete: Notify,
-    /// A head has begun to come.
+    /// Notified when the first byte of a request head has been received.
     head_begun: Notify,
 }
 
@@ -74,166 +77,169 @@
     pub(super) fn new(settings: Rc<Cell<Settings>>) -> Self {
         let now = Instant::now();
         let idle_timeout = Cell::new(settings.get().idle_timeout);
-        let (in_hand, used, untaken, evicted) = Default::default();
-        let (since, head, taken) = (Cell::new(now), Cell::new(None), Cell::new(now));
-        let (close, head_complete, head_begun, evict) = Default::default();
+        let (active_requests, used, write_pending, evicted) = Default::default();
+        let (idle_since, head_started_at, last_write) = (Cell::new(now), Cell::new(None), Cell::new(now));
+        let (close_requested, head_complete, head_begun, evict) = Default::default();
         Self {
             settings,
             idle_timeout,
-            in_hand,
-            since,
+            active_requests,
+            idle_since,
             used,
-            head,
-            taken,
-            untaken,
+            head_started_at,
+            last_write,
+            write_pending,
             evicted,
             evict,
-            close,
+            close_requested,
             head_complete,
             head_begun,
         }
     }
 
-    /// Since when it has been idle, or open where it has carried nothing yet.
+    /// Returns since when the connection has been idle, or open if it has not carried a request yet.
     pub fn idle_since(&self) -> Instant {
-        self.since.get()
+        self.idle_since.get()
     }
 
-    /// It has carried a proper request.
+    /// Whether the connection has carried a valid request.
     pub fn used(&self) -> bool {
         self.used.get()
     }
 
-    /// A proper request has come on it, whole as far as it is gathered.
+    /// Records that a valid request was received, including the part of its body that is buffered.
     pub fn mark_used(&self) {
         self.used.set(true);
     }
 
-    /// A request on it is in hand, or the last answer has not all gone out.
+    /// Whether a request is active, or the last response has not been written completely.
     pub(super) fn busy(&self) -> bool {
-        self.in_hand.get() > 0 || self.untaken.get()
+        self.active_requests.get() > 0 || self.write_pending.get()
     }
 
-    /// The socket took what it was offered, or takes nothing just now.
-    pub(super) fn wrote(&self, done: &Poll<io::Result<usize>>) {
-        if done.is_ready() {
-            self.taken.set(Instant::now());
+    /// Records the result of a write to the socket.
+    pub(super) fn record_write(&self, result: &Poll<io::Result<usize>>) {
+        if result.is_ready() {
+            self.last_write.set(Instant::now());
         }
-        if self.untaken.replace(done.is_pending()) && done.is_ready() {
-            // It may be idle from now on, and not from when its answer was made.
-            self.rest();
+        if self.write_pending.replace(result.is_pending()) && result.is_ready() {
+            // The idle time starts when the response has been written, not when it was produced.
+            self.mark_idle();
         }
     }
 
-    /// Something has come on it; where nothing is in hand, that begins a head.
-    pub(super) fn read(&self) {
-        if !self.busy() && self.head.get().is_none() {
-            self.head.set(Some(Instant::now()));
+    /// Records that bytes were received. On a connection that is not busy they begin a request head.
+    pub(super) fn record_read(&self) {
+        if !self.busy() && self.head_started_at.get().is_none() {
+            self.head_started_at.set(Some(Instant::now()));
             self.head_begun.notify_one();
         }
     }
 
-    /// It may be idle from now on.
-    fn rest(&self) {
-        self.since.set(Instant::now());
+    /// Starts the idle time.
+    fn mark_idle(&self) {
+        self.idle_since.set(Instant::now());
         self.idle_timeout.set(self.settings.get().idle_timeout);
     }
 
-    /// The longest that it may stand idle: a limit that has become shorter holds from its next request on.
-    pub(super) fn idle_limit(&self) -> Duration {
+    /// Returns the idle time-out. A shorter time-out in changed settings applies from the next request on.
+    pub(super) fn current_idle_timeout(&self) -> Duration {
         self.idle_timeout.get().max(self.settings.get().idle_timeout)
     }
 
-    /// One that has just come, or just had its answer, may have a request on its way.
+    /// Whether the connection is idle for longer than [`Settings::eviction_min_idle`]. A new connection, or one whose
+    /// response has just been completed, may have a request on its way.
     pub(super) fn idle(&self) -> bool {
         let eviction_min_idle = self.settings.get().eviction_min_idle;
-        !self.busy() && self.head.get().is_none() && self.since.get().elapsed() > eviction_min_idle
+        !self.busy()
+            && self.head_started_at.get().is_none()
+            && self.idle_since.get().elapsed() > eviction_min_idle
     }
 
-    /// Whether it may be ended at once to make room for another, and how soon before others: never while a request of
-    /// its is under way.
+    /// Returns the rank for eviction at `now`; `None` if the connection may not be evicted. A connection with an active
+    /// valid request may be evicted only if its client does not read the response.
     pub(super) fn eviction_rank(&self, now: Instant) -> Option<EvictionRank> {
         let eviction_min_idle = self.settings.get().eviction_min_idle;
-        let (kind, since, min_age) = match (self.in_hand.get() > 0, self.head.get()) {
+        let (class, since, min_age) = match (self.active_requests.get() > 0, self.head_started_at.get()) {
             _ if self.evicted.get() => return None,
-            _ if self.untaken.get() => (Kind::Unread, self.taken.get(), UNREAD_TIMEOUT),
+            _ if self.write_pending.get() => (EvictionClass::Unread, self.last_write.get(), UNREAD_TIMEOUT),
             (true, _) if self.used.get() => return None,
-            (true, None) => (Kind::HalfRequest, self.since.get(), eviction_min_idle),
-            (_, Some(head)) => (Kind::HalfRequest, head, eviction_min_idle),
-            (false, None) if self.used.get() => (Kind::Kept, self.since.get(), Duration::ZERO),
-            (false, None) => (Kind::NothingReceived, self.since.get(), NEW_CONNECTION_GRACE),
+            (true, None) => (EvictionClass::PartialRequest, self.idle_since.get(), eviction_min_idle),
+            (_, Some(head)) => (EvictionClass::PartialRequest, head, eviction_min_idle),
+            (false, None) if self.used.get() => (EvictionClass::Idle, self.idle_since.get(), Duration::ZERO),
+            (false, None) => (EvictionClass::NothingReceived, self.idle_since.get(), NEW_CONNECTION_GRACE),
         };
         let age = now.saturating_duration_since(since);
-        let kind = match kind {
-            Kind::Kept if age < eviction_min_idle => Kind::JustUsed,
-            Kind::NothingReceived if age < eviction_min_idle => Kind::Fresh,
-            kind => kind,
+        let class = match class {
+            EvictionClass::Idle if age < eviction_min_idle => EvictionClass::RecentlyUsed,
+            EvictionClass::NothingReceived if age < eviction_min_idle => EvictionClass::New,
+            class => class,
         };
-        (age >= min_age).then_some(EvictionRank { kind, since })
+        (age >= min_age).then_some(EvictionRank { class, since })
     }
 
-    /// Ends it, whatever it brings.
+    /// Evicts the connection: its task ends without regard to later requests.
     pub(super) fn evict(&self) {
         self.evicted.set(true);
         self.evict.notify_one();
     }
 
-    /// Whether it is ended to make room.
+    /// Whether the connection was evicted.
     pub(super) fn is_evicted(&self) -> bool {
         self.evicted.get()
     }
 
-    /// Waits until it is to end to make room.
+    /// Waits until the connection is evicted.
     pub(super) async fn evicted(&self) {
         self.evict.notified().await;
     }
 
-    /// Waits until it may be closed from this side, where that is wanted: a request whose head has begun to come is
-    /// owed its answer first.
-    pub(super) async fn may_close(&self) {
-        self.close.notified().await;
-        while self.head.get().is_some() {
+    /// Waits until the server wants the connection closed and may do so: a request whose head is being received is
+    /// answered first.
+    pub(super) async fn close_allowed(&self) {
+        self.close_requested.notified().await;
+        while self.head_started_at.get().is_some() {
             self.head_complete.notified().await;
         }
     }
 
-    /// Waits until it is to be closed for bringing nothing, or for taking nothing.
-    pub(super) async fn overdue(&self) {
+    /// Waits until the connection has exceeded a time-out for receiving a request, being idle or writing a response.
+    pub(super) async fn timed_out(&self) {
         loop {
             let settings = self.settings.get();
-            let first = self.since.get() + settings.first_head_timeout;
-            let until = match (self.busy(), self.head.get()) {
-                (true, _) if self.untaken.get() => self.taken.get() + settings.write_stall_timeout,
+            let first_head_deadline = self.idle_since.get() + settings.first_head_timeout;
+            let deadline = match (self.busy(), self.head_started_at.get()) {
+                (true, _) if self.write_pending.get() => self.last_write.get() + settings.write_stall_timeout,
                 (true, _) => Instant::now() + BUSY_CHECK_INTERVAL,
                 (false, Some(head)) if self.used.get() => head + settings.head_timeout,
-                (false, Some(head)) => first.min(head + settings.head_timeout),
-                (false, None) if self.used.get() => self.since.get() + self.idle_limit(),
-                (false, None) => first,
+                (false, Some(head)) => first_head_deadline.min(head + settings.head_timeout),
+                (false, None) if self.used.get() => self.idle_since.get() + self.current_idle_timeout(),
+                (false, None) => first_head_deadline,
             };
-            if until <= Instant::now() {
+            if deadline <= Instant::now() {
                 return;
             }
             tokio::select! {
-                () = tokio::time::sleep_until(until.into()) => {}
+                () = tokio::time::sleep_until(deadline.into()) => {}
                 () = self.head_begun.notified() => {}
             }
         }
     }
 }
 
-/// Counts a request on a connection as in hand until it is dropped.
-pub(super) struct Busy(Rc<Peer>);
+/// An active request, which is counted at its connection until dropped.
+pub(super) struct ActiveRequest(Rc<Peer>);
 
-impl Busy {
+impl ActiveRequest {
     pub(super) fn new(peer: &Rc<Peer>) -> Self {
-        peer.in_hand.set(peer.in_hand.get() + 1);
+        peer.active_requests.set(peer.active_requests.get() + 1);
         Self(peer.clone())
     }
 }
 
-impl Drop for Busy {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
-        self.0.in_hand.set(self.0.in_hand.get() - 1);
-        self.0.rest();
+        self.0.active_requests.set(self.0.active_requests.get() - 1);
+        self.0.mark_idle();
     }
 }
--- a/crates/transport/src/server/settings.rs
+++ b/crates/transport/src/server/settings.rs
@@ -1,20 +1,21 @@
-//! How long clients may take, and how much they may send.
+//! Limits of client connections.
 
 use std::time::Duration;
 
-/// What holds for the connections of clients.
+/// Limits of client connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Settings {
-    /// Longest head of a request, in bytes.
+    /// Longest request head, in bytes.
     pub max_head_bytes: usize,
-    /// Longest time for a head to come, from its first byte on.
+    /// Time-out of a request head, from its first byte on.
     pub head_timeout: Duration,
-    /// Longest time for the first head on a connection to come, from the connection's beginning on.
+    /// Time-out of the first request head on a connection, from the start of the connection on.
     pub first_head_timeout: Duration,
-    /// Longest time for a connection to stand idle between requests.
+    /// Time-out of an idle connection between requests.
     pub idle_timeout: Duration,
-    /// A connection that has carried nothing for so long may be closed to make room.
+    /// Time without activity after which a connection counts as idle: it may be evicted before younger ones, and is
+    /// closed when the server drains.
     pub eviction_min_idle: Duration,
-    /// An answer of which its client takes nothing for so long is given up.
+    /// A response of which the client accepts no byte for this long is aborted.
     pub write_stall_timeout: Duration,
 }
--- a/crates/transport/src/server/socket.rs
+++ b/crates/transport/src/server/socket.rs
@@ -1,4 +1,4 @@
-//! A client's socket, and how its end is noticed.
+//! A client's socket, and the detection that the client has closed it.
 
 use super::peer::Peer;
 use socket2::SockRef;
@@ -17,58 +17,63 @@
     net::TcpStream,
 };
 
-/// Between looks whether a client has gone behind bytes of its own that nobody reads yet.
-const END_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval at which a socket with unread bytes is checked for whether the client has closed it.
+const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A client's socket, which notes when a head begins to come and when something is taken.
-pub struct Watched {
+/// A client's socket that records reads and writes in the state of its connection.
+pub struct WatchedSocket {
     pub socket: Rc<RefCell<TcpStream>>,
     pub peer: Rc<Peer>,
 }
 
-/// Whether the client has ended its sending, or all, and every byte before that is read. To be called by the task that
-/// serves the connection.
-pub async fn has_ended(socket: &RefCell<TcpStream>) -> bool {
+/// Whether the client has closed the connection or its sending direction, and all bytes before that have been read. To
+/// be called by the task that serves the connection.
+pub async fn is_closed_by_client(socket: &RefCell<TcpStream>) -> bool {
     let is_read_closed = poll_fn(|cx| {
         let socket = socket.borrow();
         let ready = pin!(socket.ready(Interest::READABLE)).poll(cx);
         Poll::Ready(matches!(ready, Poll::Ready(Ok(ready)) if ready.is_read_closed()))
     });
-    // A socket that is new is read before the runtime has asked what has come on it, so the end is looked for as well.
-    is_read_closed.await || at_end(&socket.borrow())
+    // A new socket may be read before the runtime has received its readiness events, so the socket itself is checked
+    // too.
+    is_read_closed.await || is_at_eof(&socket.borrow())
 }
 
-/// Whether the next read would find the end.
-fn at_end(socket: &TcpStream) -> bool {
+/// Whether the next read would return the end of the stream.
+fn is_at_eof(socket: &TcpStream) -> bool {
     let mut byte = [MaybeUninit::uninit()];
     SockRef::from(socket).peek(&mut byte).is_ok_and(|read| read == 0)
 }
 
-impl AsyncRead for Watched {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, to: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let before = to.filled().len();
-        let done = Pin::new(&mut *self.socket.borrow_mut()).poll_read(cx, to);
-        if to.filled().len() > before {
-            self.peer.read();
+impl AsyncRead for WatchedSocket {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        let before = buffer.filled().len();
+        let result = Pin::new(&mut *self.socket.borrow_mut()).poll_read(cx, buffer);
+        if buffer.filled().len() > before {
+            self.peer.record_read();
         }
-        done
+        result
     }
 }
 
-impl AsyncWrite for Watched {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, from: &[u8]) -> Poll<io::Result<usize>> {
-        let done = Pin::new(&mut *self.socket.borrow_mut()).poll_write(cx, from);
-        self.peer.wrote(&done);
-        done
+impl AsyncWrite for WatchedSocket {
+    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
+        let result = Pin::new(&mut *self.socket.borrow_mut()).poll_write(cx, data);
+        self.peer.record_write(&result);
+        result
     }
     fn poll_write_vectored(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-        from: &[IoSlice<'_>],
+        data: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let done = Pin::new(&mut *self.socket.borrow_mut()).poll_write_vectored(cx, from);
-        self.peer.wrote(&done);
-        done
+        let result = Pin::new(&mut *self.socket.borrow_mut()).poll_write_vectored(cx, data);
+        self.peer.record_write(&result);
+        result
     }
     fn is_write_vectored(&self) -> bool {
         self.socket.borrow().is_write_vectored()
@@ -81,13 +86,13 @@
     }
 }
 
-/// Waits until the client has ended its sending, or all, while a request of its is in hand. The server itself notices
-/// that only once it has read all before it, and it reads no further than the request that it works on. To be polled
-/// by the task that serves the connection, and after it.
-pub async fn gone(socket: &RefCell<TcpStream>, peer: &Peer) {
+/// Waits until the client closes the connection or its sending direction while a request is active. The HTTP server
+/// would notice that only after reading all bytes before, and it does not read beyond the active request. To be polled
+/// by the task that serves the connection, after the connection itself.
+pub async fn client_closed(socket: &RefCell<TcpStream>, peer: &Peer) {
     loop {
-        let look = poll_fn(|cx| {
-            // Whatever puts a request in hand happens in this task, which looks here again then.
+        let closed = poll_fn(|cx| {
+            // Requests become active in this task only, which then polls this future again.
             if !peer.busy() || socket.borrow().poll_read_ready(cx).is_pending() {
                 return Poll::Pending;
             }
@@ -95,10 +100,10 @@
             let ready = pin!(socket.ready(Interest::READABLE)).poll(cx);
             Poll::Ready(!matches!(ready, Poll::Ready(Ok(ready)) if !ready.is_read_closed()))
         });
-        if look.await {
+        if closed.await {
             return;
         }
-        // Bytes have come that are not read yet: nothing tells when the end comes behind them.
-        tokio::time::sleep(END_CHECK_INTERVAL).await;
+        // Unread bytes keep the socket readable, so no event announces that the client closes it after them.
+        tokio::time::sleep(CLOSE_CHECK_INTERVAL).await;
     }
 }
--- a/crates/transport/src/server/tests.rs
+++ b/crates/transport/src/server/tests.rs
@@ -1,4 +1,4 @@
-//! What a connection counts as.
+//! Tests of the state of a client connection.
 
 use super::*;
 use std::task::Poll;
@@ -18,31 +18,35 @@
     Rc::new(Cell::new(settings))
 }
 
-/// How much of an answer the sockets hold is the system's business, so no test of the whole program can fill them
-/// to just before an answer's end.
+/// A connection must not count as idle while the socket does not accept the rest of a response. A test of the whole
+/// program cannot produce this state, since the operating system decides how much of a response the sockets buffer.
 #[test]
-fn a_connection_is_busy_until_its_client_has_taken_the_last_answer() {
+fn a_connection_is_busy_until_the_last_response_is_written() {
     let peer = Peer::new(shared(settings()));
-    peer.since.set(Instant::now().checked_sub(2 * settings().eviction_min_idle).unwrap());
+    peer.idle_since.set(Instant::now().checked_sub(2 * settings().eviction_min_idle).unwrap());
     assert!(peer.idle() && !peer.busy());
-    peer.wrote(&Poll::Pending);
+    peer.record_write(&Poll::Pending);
     assert!(peer.busy() && !peer.idle());
-    peer.wrote(&Poll::Ready(Ok(1)));
-    assert!(!peer.busy(), "all has gone out");
-    assert!(!peer.idle(), "and a request may be on its way");
+    peer.record_write(&Poll::Ready(Ok(1)));
+    assert!(!peer.busy(), "the response is written");
+    assert!(!peer.idle(), "the next request may be on its way");
 }
 
-/// Its client goes by the limit that held when the last answer came.
+/// The client relies on the idle time-out that was in force when its last response was completed.
 #[test]
-fn an_idle_connection_may_rest_as_long_as_when_it_became_idle() {
+fn a_shorter_idle_timeout_does_not_apply_to_a_connection_that_is_already_idle() {
     let settings_of_server = shared(settings());
     let peer = Rc::new(Peer::new(settings_of_server.clone()));
-    drop(Busy::new(&peer));
+    drop(ActiveRequest::new(&peer));
     let shorter = Settings { idle_timeout: settings().idle_timeout / 4, ..settings() };
     settings_of_server.set(shorter);
-    assert_eq!(peer.idle_limit(), settings().idle_timeout);
-    drop(Busy::new(&peer));
-    assert_eq!(peer.idle_limit(), shorter.idle_timeout, "from its next request on the new limit holds");
+    assert_eq!(peer.current_idle_timeout(), settings().idle_timeout);
+    drop(ActiveRequest::new(&peer));
+    assert_eq!(
+        peer.current_idle_timeout(),
+        shorter.idle_timeout,
+        "the shorter time-out applies after the next request"
+    );
     settings_of_server.set(settings());
-    assert_eq!(peer.idle_limit(), settings().idle_timeout, "a longer limit holds at once");
+    assert_eq!(peer.current_idle_timeout(), settings().idle_timeout, "a longer time-out applies at once");
 }
