--- a/crates/net/src/error.rs
+++ b/crates/net/src/error.rs
@@ -1,75 +1,75 @@
-//! What may go wrong on a connection.
+//! Errors of connections and calls.
 
 use opalrun_wire::{ResultCode, frame::FrameError};
 use snafu::Snafu;
 use std::{io, net::SocketAddr};
 
-/// Why a connection can't be made, read or written.
+/// Why a connection can't be opened, read or written.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum NetError {
     /// An address can't be listened on.
     #[snafu(display("can't listen on {address}: {source}"))]
     Bind {
-        /// The address.
+        /// The local address.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the system call.
         source: io::Error,
     },
-    /// A connection can't be made.
+    /// A connection can't be opened.
     #[snafu(display("can't connect to {address}: {source}"))]
     Connect {
-        /// Where to.
+        /// The remote address.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the system call.
         source: io::Error,
     },
-    /// A connection did not come up in time.
-    #[snafu(display("no connection to {address} in time"))]
+    /// A connection was not established within the time-out.
+    #[snafu(display("connecting to {address} timed out"))]
     ConnectTimedOut {
-        /// Where to.
+        /// The remote address.
         address: SocketAddr,
     },
     /// Accepting, reading or writing failed.
     #[snafu(display("connection failed: {source}"))]
     Io {
-        /// What the system said.
+        /// The error of the system call.
         source: io::Error,
     },
-    /// The other side speaks another version.
-    #[snafu(display("{}: the other side speaks version {version}", ResultCode::PROTOCOL_VERSION))]
+    /// The other side uses another protocol version.
+    #[snafu(display("{}: the other side uses protocol version {version}", ResultCode::PROTOCOL_VERSION))]
     Version {
-        /// Its version.
+        /// The protocol version of the other side.
         version: u32,
     },
-    /// The other side sent something that is no message.
+    /// A frame is invalid, does not contain a message of the expected type, or is too long to be sent.
     #[snafu(display("{source}"))]
     Frame {
-        /// What is wrong with it.
+        /// What is wrong with the frame.
         source: FrameError,
     },
     /// The connection ended inside a frame.
     #[snafu(display("connection ended inside a frame"))]
     Truncated,
-    /// Too many bytes wait to be written: the other side does not read.
-    #[snafu(display("the queue of a connection is full"))]
+    /// The send queue is full, since the other side does not read.
+    #[snafu(display("the send queue of the connection is full"))]
     QueueFull,
     /// The connection has ended.
     #[snafu(display("the connection has ended"))]
     Closed,
 }
 
-/// Why a call has no answer.
+/// Why a call has no response.
 #[derive(Debug, Snafu, Clone, Copy, PartialEq, Eq)]
 #[snafu(context(suffix(CallSnafu)))]
 pub enum RpcError {
-    /// It was not sent: the other side has not seen it.
+    /// The call was not sent, so the other side has not received it.
     #[snafu(display("the call was not sent"))]
     NotSent,
-    /// It was sent; no answer came in time.
-    #[snafu(display("no answer in time"))]
+    /// The call was sent, but no response was received within the time-out.
+    #[snafu(display("no response within the time-out"))]
     TimedOut,
-    /// It was sent; the connection ended before an answer came.
-    #[snafu(display("the connection ended before an answer came"))]
+    /// The call was sent, but the connection ended before a response was received.
+    #[snafu(display("the connection ended before a response was received"))]
     Closed,
 }
--- a/crates/net/src/feed_client/mod.rs
+++ b/crates/net/src/feed_client/mod.rs
@@ -1,7 +1,8 @@
-//! The client of the change feed, the same for agents, stores and proxies.
+//! The client of the change feed, used by agents, stores and proxies.
 //!
 //! It keeps one subscription, and moves to another server when connecting fails, when the server reports itself
-//! unavailable, or when its updates are no longer fresh. Offsets of delivered updates never decrease.
+//! unavailable, or when the server stops confirming that its updates are fresh. The offsets of delivered updates never
+//! decrease.
 
 mod offsets;
 mod options;
@@ -27,9 +28,9 @@
 use subscription::SubscriptionTask;
 use tokio::task::JoinHandle;
 
-/// The servers of most subscribers, as the log names them.
+/// Name in the log of the servers of most subscribers, the control processes.
 pub const CONTROL: &str = "control";
-/// The server of a proxy, as the log names it.
+/// Name in the log of the server of a proxy, its agent.
 pub const AGENT: &str = "agent";
 
 /// A subscription to the change feed, kept up until the client is dropped.
@@ -39,14 +40,14 @@
 }
 
 impl FeedClient {
-    /// Subscribes; `deliver` is called for each update, in order, and never with [`FeedUpdate::Unavailable`]. Has to run
-    /// inside a `LocalSet`.
+    /// Starts a subscription. `deliver` is called for each update, in order, and never with
+    /// [`FeedUpdate::Unavailable`]. Has to run inside a `LocalSet`.
     #[must_use]
     pub fn start(options: FeedOptions, deliver: impl FnMut(FeedUpdate) + 'static) -> Self {
         Self::start_with_seeds(options, || None, deliver)
     }
 
-    /// As [`FeedClient::start`]; `read_seeds` is called for the current seeds whenever no known server could be used.
+    /// As [`FeedClient::start`]. Whenever all known servers have failed, `read_seeds` is called for the current seeds.
     #[must_use]
     pub fn start_with_seeds(
         options: FeedOptions,
@@ -73,20 +74,21 @@
         Self { shared, task }
     }
 
-    /// Reports at once which generation of the configuration is in force here.
+    /// Sets the generation of the configuration that is in force at this subscriber, and reports it at once if it has
+    /// changed.
     pub fn report_generation(&self, generation: Generation) {
         if self.shared.generation.replace(generation) != generation {
             self.shared.send_heartbeat();
         }
     }
 
-    /// Subscribes under another description from the next connection on.
+    /// Replaces the subscriber that is named in subscriptions, from the next connection on.
     pub fn set_subscriber(&self, subscriber: Subscriber) {
         self.shared.subscriber.replace(subscriber);
     }
 
-    /// From a store: the replicas of these partitions here are complete. Returns whether the report was sent; it may be
-    /// lost all the same, so the caller repeats it until the map shows it.
+    /// Reports for a store that its replicas of these partitions are complete. Returns whether the report was queued.
+    /// It may still be lost, so the caller repeats it until the partition map shows the replicas as complete.
     #[expect(clippy::must_use_candidate, reason = "callers repeat the report, sent or not")]
     pub fn report_replicas_complete(
         &self,
@@ -97,25 +99,25 @@
         self.shared.send(&FeedRequest::ReplicasComplete { store, epoch, partitions })
     }
 
-    /// From a store that received SIGTERM; [`FeedUpdate::ShutdownDecision`] answers it. Returns whether the request was
-    /// sent; it may be lost all the same.
+    /// Requests the shutdown of a store that received SIGTERM; [`FeedUpdate::ShutdownDecision`] answers the request.
+    /// Returns whether the request was queued. It may still be lost.
     #[expect(clippy::must_use_candidate, reason = "callers repeat the request, sent or not")]
     pub fn request_shutdown(&self, store: NodeIdentity) -> bool {
         self.shared.send(&FeedRequest::ShutdownRequested { store })
     }
 
-    /// From a gatekeeper: requests that failed at workers. Losing a report does no harm.
+    /// Reports for a gatekeeper the requests that failed at workers. A report may be lost without harm.
     pub fn report_worker_failures(&self, failures: Vec<WorkerFailures>) {
         self.shared.send(&FeedRequest::WorkerFailures(failures));
     }
 
-    /// Attempts to reach a server that failed, and whether none is reached now.
+    /// Returns the number of failed attempts to reach a server, and whether no server is reached now.
     #[must_use]
     pub fn peer_count(&self) -> PeerCount {
         self.shared.reachability.borrow().count()
     }
 
-    /// Whether a server is connected.
+    /// Whether a connection to a server is open.
     #[must_use]
     pub fn is_connected(&self) -> bool {
         self.shared.writer.borrow().as_ref().is_some_and(|writer| !writer.is_closed())
--- a/crates/net/src/feed_client/offsets.rs
+++ b/crates/net/src/feed_client/offsets.rs
@@ -1,4 +1,4 @@
-//! The offset reached in each shard, so that nothing older is delivered.
+//! The offset reached in each shard, which prevents the delivery of older updates.
 
 use opalrun_wire::{
     feed::Position,
@@ -21,8 +21,9 @@
         self.positions.clone()
     }
 
-    /// Advances the offset of a shard. Returns `false` for one that isn't newer, or isn't subscribed to. Changes that begin
-    /// before the known offset may be applied again: each sets the state of what it concerns.
+    /// Advances the offset of a shard. Returns `false` if the offset isn't higher, or the shard isn't subscribed to. An
+    /// update that begins before the known offset may contain changes that were applied already; applying them again is
+    /// harmless, since each change sets the complete state of its object.
     pub(super) fn advance(&mut self, shard: Shard, offset: FeedOffset) -> bool {
         let Some(position) = self.positions.iter_mut().find(|position| position.shard == shard) else {
             return false;
--- a/crates/net/src/feed_client/options.rs
+++ b/crates/net/src/feed_client/options.rs
@@ -6,16 +6,17 @@
 /// Options of a [`FeedClient`](super::FeedClient).
 #[derive(Debug, Clone)]
 pub struct FeedOptions {
-    /// Who subscribes.
+    /// The subscriber, as named in the subscription.
     pub subscriber: Subscriber,
     /// The shards to subscribe to.
     pub shards: Vec<Shard>,
-    /// Servers known at the start. Never empty.
+    /// Addresses of the servers known at the start. Never empty.
     pub seeds: Vec<SocketAddr>,
-    /// TCP port of the feed at the control processes that the feed itself names.
+    /// TCP port of the feed at the control processes that are announced in the feed itself.
     pub feed_port: u16,
-    /// The zone whose servers are preferred.
+    /// The zone whose control processes are preferred.
     pub zone: String,
-    /// The seeds are the only servers: control processes that the feed names are ignored, and a stale server is kept.
+    /// Uses only the seeds as servers: control processes that are announced in the feed are ignored, and a stale server
+    /// stays in use.
     pub only_seeds: bool,
 }
--- a/crates/net/src/feed_client/shared.rs
+++ b/crates/net/src/feed_client/shared.rs
@@ -1,4 +1,4 @@
-//! State shared by a client and the task that keeps its subscription.
+//! State shared by a client and the task that maintains its subscription.
 
 use super::offsets::ShardOffsets;
 use crate::{FrameWriter, reachability::Reachability};
@@ -8,21 +8,22 @@
 };
 use std::cell::{Cell, RefCell};
 
-/// State shared by a client and the task that keeps its subscription. Both run on one thread; no borrow is kept across
-/// an await.
+/// State shared by a client and the task that maintains its subscription. Both run on one thread, and no borrow is kept
+/// across an await.
 pub(super) struct Shared {
     pub(super) subscriber: RefCell<Subscriber>,
     pub(super) offsets: RefCell<ShardOffsets>,
-    /// Generation of the configuration in force at this subscriber.
+    /// Generation of the configuration that is in force at this subscriber.
     pub(super) generation: Cell<Generation>,
-    /// `None` while no server is connected.
+    /// Writer of the connection to the current server; `None` while no connection is open.
     pub(super) writer: RefCell<Option<FrameWriter>>,
     /// Whether a server with fresh updates can be reached.
     pub(super) reachability: RefCell<Reachability>,
 }
 
 impl Shared {
-    /// Sends a request to the connected server. Returns whether it was written; a connection that fails is closed.
+    /// Queues a request to the connected server. Returns whether it was queued; if that fails, the connection is
+    /// closed.
     pub(super) fn send(&self, request: &FeedRequest) -> bool {
         let writer = self.writer.borrow();
         let Some(writer) = writer.as_ref() else { return false };
@@ -33,7 +34,7 @@
         is_written
     }
 
-    /// The request that begins a subscription at a server.
+    /// Returns the request that starts a subscription at a server.
     pub(super) fn subscribe_request(&self) -> FeedRequest {
         FeedRequest::Subscribe {
             subscriber: self.subscriber.borrow().clone(),
--- a/crates/net/src/feed_client/subscription.rs
+++ b/crates/net/src/feed_client/subscription.rs
@@ -1,4 +1,5 @@
-//! The task that keeps a subscription up: it connects, follows one server, and moves to the next.
+//! The task that maintains a subscription: it connects to a server, delivers its updates, and moves to the next server
+//! when this one fails.
 
 use super::{server_selection::ServerSelection, shared::Shared};
 use crate::{FrameReader, NetError, connect};
@@ -8,11 +9,12 @@
 
 /// Time-out of a connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// A server that sends no `Fresh` for this long is stale: another one is used.
+/// Time without a `Fresh` update after which a server is stale and another one is used.
 const FRESHNESS_TIMEOUT: Duration = Duration::from_millis(700);
-/// A process that could not run for this long was suspended: what its sockets hold may be old.
+/// Time without execution after which this process counts as suspended, so that the data in its sockets may be
+/// outdated.
 const SUSPENSION_THRESHOLD: Duration = Duration::from_secs(1);
-/// Time between heartbeats of the subscriber.
+/// Interval between the subscriber's heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Why the subscription left a server.
@@ -23,7 +25,7 @@
     Stale,
     /// The server reported itself unavailable.
     ServerUnavailable,
-    /// This process was suspended for a while: what it reads may be old.
+    /// This process was suspended, so that the updates it reads may be outdated.
     Suspended,
 }
 
@@ -38,7 +40,7 @@
     }
 }
 
-/// The task that keeps the subscription up.
+/// The task that maintains the subscription.
 pub(super) struct SubscriptionTask {
     pub(super) shared: Rc<Shared>,
     pub(super) servers: ServerSelection,
@@ -49,7 +51,7 @@
 }
 
 impl SubscriptionTask {
-    /// Never returns; the client aborts it.
+    /// Runs until the client aborts the task.
     pub(super) async fn run(mut self) {
         loop {
             self.use_current_server().await;
@@ -61,7 +63,7 @@
 
     async fn use_current_server(&mut self) {
         let address = self.servers.current();
-        let began = Instant::now();
+        let started_at = Instant::now();
         match connect(address, CONNECT_TIMEOUT).await {
             Ok(connection) => {
                 let (reader, writer) = connection.split();
@@ -70,11 +72,11 @@
                 self.shared.writer.replace(None);
                 let reason = disconnect_reason(&outcome);
                 tracing::info!(server = %address, reason, "disconnected from the change feed");
-                self.shared.reachability.borrow_mut().log_failure(address, began, reason);
+                self.shared.reachability.borrow_mut().log_failure(address, started_at, reason);
             }
             Err(error) => {
                 tracing::debug!(%error, "could not connect to the change feed");
-                self.shared.reachability.borrow_mut().log_failure(address, began, error);
+                self.shared.reachability.borrow_mut().log_failure(address, started_at, error);
             }
         }
     }
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Delivers the updates of one server until another one is to be used.
+    /// Delivers the updates of one server until another one has to be used.
     async fn follow(&mut self, mut reader: FrameReader, address: SocketAddr) -> Result<Disconnect, NetError> {
         self.shared.send(&self.shared.subscribe_request());
         let mut next_heartbeat = Instant::now();
@@ -115,7 +117,8 @@
                 Some(None) => return Ok(Disconnect::Closed),
                 Some(Some(FeedUpdate::Unavailable)) => return Ok(Disconnect::ServerUnavailable),
                 Some(Some(update @ FeedUpdate::Fresh { .. })) => {
-                    // A process that was suspended finds old ones in its socket: none counts after the time-out.
+                    // After a suspension the socket may contain outdated `Fresh` updates, so none counts after the
+                    // time-out.
                     if self.is_stale(Instant::now(), stale_at) {
                         return Ok(Disconnect::Stale);
                     }
@@ -124,7 +127,7 @@
                     self.shared.reachability.borrow_mut().log_reached(address);
                     (self.deliver)(update);
                 }
-                Some(Some(update)) => self.take(update),
+                Some(Some(update)) => self.deliver_if_newer(update),
             }
         }
     }
@@ -133,20 +136,20 @@
         !self.only_seeds && now >= stale_at
     }
 
-    /// Delivers an update, unless it is older than what was delivered of its shard.
-    fn take(&mut self, update: FeedUpdate) {
+    /// Delivers an update, unless it is not newer than the last one delivered of its shard.
+    fn deliver_if_newer(&mut self, update: FeedUpdate) {
         if let FeedUpdate::Snapshot { shard, offset, changes }
         | FeedUpdate::Changes { shard, offset, changes } = &update
         {
             if !self.shared.offsets.borrow_mut().advance(*shard, *offset) {
                 return;
             }
-            self.learn_servers(changes);
+            self.update_servers(changes);
         }
         (self.deliver)(update);
     }
 
-    fn learn_servers(&mut self, changes: &[Change]) {
+    fn update_servers(&mut self, changes: &[Change]) {
         if self.only_seeds {
             return;
         }
@@ -155,7 +158,7 @@
             _ => None,
         });
         if let Some(nodes) = latest {
-            self.servers.learn(nodes);
+            self.servers.set_control_nodes(nodes);
         }
     }
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,7 +1,7 @@
-//! Connections between the processes of the serving tier: frames over TCP, calls with answers, and the client of the
-//! change feed.
+//! Connections between the processes of the serving tier: frames over TCP, remote procedure calls, and the client of
+//! the change feed.
 //!
-//! Everything runs on one thread, inside a `tokio::task::LocalSet`.
+//! All tasks run on one thread, inside a `tokio::task::LocalSet`.
 #![forbid(unsafe_code)]
 
 mod connection;
--- a/crates/net/src/message.rs
+++ b/crates/net/src/message.rs
@@ -1,4 +1,4 @@
-//! Which types can be sent and received: all with rkyv's derives.
+//! Encoding and decoding of messages. All types with rkyv's derives can be sent and received.
 
 use opalrun_wire::frame::{self, FrameError, HEADER_BYTES};
 use rkyv::{
@@ -10,12 +10,12 @@
     util::AlignedVec,
 };
 
-/// Bytes of a call's number, which stands before the message in a frame's body.
-const CALL_BYTES: usize = 8;
+/// Length in bytes of a call's number, which precedes the message in a frame's body.
+const CALL_NUMBER_BYTES: usize = 8;
 
 /// A message that can be sent.
 pub trait Encode {
-    /// Its encoding, without a frame's header.
+    /// Returns the encoded message, without a frame header.
     fn encode(&self) -> AlignedVec;
 }
 
@@ -30,10 +30,10 @@
 
 /// A message that can be received.
 pub trait Decode: Sized {
-    /// Reads a frame's body.
+    /// Decodes a message from the body of a frame.
     ///
     /// # Errors
-    /// Where the bytes are no such message.
+    /// The bytes are not a valid message of this type.
     fn decode(body: &[u8]) -> Result<Self, FrameError>;
 }
 
@@ -48,21 +48,22 @@
     }
 }
 
-/// Appends a frame whose body is `prefix` and then `body`.
+/// Appends a frame whose body is `prefix` followed by `body`.
 pub(crate) fn append_frame(buffer: &mut Vec<u8>, prefix: &[u8], body: &[u8]) {
     let start = buffer.len();
     buffer.reserve(HEADER_BYTES + prefix.len() + body.len());
     buffer.extend_from_slice(&[0; HEADER_BYTES]);
     buffer.extend_from_slice(prefix);
     buffer.extend_from_slice(body);
-    let (header, written) = buffer[start..].split_at_mut(HEADER_BYTES);
-    let checksum = frame::checksum(written);
-    header[..4].copy_from_slice(&(written.len() as u32).to_le_bytes());
+    let (header, frame_body) = buffer[start..].split_at_mut(HEADER_BYTES);
+    let checksum = frame::checksum(frame_body);
+    header[..4].copy_from_slice(&(frame_body.len() as u32).to_le_bytes());
     header[4..].copy_from_slice(&checksum.to_le_bytes());
 }
 
 /// Splits the body of a call's frame into the call's number and the message.
 pub(crate) fn split_call(body: &[u8]) -> Result<(u64, &[u8]), FrameError> {
-    let (number, message) = body.split_first_chunk::<CALL_BYTES>().ok_or(FrameError::Unreadable)?;
-    Ok((u64::from_le_bytes(*number), message))
+    let (call_number, message) =
+        body.split_first_chunk::<CALL_NUMBER_BYTES>().ok_or(FrameError::Unreadable)?;
+    Ok((u64::from_le_bytes(*call_number), message))
 }
--- a/crates/net/src/reachability.rs
+++ b/crates/net/src/reachability.rs
@@ -1,41 +1,43 @@
-//! Whether a peer that this process needs can be reached, and when its absence is worth a line in the log.
+//! Tracks whether a peer that this process needs can be reached, and decides when its absence is logged.
 
 use std::{fmt::Display, iter::Sum, net::SocketAddr, time::Duration};
 use tokio::time::Instant;
 
-/// Time without the peer before the first warning. Shorter absences are part of restarts and failovers.
+/// Absence of a peer after which the first warning is logged. Shorter absences are normal in restarts and failovers.
 const WARN_AFTER: Duration = Duration::from_secs(3);
-/// Least time between two warnings about the same peer.
+/// Minimum time between two warnings about the same peer.
 const WARN_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Follows the attempts to reach a peer: a process that can't reach one says so after three seconds, again at most once
-/// every thirty, and once more when the peer is there.
+/// Tracks the attempts to reach a peer. A warning is due when the peer has been unreachable for three seconds, and
+/// again at most every thirty seconds; after a warning, the end of the absence is reported too.
 #[derive(Debug)]
 pub struct Reachability {
-    /// What the process waits for, for the log.
+    /// Kind of the peer in the log.
     peer: &'static str,
-    /// Since when the peer is missing; `None` while it is there, and before the first attempt has failed.
+    /// Start of the first failed attempt since the peer was last reached; `None` while it is reachable, and before the
+    /// first attempt has failed.
     missing_since: Option<Instant>,
-    /// Attempts that failed since then.
+    /// Failed attempts since the peer was last reached.
     attempts: u64,
-    /// All attempts that have failed.
+    /// Failed attempts since the creation.
     failed_attempts: u64,
+    /// When the last warning was due.
     warned_at: Option<Instant>,
-    /// A warning was logged since the peer is missing.
+    /// A warning was due during the current absence.
     has_warned: bool,
 }
 
-/// A peer that is worth a warning.
+/// An absence of a peer that is logged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Absence {
-    /// For how long it has been missing.
+    /// Time since the start of the first failed attempt.
     pub duration: Duration,
-    /// Attempts that failed meanwhile.
+    /// Failed attempts during the absence.
     pub attempts: u64,
 }
 
 impl Reachability {
-    /// A peer that has not been needed yet.
+    /// Creates the state for a peer that no attempt has been made to reach yet.
     #[must_use]
     pub fn new(peer: &'static str) -> Self {
         Self {
@@ -48,9 +50,10 @@
         }
     }
 
-    /// An attempt that began at `began` has failed by `now`. Returns the absence where it is time to warn.
-    pub fn attempt_failed(&mut self, began: Instant, now: Instant) -> Option<Absence> {
-        let since = *self.missing_since.get_or_insert(began);
+    /// Records that an attempt which started at `started_at` has failed at `now`. Returns the absence if a warning is
+    /// due.
+    pub fn attempt_failed(&mut self, started_at: Instant, now: Instant) -> Option<Absence> {
+        let since = *self.missing_since.get_or_insert(started_at);
         self.attempts += 1;
         self.failed_attempts += 1;
         let duration = now.saturating_duration_since(since);
@@ -64,7 +67,7 @@
         Some(Absence { duration, attempts: self.attempts })
     }
 
-    /// The peer is there. Returns the absence that has ended, if there was a warning about it.
+    /// Records that the peer was reached at `now`. Returns the absence that has ended, if a warning about it was due.
     pub fn reached(&mut self, now: Instant) -> Option<Absence> {
         let since = self.missing_since.take();
         let attempts = std::mem::take(&mut self.attempts);
@@ -73,9 +76,9 @@
         has_warned.then_some(Absence { duration, attempts })
     }
 
-    /// As [`Self::attempt_failed`] by now; logs the warning.
-    pub fn log_failure(&mut self, address: SocketAddr, began: Instant, error: impl Display) {
-        if let Some(Absence { duration, attempts }) = self.attempt_failed(began, Instant::now()) {
+    /// As [`Self::attempt_failed`] at the present time; logs the warning if it is due.
+    pub fn log_failure(&mut self, address: SocketAddr, started_at: Instant, error: impl Display) {
+        if let Some(Absence { duration, attempts }) = self.attempt_failed(started_at, Instant::now()) {
             tracing::warn!(
                 peer = self.peer,
                 %address,
@@ -87,7 +90,7 @@
         }
     }
 
-    /// As [`Self::reached`] by now; logs the end of what was warned about.
+    /// As [`Self::reached`] at the present time; logs the end of an absence that was warned about.
     pub fn log_reached(&mut self, address: SocketAddr) {
         if let Some(Absence { duration, attempts }) = self.reached(Instant::now()) {
             tracing::info!(
@@ -100,7 +103,7 @@
         }
     }
 
-    /// What is counted for metrics.
+    /// Returns the counts for metrics.
     #[must_use]
     pub fn count(&self) -> PeerCount {
         PeerCount {
@@ -110,12 +113,12 @@
     }
 }
 
-/// Peers of one kind, as metrics count them.
+/// Counts for metrics of the peers of one kind.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PeerCount {
-    /// Peers that could not be reached at the last attempt.
+    /// Number of peers that could not be reached at the last attempt.
     pub missing: usize,
-    /// Attempts that have failed since the start.
+    /// Number of attempts that have failed since the start of the process.
     pub failed_attempts: u64,
 }
 
--- a/crates/net/src/reader.rs
+++ b/crates/net/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reading frames.
+//! Reading of frames.
 
 use crate::{
     error::{FrameSnafu, IoSnafu, NetError},
@@ -11,31 +11,31 @@
 use std::rc::Rc;
 use tokio::{io::AsyncReadExt, net::tcp::OwnedReadHalf};
 
-/// Room for what is read at a time, in bytes.
-const READ_BYTES: usize = 8 << 10;
-/// A frame longer than this leaves no buffer of its size behind, in bytes.
-const KEPT_BYTES: usize = 64 << 10;
-/// Bytes of the protocol's version, the first on a connection.
+/// Buffer capacity that is reserved before each read, in bytes.
+const READ_SIZE_BYTES: usize = 8 << 10;
+/// Frame length, in bytes, above which the buffer is replaced after the frame, so that no large buffer is retained.
+const MAX_RETAINED_BUFFER_BYTES: usize = 64 << 10;
+/// Length in bytes of the protocol version, with which each direction of a connection begins.
 const VERSION_BYTES: usize = 4;
 
 /// The receiving direction of a connection.
 pub struct FrameReader {
-    half: OwnedReadHalf,
+    read_half: OwnedReadHalf,
     buffer: BytesMut,
-    version_seen: bool,
+    version_checked: bool,
     writer: Rc<WriterState>,
 }
 
 impl FrameReader {
-    pub(crate) fn new(half: OwnedReadHalf, writer: Rc<WriterState>) -> Self {
-        Self { half, buffer: BytesMut::new(), version_seen: false, writer }
+    pub(crate) fn new(read_half: OwnedReadHalf, writer: Rc<WriterState>) -> Self {
+        Self { read_half, buffer: BytesMut::new(), version_checked: false, writer }
     }
 
-    /// The next message; `None` when the other side has ended the connection between frames, or this side has closed
-    /// it. May be dropped while it waits: nothing is lost.
+    /// Waits for the next message; `None` if the other side has ended the connection between frames, or this side has
+    /// closed it. Cancellation safe: if the future is dropped while it waits, no bytes are lost.
     ///
     /// # Errors
-    /// Where the connection fails or carries something that is no such message. It is closed then.
+    /// The connection fails, or carries something other than a message of this type. It is closed in either case.
     pub async fn next<T: Decode>(&mut self) -> Result<Option<T>, NetError> {
         let Some(body) = self.next_body().await? else { return Ok(None) };
         match T::decode(&body) {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The next frame's body, its checksum checked.
+    /// Waits for the next frame and returns its body, after verifying the checksum.
     ///
     /// # Errors
     /// As [`FrameReader::next`].
@@ -67,10 +67,10 @@
             if self.writer.is_closed() {
                 return Ok(None);
             }
-            self.buffer.reserve(READ_BYTES);
+            self.buffer.reserve(READ_SIZE_BYTES);
             let writer = self.writer.clone();
             let read = tokio::select! {
-                read = self.half.read_buf(&mut self.buffer) => read.context(IoSnafu)?,
+                read = self.read_half.read_buf(&mut self.buffer) => read.context(IoSnafu)?,
                 () = writer.closed() => return Ok(None),
             };
             if read == 0 {
@@ -79,9 +79,9 @@
         }
     }
 
-    /// A whole frame from the buffer, if it holds one.
+    /// Removes a complete frame from the buffer and returns its body; `None` if no frame is complete.
     fn take_frame(&mut self) -> Result<Option<Bytes>, NetError> {
-        if !self.version_seen && !self.take_version()? {
+        if !self.version_checked && !self.take_version()? {
             return Ok(None);
         }
         let Some(header) = self.buffer.first_chunk::<HEADER_BYTES>() else { return Ok(None) };
@@ -96,13 +96,13 @@
         self.buffer.advance(HEADER_BYTES);
         let body = self.buffer.split_to(length).freeze();
         frame::check(&body, checksum).context(FrameSnafu)?;
-        if length > KEPT_BYTES {
+        if length > MAX_RETAINED_BUFFER_BYTES {
             self.buffer = BytesMut::from(&self.buffer[..]);
         }
         Ok(Some(body))
     }
 
-    /// The version that the connection begins with; false while it has not come.
+    /// Removes the protocol version from the buffer and checks it. Returns `false` if it has not been received yet.
     fn take_version(&mut self) -> Result<bool, NetError> {
         if self.buffer.len() < VERSION_BYTES {
             return Ok(false);
@@ -111,7 +111,7 @@
         if version != PROTOCOL_VERSION {
             return Err(NetError::Version { version });
         }
-        self.version_seen = true;
+        self.version_checked = true;
         Ok(true)
     }
 }
--- a/crates/net/src/rpc_client.rs
+++ b/crates/net/src/rpc_client.rs
@@ -1,4 +1,4 @@
-//! Calls to another process, many under way on one connection.
+//! The client of remote procedure calls, with many concurrent calls on one connection.
 
 use crate::{
     connection::{Connection, connect},
@@ -21,57 +21,58 @@
     time::{Instant, timeout_at},
 };
 
-/// Time-out of an attempt to connect.
+/// Time-out of a connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Backoff after a failed attempt to connect; calls fail at once meanwhile.
+/// Backoff after a failed connection attempt. Calls fail at once meanwhile.
 const RECONNECT_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Calls under way, by number.
+/// Calls that wait for their response, by call number.
 type Pending<R> = Rc<RefCell<HashMap<u64, oneshot::Sender<R>>>>;
 
-/// A client of one process: it keeps a connection and makes a new one when it is needed.
+/// A client of one process. It keeps one connection, and opens a new one at the next call after the connection has
+/// ended.
 pub struct RpcClient<Q, R> {
     address: Cell<SocketAddr>,
     link: RefCell<Link<R>>,
     link_changed: Notify,
-    next_number: Cell<u64>,
+    next_call_number: Cell<u64>,
     reachability: RefCell<Reachability>,
     request: PhantomData<fn(Q)>,
 }
 
-/// What is known of the connection.
+/// The state of the connection.
 enum Link<R> {
-    /// None is there.
+    /// No connection is open, and none has been attempted.
     Idle,
-    /// One is being made.
+    /// A connection is being opened.
     Connecting,
-    /// One can be used.
+    /// A connection was opened. It may have ended since.
     Connected { writer: FrameWriter, pending: Pending<R> },
-    /// The last attempt failed; none is made before this moment.
+    /// The last connection attempt failed; the next one is not made before `until`.
     BackingOff { until: Instant },
 }
 
 impl<Q: Encode + 'static, R: Decode + 'static> RpcClient<Q, R> {
-    /// A client of the process at `address`, which the log calls `peer`; it connects at the first call.
+    /// Creates a client of the process at `address`, which is called `peer` in the log. It connects at the first call.
     #[must_use]
     pub fn new(peer: &'static str, address: SocketAddr) -> Rc<Self> {
         Rc::new(Self {
             address: Cell::new(address),
             link: RefCell::new(Link::Idle),
             link_changed: Notify::new(),
-            next_number: Cell::new(1),
+            next_call_number: Cell::new(1),
             reachability: RefCell::new(Reachability::new(peer)),
             request: PhantomData,
         })
     }
 
-    /// Where it calls.
+    /// Returns the address to which calls are sent.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address.get()
     }
 
-    /// Calls another address from now on.
+    /// Sends calls to another address from now on. Calls that wait for a response from the former address fail.
     pub fn set_address(&self, address: SocketAddr) {
         if self.address.replace(address) != address {
             self.close_link();
@@ -79,50 +80,51 @@
         }
     }
 
-    /// Whether the client backs off after a failed attempt to connect: calls would fail at once.
+    /// Whether the client backs off after a failed connection attempt, so that calls would fail at once.
     #[must_use]
     pub fn is_backing_off(&self) -> bool {
         matches!(&*self.link.borrow(), Link::BackingOff { until } if Instant::now() < *until)
     }
 
-    /// Attempts to connect that failed, and whether the last one did.
+    /// Returns the number of failed connection attempts, and whether the last one failed.
     #[must_use]
     pub fn peer_count(&self) -> PeerCount {
         self.reachability.borrow().count()
     }
 
-    /// Sends a request and waits for its answer.
+    /// Sends a request and waits for its response.
     ///
     /// # Errors
-    /// [`RpcError::NotSent`] means that the other side has not seen it; after the others it may have been served.
-    pub async fn call(self: &Rc<Self>, request: &Q, limit: Duration) -> Result<R, RpcError> {
-        let deadline = Instant::now() + limit;
+    /// With [`RpcError::NotSent`] the other side has not received the request. With the other errors it may have
+    /// executed it.
+    pub async fn call(self: &Rc<Self>, request: &Q, timeout: Duration) -> Result<R, RpcError> {
+        let deadline = Instant::now() + timeout;
         let (writer, pending) = self.connected_link(deadline).await?;
-        let number = self.next_number.get();
-        self.next_number.set(number + 1);
-        let (answer_sender, answer) = oneshot::channel();
-        pending.borrow_mut().insert(number, answer_sender);
-        let _guard = PendingGuard { pending: &pending, number };
-        if let Err(error) = writer.send_call(number, request) {
-            tracing::debug!(%error, address = %self.address.get(), "a call was not sent");
+        let call_number = self.next_call_number.get();
+        self.next_call_number.set(call_number + 1);
+        let (response_sender, response) = oneshot::channel();
+        pending.borrow_mut().insert(call_number, response_sender);
+        let _guard = PendingGuard { pending: &pending, call_number };
+        if let Err(error) = writer.send_call(call_number, request) {
+            tracing::debug!(%error, address = %self.address.get(), "call was not sent");
             return Err(RpcError::NotSent);
         }
-        match timeout_at(deadline, answer).await {
-            Ok(Ok(answer)) => Ok(answer),
+        match timeout_at(deadline, response).await {
+            Ok(Ok(response)) => Ok(response),
             Ok(Err(_)) => Err(RpcError::Closed),
             Err(_) => Err(RpcError::TimedOut),
         }
     }
 
-    /// A connection that can be used; one is made if need be.
+    /// Waits for a usable connection, and opens one if necessary.
     async fn connected_link(
         self: &Rc<Self>,
         deadline: Instant,
     ) -> Result<(FrameWriter, Pending<R>), RpcError> {
         loop {
             let changed = self.link_changed.notified();
-            if let Some(up) = self.current_link() {
-                return Ok(up);
+            if let Some(connected) = self.current_link() {
+                return Ok(connected);
             }
             if self.is_backing_off() {
                 return Err(RpcError::NotSent);
@@ -148,27 +150,32 @@
         self.link.replace(Link::Connecting);
         let address = self.address.get();
         let client = Rc::downgrade(self);
-        let began = Instant::now();
+        let started_at = Instant::now();
         tokio::task::spawn_local(async move {
-            let made = connect(address, CONNECT_TIMEOUT).await;
+            let result = connect(address, CONNECT_TIMEOUT).await;
             if let Some(client) = client.upgrade() {
-                client.connected(address, began, made);
+                client.connected(address, started_at, result);
             }
         });
     }
 
-    fn connected(self: &Rc<Self>, address: SocketAddr, began: Instant, made: Result<Connection, NetError>) {
+    fn connected(
+        self: &Rc<Self>,
+        address: SocketAddr,
+        started_at: Instant,
+        result: Result<Connection, NetError>,
+    ) {
         if address != self.address.get() {
             return;
         }
-        match made {
+        match result {
             Ok(connection) => {
                 self.reachability.borrow_mut().log_reached(address);
                 self.set_link(start_link(connection, Rc::downgrade(self)));
             }
             Err(error) => {
-                tracing::debug!(%error, "connecting failed");
-                self.reachability.borrow_mut().log_failure(address, began, error);
+                tracing::debug!(%error, "connection attempt failed");
+                self.reachability.borrow_mut().log_failure(address, started_at, error);
                 self.set_link(Link::BackingOff { until: Instant::now() + RECONNECT_BACKOFF });
             }
         }
@@ -194,32 +201,32 @@
     }
 }
 
-/// Forgets a call that nobody waits for any more.
+/// Removes a call from the pending ones when its caller no longer waits.
 struct PendingGuard<'a, R> {
     pending: &'a Pending<R>,
-    number: u64,
+    call_number: u64,
 }
 
 impl<R> Drop for PendingGuard<'_, R> {
     fn drop(&mut self) {
-        self.pending.borrow_mut().remove(&self.number);
+        self.pending.borrow_mut().remove(&self.call_number);
     }
 }
 
-/// Begins to read answers from a new connection.
+/// Starts the task that reads responses from a new connection.
 fn start_link<Q: 'static, R: Decode + 'static>(
     connection: Connection,
     client: Weak<RpcClient<Q, R>>,
 ) -> Link<R> {
     let (reader, writer) = connection.split();
     let pending: Pending<R> = Rc::default();
-    let answers = pending.clone();
+    let responses = pending.clone();
     tokio::task::spawn_local(async move {
-        if let Err(error) = read_answers(reader, &answers).await {
-            tracing::debug!(%error, "a connection for calls failed");
+        if let Err(error) = read_responses(reader, &responses).await {
+            tracing::debug!(%error, "RPC connection failed");
         }
-        // Dropping the senders tells the callers that no answer will come.
-        answers.borrow_mut().clear();
+        // Dropping the senders notifies the callers that no response will be received.
+        responses.borrow_mut().clear();
         if let Some(client) = client.upgrade() {
             client.link_changed.notify_waiters();
         }
@@ -227,12 +234,13 @@
     Link::Connected { writer, pending }
 }
 
-async fn read_answers<R: Decode>(mut reader: FrameReader, pending: &Pending<R>) -> Result<(), NetError> {
+async fn read_responses<R: Decode>(mut reader: FrameReader, pending: &Pending<R>) -> Result<(), NetError> {
     while let Some(body) = reader.next_body().await? {
-        let read = split_call(&body).and_then(|(number, message)| Ok((number, R::decode(message)?)));
-        let (number, answer) = read.map_err(|source| NetError::Frame { source })?;
-        if let Some(caller) = pending.borrow_mut().remove(&number) {
-            let _ = caller.send(answer);
+        let call =
+            split_call(&body).and_then(|(call_number, message)| Ok((call_number, R::decode(message)?)));
+        let (call_number, response) = call.map_err(|source| NetError::Frame { source })?;
+        if let Some(caller) = pending.borrow_mut().remove(&call_number) {
+            let _ = caller.send(response);
         }
     }
     Ok(())
--- a/crates/net/src/rpc_server.rs
+++ b/crates/net/src/rpc_server.rs
@@ -1,4 +1,4 @@
-//! Serving calls.
+//! The server of remote procedure calls.
 
 use crate::{
     connection::{Connection, Listener},
@@ -8,13 +8,13 @@
 use std::{rc::Rc, sync::Arc, time::Duration};
 use tokio::sync::Semaphore;
 
-/// Concurrent calls of one connection; further ones wait unread.
+/// Maximum number of concurrent calls of one connection. Further calls are not executed until one ends.
 const MAX_CONCURRENT_CALLS: usize = 256;
-/// Backoff after a failure to accept.
+/// Backoff after a failure to accept a connection.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Serves the calls of all connections, each call in a task of its own; answers go out in any order. Runs until it is
-/// dropped.
+/// Serves the calls of all connections, each call in a task of its own. Responses are sent as the calls end, in any
+/// order. Runs until it is dropped.
 pub async fn serve_rpc<Q, R, F, Fut>(listener: Listener, handler: F)
 where
     Q: Decode + 'static,
@@ -45,14 +45,14 @@
 {
     let peer = connection.peer();
     if let Err(error) = serve_connection(connection, handler).await {
-        tracing::debug!(%error, %peer, "a connection for calls failed");
+        tracing::debug!(%error, %peer, "RPC connection failed");
     }
 }
 
 /// Serves the calls of one connection until it ends.
 ///
 /// # Errors
-/// Where the connection fails or carries something that is no call.
+/// The connection fails, or carries something other than a call with a request of type `Q`.
 pub async fn serve_connection<Q, R, F, Fut>(connection: Connection, handler: Rc<F>) -> Result<(), NetError>
 where
     Q: Decode + 'static,
@@ -63,13 +63,14 @@
     let (mut reader, writer) = connection.split();
     let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_CALLS));
     while let Some(body) = reader.next_body().await? {
-        let read = split_call(&body).and_then(|(number, message)| Ok((number, Q::decode(message)?)));
-        let (number, request) = read.map_err(|source| NetError::Frame { source })?;
+        let call =
+            split_call(&body).and_then(|(call_number, message)| Ok((call_number, Q::decode(message)?)));
+        let (call_number, request) = call.map_err(|source| NetError::Frame { source })?;
         let Ok(permit) = permits.clone().acquire_owned().await else { return Ok(()) };
         let (handler, writer) = (handler.clone(), writer.clone());
         tokio::task::spawn_local(async move {
-            let answer = handler(request).await;
-            if writer.send_call(number, &answer).is_err() {
+            let response = handler(request).await;
+            if writer.send_call(call_number, &response).is_err() {
                 writer.close();
             }
             drop(permit);
--- a/crates/net/src/signals.rs
+++ b/crates/net/src/signals.rs
@@ -1,4 +1,4 @@
-//! The signals that the platform sends to a process.
+//! Signals that the platform sends to a process.
 
 use std::{cell::RefCell, future::pending, io};
 use tokio::{
@@ -7,26 +7,26 @@
 };
 
 thread_local! {
-    /// Whether SIGTERM or SIGINT has come; set up by the first that asks.
+    /// Whether SIGTERM or SIGINT has been received; `None` until [`install`] is called.
     static TERMINATED: RefCell<Option<watch::Receiver<bool>>> = const { RefCell::new(None) };
 }
 
-/// From now on SIGTERM, SIGINT and SIGHUP do not end the process by themselves, and none is missed by a later
-/// [`terminated`]. To be called inside a `LocalSet`.
+/// Installs the signal handlers. From now on SIGTERM, SIGINT and SIGHUP do not end the process by themselves, and a
+/// later [`terminated`] learns of a SIGTERM or SIGINT received before. To be called inside a `LocalSet`.
 ///
 /// # Errors
-/// Where the system refuses.
+/// The system refuses to install a handler.
 pub fn install() -> io::Result<()> {
     let terminate = signal(SignalKind::terminate())?;
     let interrupt = signal(SignalKind::interrupt())?;
     let hang_up = signal(SignalKind::hangup())?;
     let (sender, receiver) = watch::channel(false);
     TERMINATED.set(Some(receiver));
-    tokio::task::spawn_local(watch_for_end(terminate, interrupt, hang_up, sender));
+    tokio::task::spawn_local(watch_signals(terminate, interrupt, hang_up, sender));
     Ok(())
 }
 
-async fn watch_for_end(
+async fn watch_signals(
     mut terminate: Signal,
     mut interrupt: Signal,
     mut hang_up: Signal,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Waits for SIGTERM, or SIGINT at a terminal; returns at once when one has come since [`install`].
+/// Waits for SIGTERM, or for SIGINT from a terminal. Returns at once if one was received since [`install`].
 pub async fn terminated() {
     let Some(mut receiver) = receiver() else { return pending().await };
     if receiver.wait_for(|terminated| *terminated).await.is_err() {
@@ -49,26 +49,27 @@
     }
 }
 
-/// What tells of the end; set up now if that was not done, or was done for a runtime that has ended.
+/// Returns the receiver of the termination state. Calls [`install`] if that was not done yet, or was done in a runtime
+/// that has ended.
 fn receiver() -> Option<watch::Receiver<bool>> {
-    let known = TERMINATED.with_borrow(Clone::clone).filter(|receiver| receiver.has_changed().is_ok());
-    if known.is_some() {
-        return known;
+    let existing = TERMINATED.with_borrow(Clone::clone).filter(|receiver| receiver.has_changed().is_ok());
+    if existing.is_some() {
+        return existing;
     }
     if let Err(error) = install() {
-        tracing::error!(%error, "signals can't be waited for");
+        tracing::error!(%error, "can't install the signal handlers");
     }
     TERMINATED.with_borrow(Clone::clone)
 }
 
-/// Waits for SIGHUP: the settings file has changed.
+/// Waits for SIGHUP, which tells that the settings file has changed.
 pub async fn settings_changed() {
     match signal(SignalKind::hangup()) {
         Ok(mut stream) => {
             stream.recv().await;
         }
         Err(error) => {
-            tracing::error!(%error, "SIGHUP can't be waited for");
+            tracing::error!(%error, "can't install the handler of SIGHUP");
             pending::<()>().await;
         }
     }
--- a/crates/net/src/socket.rs
+++ b/crates/net/src/socket.rs
@@ -1,19 +1,19 @@
-//! Options of the sockets between processes.
+//! Sockets between processes and their options.
 
 use socket2::{Domain, Protocol, SockRef, Socket, TcpKeepalive, Type};
 use std::{io, net::SocketAddr, time::Duration};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: i32 = 1024;
-/// How long written bytes may go unacknowledged before the connection counts as broken.
+/// Time after which a connection fails if written bytes are not acknowledged (`TCP_USER_TIMEOUT`).
 const USER_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Rest of a connection before it is probed, and the pause between probes.
-const KEEP_ALIVE: Duration = Duration::from_secs(1);
-/// Probes without an answer that end a connection.
+/// Idle time of a connection before the first keep-alive probe, and the interval between probes.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of unacknowledged keep-alive probes after which a connection fails.
 const KEEP_ALIVE_PROBES: u32 = 2;
 
-/// Listens, also where a former process of this machine has listened just now.
+/// Listens on an address, also if a former process of this machine has used it a moment ago (`SO_REUSEADDR`).
 pub(crate) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -23,18 +23,21 @@
     TcpListener::from_std(socket.into())
 }
 
-/// Connects.
+/// Connects to an address, with the options of [`set_options`].
 pub(crate) async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     set_options(&SockRef::from(&socket))?;
     socket.connect(address).await
 }
 
-/// Sends without delay, and notices within seconds when the other machine is gone.
+/// Sets the options by which small writes are sent without delay, and the failure of the other machine is noticed
+/// within seconds.
 pub(crate) fn set_options(socket: &SockRef<'_>) -> io::Result<()> {
     socket.set_tcp_nodelay(true)?;
     socket.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
-    let keep_alive =
-        TcpKeepalive::new().with_time(KEEP_ALIVE).with_interval(KEEP_ALIVE).with_retries(KEEP_ALIVE_PROBES);
+    let keep_alive = TcpKeepalive::new()
+        .with_time(KEEP_ALIVE_INTERVAL)
+        .with_interval(KEEP_ALIVE_INTERVAL)
+        .with_retries(KEEP_ALIVE_PROBES);
     socket.set_tcp_keepalive(&keep_alive)
 }
--- a/crates/net/src/writer.rs
+++ b/crates/net/src/writer.rs
@@ -1,4 +1,5 @@
-//! Writing frames: they are queued without waiting, and a task of its own writes what has gathered.
+//! Writing of frames. Senders append them to a queue without waiting, and a separate task writes the queue to the
+//! socket.
 
 use crate::{
     error::NetError,
@@ -12,9 +13,9 @@
 };
 use tokio::{io::AsyncWriteExt, net::tcp::OwnedWriteHalf, sync::Notify, time::timeout};
 
-/// Bytes that may wait to be written; the longest frame fits into an empty queue.
+/// Maximum length of the send queue in bytes. The longest frame fits into an empty queue.
 const QUEUE_LIMIT_BYTES: usize = MAX_FRAME_BYTES + (4 << 20);
-/// Time-out for writing the rest of a queue once nobody can add to it.
+/// Time-out for writing the rest of the queue after the last writer was dropped.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The sending direction of a connection.
@@ -24,27 +25,28 @@
 }
 
 impl FrameWriter {
-    /// Starts the task that writes.
-    pub(crate) fn start(half: OwnedWriteHalf) -> Self {
+    /// Starts the task that writes the queue.
+    pub(crate) fn start(write_half: OwnedWriteHalf) -> Self {
         let state = Rc::new(WriterState::new());
-        tokio::task::spawn_local(write_queue(half, state.clone()));
+        tokio::task::spawn_local(write_queue(write_half, state.clone()));
         Self { handle: Rc::new(Handle { state }) }
     }
 
     /// Queues a message.
     ///
     /// # Errors
-    /// [`NetError::QueueFull`] where the other side does not read, [`NetError::Closed`] after the connection's end.
+    /// [`NetError::QueueFull`] if the other side does not read, [`NetError::Closed`] after the connection's end,
+    /// [`NetError::Frame`] if the message is too long.
     pub fn send<T: Encode>(&self, message: &T) -> Result<(), NetError> {
         self.handle.state.queue(&[], &message.encode())
     }
 
-    /// Queues the message of a call.
-    pub(crate) fn send_call<T: Encode>(&self, number: u64, message: &T) -> Result<(), NetError> {
-        self.handle.state.queue(&number.to_le_bytes(), &message.encode())
+    /// Queues the request or response of the call with this number.
+    pub(crate) fn send_call<T: Encode>(&self, call_number: u64, message: &T) -> Result<(), NetError> {
+        self.handle.state.queue(&call_number.to_le_bytes(), &message.encode())
     }
 
-    /// Ends the connection at once; what waits is dropped.
+    /// Ends the connection at once and discards the queue.
     pub fn close(&self) {
         self.handle.state.close();
     }
@@ -65,7 +67,7 @@
     }
 }
 
-/// Dropped with the last clone of a writer: what is queued still goes out, then the connection ends.
+/// Dropped with the last clone of a writer. The rest of the queue is still written, then the connection ends.
 struct Handle {
     state: Rc<WriterState>,
 }
@@ -73,17 +75,22 @@
 impl Drop for Handle {
     fn drop(&mut self) {
         self.state.finished.set(true);
-        self.state.work.notify_one();
+        self.state.work_available.notify_one();
     }
 }
 
-/// What a connection's reader, writers and writing task share.
+/// State shared by a connection's reader, its writers and the task that writes the queue.
 pub(crate) struct WriterState {
+    /// Encoded frames that have not been passed to the socket.
     queue: RefCell<Vec<u8>>,
+    /// All writers were dropped: nothing is added to the queue.
     finished: Cell<bool>,
+    /// The connection has ended.
     closed: Cell<bool>,
-    work: Notify,
-    ended: Notify,
+    /// Notified when the queue, `finished` or `closed` has changed.
+    work_available: Notify,
+    /// Notified when the connection ends.
+    closed_notify: Notify,
 }
 
 impl WriterState {
@@ -92,8 +99,8 @@
             queue: RefCell::new(PROTOCOL_VERSION.to_le_bytes().to_vec()),
             finished: Cell::new(false),
             closed: Cell::new(false),
-            work: Notify::new(),
-            ended: Notify::new(),
+            work_available: Notify::new(),
+            closed_notify: Notify::new(),
         }
     }
 
@@ -110,15 +117,15 @@
             return Err(NetError::QueueFull);
         }
         append_frame(&mut queue, prefix, body);
-        self.work.notify_one();
+        self.work_available.notify_one();
         Ok(())
     }
 
     pub(crate) fn close(&self) {
         if !self.closed.replace(true) {
             self.queue.take();
-            self.work.notify_one();
-            self.ended.notify_waiters();
+            self.work_available.notify_one();
+            self.closed_notify.notify_waiters();
         }
     }
 
@@ -127,37 +134,37 @@
     }
 
     pub(crate) async fn closed(&self) {
-        let ended = self.ended.notified();
+        let closed_notify = self.closed_notify.notified();
         if !self.is_closed() {
-            ended.await;
+            closed_notify.await;
         }
     }
 }
 
-/// Writes what is queued until the connection ends.
-async fn write_queue(mut half: OwnedWriteHalf, state: Rc<WriterState>) {
+/// Writes the queue to the socket until the connection ends.
+async fn write_queue(mut write_half: OwnedWriteHalf, state: Rc<WriterState>) {
     while !state.is_closed() {
         let batch = state.queue.take();
         if !batch.is_empty() {
-            let written = tokio::select! {
-                written = write_batch(&mut half, &batch, &state) => written,
+            let is_written = tokio::select! {
+                is_written = write_batch(&mut write_half, &batch, &state) => is_written,
                 () = state.closed() => false,
             };
-            if !written {
+            if !is_written {
                 break;
             }
         } else if state.finished.get() {
             break;
         } else {
-            state.work.notified().await;
+            state.work_available.notified().await;
         }
     }
     state.close();
 }
 
-/// Writes a batch; false where the connection is broken.
-async fn write_batch(half: &mut OwnedWriteHalf, batch: &[u8], state: &WriterState) -> bool {
-    let write = half.write_all(batch);
+/// Writes a batch. Returns `false` if writing fails, or exceeds [`FLUSH_TIMEOUT`] after the last writer was dropped.
+async fn write_batch(write_half: &mut OwnedWriteHalf, batch: &[u8], state: &WriterState) -> bool {
+    let write = write_half.write_all(batch);
     if state.finished.get() {
         return matches!(timeout(FLUSH_TIMEOUT, write).await, Ok(Ok(())));
     }
--- a/crates/net/tests/calls.rs
+++ b/crates/net/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls over loopback.
+//! Tests of remote procedure calls over loopback.
 
 use opalrun_net::{Listener, RpcClient, RpcError, serve_rpc};
 use std::{cell::RefCell, future::Future, net::SocketAddr, rc::Rc, time::Duration};
@@ -7,7 +7,7 @@
     task::{JoinHandle, LocalSet},
 };
 
-const LIMIT: Duration = Duration::from_secs(5);
+const TEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 fn run<F: Future>(test: F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
@@ -18,8 +18,8 @@
     Listener::bind("127.0.0.1:0".parse().unwrap()).await.unwrap()
 }
 
-/// Answers a number with its double; 0 is never answered.
-async fn doubling() -> (SocketAddr, JoinHandle<()>) {
+/// Starts a server that responds to a number with its double, and never to 0. Returns its address and its task.
+async fn start_doubling_server() -> (SocketAddr, JoinHandle<()>) {
     let listener = listener().await;
     let address = listener.local_address();
     let serve = serve_rpc(listener, async |number: u64| {
@@ -34,31 +34,31 @@
 #[test]
 fn many_calls_share_a_connection() {
     run(async {
-        let (address, _server) = doubling().await;
+        let (address, _server) = start_doubling_server().await;
         let client = RpcClient::<u64, u64>::new("server", address);
         let calls = (1..300).map(|number| {
             let client = client.clone();
-            tokio::task::spawn_local(async move { (number, client.call(&number, LIMIT).await) })
+            tokio::task::spawn_local(async move { (number, client.call(&number, TEST_TIMEOUT).await) })
         });
         for call in calls.collect::<Vec<_>>() {
-            let (number, answer) = call.await.unwrap();
-            assert_eq!(answer, Ok(number * 2));
+            let (number, response) = call.await.unwrap();
+            assert_eq!(response, Ok(number * 2));
         }
     });
 }
 
 #[test]
-fn answers_come_in_any_order() {
+fn responses_arrive_in_any_order() {
     run(async {
         let listener = listener().await;
         let address = listener.local_address();
         let release = Rc::new(Notify::new());
-        let held = release.clone();
+        let released = release.clone();
         tokio::task::spawn_local(serve_rpc(listener, move |number: u64| {
-            let held = held.clone();
+            let released = released.clone();
             async move {
                 if number == 1 {
-                    held.notified().await;
+                    released.notified().await;
                 }
                 number
             }
@@ -66,70 +66,70 @@
         let client = RpcClient::<u64, u64>::new("server", address);
         let slow = {
             let client = client.clone();
-            tokio::task::spawn_local(async move { client.call(&1, LIMIT).await })
+            tokio::task::spawn_local(async move { client.call(&1, TEST_TIMEOUT).await })
         };
-        assert_eq!(client.call(&2, LIMIT).await, Ok(2));
+        assert_eq!(client.call(&2, TEST_TIMEOUT).await, Ok(2));
         release.notify_one();
         assert_eq!(slow.await.unwrap(), Ok(1));
     });
 }
 
 #[test]
-fn silence_times_out_and_the_connection_stays() {
+fn a_call_without_response_times_out_and_the_connection_stays_open() {
     run(async {
-        let (address, _server) = doubling().await;
+        let (address, _server) = start_doubling_server().await;
         let client = RpcClient::<u64, u64>::new("server", address);
         assert_eq!(client.call(&0, Duration::from_millis(20)).await, Err(RpcError::TimedOut));
-        assert_eq!(client.call(&4, LIMIT).await, Ok(8));
+        assert_eq!(client.call(&4, TEST_TIMEOUT).await, Ok(8));
     });
 }
 
 #[test]
-fn nobody_there_means_not_sent_and_fails_fast_afterwards() {
+fn a_call_to_an_unreachable_server_is_not_sent_and_later_calls_fail_at_once() {
     run(async {
         let address = listener().await.local_address();
         let client = RpcClient::<u64, u64>::new("server", address);
-        assert_eq!(client.call(&1, LIMIT).await, Err(RpcError::NotSent));
+        assert_eq!(client.call(&1, TEST_TIMEOUT).await, Err(RpcError::NotSent));
         assert!(client.is_backing_off());
-        assert_eq!(client.call(&1, LIMIT).await, Err(RpcError::NotSent));
+        assert_eq!(client.call(&1, TEST_TIMEOUT).await, Err(RpcError::NotSent));
     });
 }
 
 #[test]
-fn a_lost_connection_ends_calls_and_the_next_one_reconnects() {
+fn a_lost_connection_fails_its_calls_and_the_next_call_reconnects() {
     run(async {
         let listener = listener().await;
         let address = listener.local_address();
         let client = RpcClient::<u64, u64>::new("server", address);
         let call = {
             let client = client.clone();
-            tokio::task::spawn_local(async move { client.call(&1, LIMIT).await })
+            tokio::task::spawn_local(async move { client.call(&1, TEST_TIMEOUT).await })
         };
         let (mut reader, writer) = listener.accept().await.unwrap().split();
         assert!(reader.next_body().await.unwrap().is_some());
         writer.close();
         assert_eq!(call.await.unwrap(), Err(RpcError::Closed));
         tokio::task::spawn_local(serve_rpc(listener, async |number: u64| number + 1));
-        assert_eq!(client.call(&1, LIMIT).await, Ok(2));
+        assert_eq!(client.call(&1, TEST_TIMEOUT).await, Ok(2));
     });
 }
 
 #[test]
 fn a_client_moves_to_another_address() {
     run(async {
-        let (first, _first_server) = doubling().await;
+        let (first, _first_server) = start_doubling_server().await;
         let second = listener().await;
         let second_address = second.local_address();
         tokio::task::spawn_local(serve_rpc(second, async |number: u64| number + 1));
         let client = RpcClient::<u64, u64>::new("server", first);
-        assert_eq!(client.call(&10, LIMIT).await, Ok(20));
+        assert_eq!(client.call(&10, TEST_TIMEOUT).await, Ok(20));
         client.set_address(second_address);
-        assert_eq!(client.call(&10, LIMIT).await, Ok(11));
+        assert_eq!(client.call(&10, TEST_TIMEOUT).await, Ok(11));
     });
 }
 
 #[test]
-fn dropping_the_client_ends_its_connection() {
+fn dropping_the_client_closes_its_connection() {
     run(async {
         let listener = listener().await;
         let client = RpcClient::<u64, u64>::new("server", listener.local_address());
@@ -145,7 +145,7 @@
             });
             opalrun_net::serve_connection(connection, handler).await.unwrap();
         });
-        assert_eq!(client.call(&1, LIMIT).await, Ok(1));
+        assert_eq!(client.call(&1, TEST_TIMEOUT).await, Ok(1));
         accepted.await.unwrap();
         drop(client);
         server.await.unwrap();
--- a/crates/net/tests/feed_client.rs
+++ b/crates/net/tests/feed_client.rs
@@ -1,5 +1,5 @@
-//! The client of the change feed, against servers over loopback. Each server has an address of its own in 127.0.0.0/8,
-//! as all share the port of the feed.
+//! Tests of the client of the change feed against servers on loopback. Each server has its own address in 127.0.0.0/8,
+//! since all servers use the same port.
 
 use opalrun_net::{
     FrameReader, FrameWriter, Listener,
@@ -23,7 +23,7 @@
     LocalSet::new().block_on(&runtime, test)
 }
 
-/// Listeners at different addresses with the same free port.
+/// Returns listeners at different addresses with the same free port.
 async fn listeners<const N: usize>() -> [Listener; N] {
     'ports: loop {
         let first = Listener::bind("127.0.0.1:0".parse().unwrap()).await.unwrap();
@@ -40,7 +40,7 @@
     }
 }
 
-/// Starts a client of shards 0 and 1; returns what it delivers.
+/// Starts a client of shards 0 and 1. Returns it with the receiver of the updates that it delivers.
 fn subscribe(seeds: &[&Listener], only_seeds: bool) -> (FeedClient, UnboundedReceiver<FeedUpdate>) {
     let (sender, events) = unbounded_channel();
     let options = FeedOptions {
@@ -54,10 +54,11 @@
     (FeedClient::start(options, move |event| drop(sender.send(event))), events)
 }
 
-/// A server's side of a subscription.
+/// The server's side of a subscription.
 struct Session {
     reader: FrameReader,
     writer: FrameWriter,
+    /// Offsets from which the client has subscribed, by shard.
     positions: Vec<u64>,
 }
 
@@ -78,7 +79,7 @@
     FeedUpdate::Changes { shard: Shard(shard), offset: FeedOffset(offset), changes: vec![] }
 }
 
-/// The shard and offset of an event; `None` for `Fresh`.
+/// Returns the shard and offset of a snapshot or of changes; `None` for other updates.
 fn shard_and_offset(event: &FeedUpdate) -> Option<(u16, u64)> {
     match event {
         FeedUpdate::Snapshot { shard, offset, .. } | FeedUpdate::Changes { shard, offset, .. } => {
@@ -119,7 +120,7 @@
 }
 
 #[test]
-fn what_is_older_than_what_is_held_is_not_delivered() {
+fn updates_that_are_not_newer_are_not_delivered() {
     run(async {
         let [server] = listeners().await;
         let (_client, mut events) = subscribe(&[&server], false);
@@ -129,16 +130,16 @@
         {
             session.writer.send(&update).unwrap();
         }
-        let mut places = Vec::new();
-        while places.len() < 3 {
-            places.extend(shard_and_offset(&events.recv().await.unwrap()));
+        let mut delivered = Vec::new();
+        while delivered.len() < 3 {
+            delivered.extend(shard_and_offset(&events.recv().await.unwrap()));
         }
-        assert_eq!(places, [(0, 7), (1, 2), (0, 8)]);
+        assert_eq!(delivered, [(0, 7), (1, 2), (0, 8)]);
     });
 }
 
 #[test]
-fn a_lost_connection_is_made_again_from_what_is_held() {
+fn after_a_lost_connection_the_client_subscribes_from_its_last_offsets() {
     run(async {
         let [server] = listeners().await;
         let (_client, mut events) = subscribe(&[&server], false);
@@ -151,7 +152,7 @@
 }
 
 #[test]
-fn a_server_that_sends_elsewhere_is_left_for_another() {
+fn the_client_leaves_a_server_that_reports_itself_unavailable() {
     run(async {
         let [first, second] = listeners().await;
         let (_client, _events) = subscribe(&[&first, &second], false);
@@ -165,7 +166,7 @@
 }
 
 #[test]
-fn a_server_that_is_not_in_touch_is_left_for_another() {
+fn the_client_leaves_a_server_that_sends_no_fresh_updates() {
     run(async {
         let [first, second] = listeners().await;
         let (_client, _events) = subscribe(&[&first, &second], false);
@@ -179,7 +180,7 @@
 }
 
 #[test]
-fn the_only_server_is_kept_though_it_is_not_in_touch() {
+fn with_only_seeds_the_client_keeps_a_server_that_sends_no_fresh_updates() {
     run(async {
         let [server] = listeners().await;
         let (_client, _events) = subscribe(&[&server], true);
@@ -192,7 +193,7 @@
 }
 
 #[test]
-fn servers_that_the_feed_names_are_tried_those_of_the_zone_first() {
+fn announced_servers_of_the_own_zone_are_used_before_those_of_other_zones() {
     run(async {
         let [seed, far, near] = listeners().await;
         let (_client, _events) = subscribe(&[&seed], false);
@@ -200,7 +201,7 @@
         let node = |identity, listener: &Listener, zone: &str| ControlNode {
             identity,
             node_name: format!("core-{identity}"),
-            // The port of the feed is the same everywhere; that of peers is another.
+            // The client has to use the feed's port, not the port of the peer address.
             peer_address: SocketAddr::new(listener.local_address().ip(), 1).to_string(),
             control_address: String::new(),
             zone: zone.to_owned(),
@@ -221,26 +222,26 @@
 }
 
 #[test]
-fn seeds_are_read_again_when_no_server_can_be_used() {
+fn seeds_are_read_again_when_all_servers_have_failed() {
     run(async {
-        let [gone, here] = listeners().await;
+        let [unavailable, available] = listeners().await;
         let options = FeedOptions {
             subscriber: Subscriber::Proxy,
             shards: vec![Shard(0), Shard(1)],
-            seeds: vec![gone.local_address()],
-            feed_port: gone.local_address().port(),
+            seeds: vec![unavailable.local_address()],
+            feed_port: unavailable.local_address().port(),
             zone: String::new(),
             only_seeds: false,
         };
-        drop(gone);
-        let seed = here.local_address();
+        drop(unavailable);
+        let seed = available.local_address();
         let _client = FeedClient::start_with_seeds(options, move || Some(vec![seed]), |_| {});
-        accept(&here).await;
+        accept(&available).await;
     });
 }
 
 #[test]
-fn a_process_that_was_stopped_subscribes_anew_before_it_trusts_what_it_reads() {
+fn a_process_that_was_suspended_subscribes_again_before_it_delivers_updates() {
     run(async {
         let [server] = listeners().await;
         let (_client, mut events) = subscribe(&[&server], true);
@@ -248,7 +249,7 @@
         tokio::time::pause();
         session.writer.send(&FeedUpdate::Fresh { gatekeepers: 1 }).unwrap();
         session.writer.send(&snapshot(0, 3)).unwrap();
-        // The time passes before the client can read.
+        // The process is suspended for 5 s before the client can read.
         tokio::time::advance(std::time::Duration::from_secs(5)).await;
         tokio::time::resume();
         let session = accept(&server).await;
@@ -259,13 +260,13 @@
 }
 
 #[test]
-fn a_store_tells_that_its_replicas_are_whole() {
+fn a_store_reports_that_its_replicas_are_complete() {
     run(async {
         let [server] = listeners().await;
         let (client, mut events) = subscribe(&[&server], false);
         assert!(
             !client.report_replicas_complete(NodeIdentity(1), Epoch(2), vec![Partition(3)]),
-            "nobody is connected yet"
+            "no server is connected yet"
         );
         let mut session = accept(&server).await;
         session.writer.send(&FeedUpdate::Fresh { gatekeepers: 0 }).unwrap();
--- a/crates/net/tests/frames.rs
+++ b/crates/net/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames over loopback.
+//! Tests of frames over loopback.
 
 use opalrun_net::{Connection, Listener, NetError, connect};
 use opalrun_wire::{
@@ -13,7 +13,7 @@
     task::LocalSet,
 };
 
-const LIMIT: Duration = Duration::from_secs(5);
+const TEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Runs a test on one thread.
 fn run<F: Future>(test: F) -> F::Output {
@@ -27,7 +27,7 @@
 
 async fn pair() -> (Connection, Connection) {
     let listener = listener().await;
-    let near = connect(listener.local_address(), LIMIT).await.unwrap();
+    let near = connect(listener.local_address(), TEST_TIMEOUT).await.unwrap();
     (near, listener.accept().await.unwrap())
 }
 
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn messages_arrive_in_order_and_the_end_is_clean() {
+fn messages_arrive_in_order_and_the_connection_ends_without_error() {
     run(async {
         let (near, far) = pair().await;
         let (_, near_writer) = near.split();
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_reader_that_was_dropped_while_waiting_loses_nothing() {
+fn cancelling_a_read_loses_no_message() {
     run(async {
         let (near, far) = pair().await;
         let (_, near_writer) = near.split();
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn long_frames_pass_and_longer_ones_are_refused() {
+fn long_frames_are_delivered_and_too_long_ones_rejected() {
     run(async {
         let (near, far) = pair().await;
         let (_, near_writer) = near.split();
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_side_that_does_not_read_fills_the_queue_instead_of_memory() {
+fn the_send_queue_is_bounded_if_the_other_side_does_not_read() {
     run(async {
         let (near, far) = pair().await;
         let (_, near_writer) = near.split();
@@ -122,7 +122,7 @@
     });
 }
 
-/// What a reader says after a client of another kind has sent `bytes`.
+/// Returns the error of a reader whose peer has sent `bytes` and ended the connection.
 async fn after_raw_bytes(bytes: &[u8]) -> NetError {
     let listener = listener().await;
     let mut raw = TcpStream::connect(listener.local_address()).await.unwrap();
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn another_version_is_refused() {
+fn another_protocol_version_is_rejected() {
     run(async {
         let error = after_raw_bytes(&99_u32.to_le_bytes()).await;
         assert!(matches!(error, NetError::Version { version: 99 }));
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_frame_are_refused() {
+fn invalid_frames_are_rejected() {
     run(async {
         let mut corrupt = PROTOCOL_VERSION.to_le_bytes().to_vec();
         corrupt.extend([3, 0, 0, 0, 1, 2, 3, 4, 9, 9, 9]);
@@ -154,14 +154,14 @@
         let mut too_long = PROTOCOL_VERSION.to_le_bytes().to_vec();
         too_long.extend([255; 8]);
         assert!(after_raw_bytes(&too_long).await.to_string().starts_with("E101"));
-        let mut cut = PROTOCOL_VERSION.to_le_bytes().to_vec();
-        cut.extend([3, 0, 0]);
-        assert!(matches!(after_raw_bytes(&cut).await, NetError::Truncated));
+        let mut truncated = PROTOCOL_VERSION.to_le_bytes().to_vec();
+        truncated.extend([3, 0, 0]);
+        assert!(matches!(after_raw_bytes(&truncated).await, NetError::Truncated));
     });
 }
 
 #[test]
-fn a_frame_of_another_type_is_refused() {
+fn a_message_of_another_type_is_rejected() {
     run(async {
         let (near, far) = pair().await;
         let (_, near_writer) = near.split();
--- a/crates/net/tests/reachability.rs
+++ b/crates/net/tests/reachability.rs
@@ -1,4 +1,4 @@
-//! When the absence of a peer is worth a line in the log.
+//! Tests of when the absence of a peer is logged.
 
 use opalrun_net::reachability::{Absence, PeerCount, Reachability};
 use std::time::Duration;
@@ -10,7 +10,8 @@
     Duration::from_secs(seconds)
 }
 
-/// Attempts every half second that all fail, from `from` until `to` after the start; returns when a warning was due.
+/// Makes attempts of half a second each that all fail, from `from` until `to` after the start. Returns the times after
+/// the start at which a warning was due.
 fn warnings(reachability: &mut Reachability, start: Instant, from: Duration, to: Duration) -> Vec<Duration> {
     let mut warnings = Vec::new();
     let mut at = from;
@@ -25,15 +26,15 @@
 }
 
 #[test]
-fn a_peer_that_never_comes_is_warned_of_after_three_seconds_and_then_every_thirty() {
+fn an_unreachable_peer_is_warned_about_after_three_seconds_and_then_every_thirty() {
     let mut reachability = Reachability::new("control");
-    let found = warnings(&mut reachability, Instant::now(), Duration::ZERO, seconds(70));
-    assert_eq!(found, [seconds(3), seconds(33), seconds(63)]);
+    let warned_at = warnings(&mut reachability, Instant::now(), Duration::ZERO, seconds(70));
+    assert_eq!(warned_at, [seconds(3), seconds(33), seconds(63)]);
     assert_eq!(reachability.count(), PeerCount { missing: 1, failed_attempts: 140 });
 }
 
 #[test]
-fn a_peer_that_was_warned_of_is_reported_once_when_it_comes() {
+fn the_end_of_an_absence_that_was_warned_about_is_reported_once() {
     let start = Instant::now();
     let mut reachability = Reachability::new("control");
     assert_eq!(warnings(&mut reachability, start, Duration::ZERO, seconds(5)), [seconds(3)]);
@@ -44,23 +45,26 @@
 }
 
 #[test]
-fn a_short_absence_is_no_line_at_all() {
+fn a_short_absence_is_not_logged() {
     let start = Instant::now();
     let mut reachability = Reachability::new("control");
     assert!(warnings(&mut reachability, start, Duration::ZERO, seconds(2)).is_empty());
     assert_eq!(reachability.reached(start + seconds(2)), None);
-    assert!(warnings(&mut reachability, start, seconds(10), seconds(12)).is_empty(), "it counts anew");
+    assert!(
+        warnings(&mut reachability, start, seconds(10), seconds(12)).is_empty(),
+        "the next absence is counted from its own start"
+    );
 }
 
 #[test]
-fn a_peer_that_comes_and_goes_is_warned_of_at_most_every_thirty_seconds() {
+fn a_peer_with_repeated_absences_is_warned_about_at_most_every_thirty_seconds() {
     let start = Instant::now();
     let mut reachability = Reachability::new("control");
-    let mut found = Vec::new();
-    for round in 0..6 {
-        let from = seconds(10 * round);
-        found.extend(warnings(&mut reachability, start, from, from + seconds(6)));
+    let mut warned_at = Vec::new();
+    for absence in 0..6 {
+        let from = seconds(10 * absence);
+        warned_at.extend(warnings(&mut reachability, start, from, from + seconds(6)));
         reachability.reached(start + from + seconds(6));
     }
-    assert_eq!(found, [seconds(3), seconds(33)]);
+    assert_eq!(warned_at, [seconds(3), seconds(33)]);
 }
