--- a/crates/transport/src/body/forwarding.rs
+++ b/crates/transport/src/body/forwarding.rs
@@ -7,10 +7,11 @@
 };
 
 /// The progress of a response that is forwarded to its client in chunks. A response of at most [`MAX_BUFFERED_BYTES`]
-/// is short and due as a whole; a longer one is not.
+/// is short: the deadline of the request applies to all of it, and the user of this type ends it if its worker stalls
+/// after the deadline. A longer response may continue after the deadline.
 #[derive(Debug)]
 pub struct Forwarding {
-    /// Number of further bytes with which the response still counts as short; `None` if it is long.
+    /// Maximum number of further bytes with which the response still counts as short; `None` if it is long.
     short_remaining: Cell<Option<usize>>,
     /// Since when the worker has been waited for; `None` while the client is waited for.
     waiting_since: Cell<Option<Instant>>,
