--- a/crates/transport/src/pool/lease.rs
+++ b/crates/transport/src/pool/lease.rs
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Returns the connection to its pool after [`RELEASE_DELAY`]. To be called once the response is complete.
+    /// Returns the connection to its pool after `RELEASE_DELAY`. To be called once the response is complete.
     /// `rejected` tells that the response rejected the request for lack of capacity.
     pub fn release(self, rejected: bool) {
         tokio::task::spawn_local(async move {
