--- a/crates/gateway/src/bin/opalrun-gateway/clients.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/clients.rs
@@ -48,7 +48,11 @@
 
     async fn handle(&self, request: Request<Incoming>, client: Client) -> Response<body::ResponseBody> {
         if request.uri().path() == "/up" {
-            return empty_response(if client.is_in_service { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE });
+            return empty_response(if client.is_in_service {
+                StatusCode::OK
+            } else {
+                StatusCode::SERVICE_UNAVAILABLE
+            });
         }
         match self.read_request(request, &client).await {
             Ok(request) => self.answer(request).await,
--- a/crates/gateway/src/bin/opalrun-gateway/workers.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/workers.rs
@@ -93,7 +93,9 @@
     match reason {
         NoConnection::Refused | NoConnection::TimedOut => Status::ConnectFailed,
         // The attempt was not sent, for a reason that is no evidence about the worker.
-        NoConnection::Unavailable | NoConnection::NoDescriptor | NoConnection::LimitReached => Status::NotSent,
+        NoConnection::Unavailable | NoConnection::NoDescriptor | NoConnection::LimitReached => {
+            Status::NotSent
+        }
     }
 }
 
