--- a/crates/gateway/tests/bounds.rs
+++ b/crates/gateway/tests/bounds.rs
@@ -50,7 +50,7 @@
 /// A gateway, its counter calls in flight, and the timers of requests that wait for the counter.
 struct Node {
     index: u32,
-    rig: Rig,
+    harness: Harness,
     calls: VecDeque<(u64, f64)>,
     wait_timers: VecDeque<u64>,
 }
@@ -101,9 +101,9 @@
     fn start(&self, index: u32) -> Node {
         let mut settings = self.settings.clone();
         settings.gateway_index = index;
-        let mut rig = Rig::new(settings);
-        rig.now = self.now;
-        Node { index, rig, calls: VecDeque::new(), wait_timers: VecDeque::new() }
+        let mut harness = Harness::new(settings);
+        harness.now = self.now;
+        Node { index, harness, calls: VecDeque::new(), wait_timers: VecDeque::new() }
     }
 
     /// The bound of `docs/bounds.md` on the units that the customer may get, with the kills so far and a clock that
@@ -130,9 +130,9 @@
                     _ => {}
                 }
             }
-            for (job, server) in sends(&out) {
+            for (job, server) in sent_attempts(&out) {
                 self.sent += 1.0;
-                todo.push_back(self.nodes[at].rig.outcome(&job, 0, &server, Status::Ok));
+                todo.push_back(self.nodes[at].harness.attempt_ended(&job, 0, &server, Status::Ok));
             }
         }
     }
@@ -144,7 +144,12 @@
         *total += if added { amount } else { 0.0 };
         let (status, total) = if answered { (Status::Ok, *total) } else { (Status::Timeout, 0.0) };
         let elapsed = if answered { 0.002 } else { self.settings.counter_timeout };
-        let out = self.nodes[at].rig.event(Event::CounterAnswered { counter: name, status, total, elapsed });
+        let out = self.nodes[at].harness.handle_event(Event::CounterAnswered {
+            counter: name,
+            status,
+            total,
+            elapsed,
+        });
         self.carry_out(at, out);
         true
     }
@@ -156,7 +161,7 @@
             Step::Ask(at) => {
                 self.asks += 1;
                 let request = Request { spread: gateways, ..request(&format!("j{}", self.asks), self.now) };
-                let out = self.nodes[at].rig.event(Event::Request(request));
+                let out = self.nodes[at].harness.handle_event(Event::Request(request));
                 self.carry_out(at, out);
                 true
             }
@@ -165,7 +170,7 @@
             Step::LoseAnswer(at) => self.call_ends(at, true, false),
             Step::WaitEnds(at) => {
                 let Some(token) = self.nodes[at].wait_timers.pop_front() else { return false };
-                let out = self.nodes[at].rig.event(Event::Timer { token });
+                let out = self.nodes[at].harness.handle_event(Event::Timer { token });
                 self.carry_out(at, out);
                 true
             }
@@ -177,11 +182,11 @@
             Step::Upgrade(at) if self.upgrades < limits.upgrades => {
                 self.upgrades += 1;
                 let index = self.nodes[at].index;
-                let state = self.nodes[at].rig.gateway.hand_over(self.now);
+                let state = self.nodes[at].harness.gateway.hand_over(self.now);
                 let successors = if self.two_successors { 2 } else { 1 };
                 for successor in 0..successors {
                     let mut node = self.start(index);
-                    node.rig.gateway.take_over(state.clone());
+                    node.harness.gateway.take_over(state.clone());
                     if successor == 0 { self.nodes[at] = node } else { self.nodes.push(node) }
                 }
                 true
@@ -194,7 +199,7 @@
     fn state_hash(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         for node in &self.nodes {
-            format!("{:?} {:?} {:?}", node.rig.gateway, node.calls, node.wait_timers).hash(&mut hasher);
+            format!("{:?} {:?} {:?}", node.harness.gateway, node.calls, node.wait_timers).hash(&mut hasher);
         }
         format!("{:?} {} {} {}", self.counts, self.sent, self.kills, self.upgrades).hash(&mut hasher);
         hasher.finish()
--- a/crates/gateway/tests/called_off.rs
+++ b/crates/gateway/tests/called_off.rs
@@ -51,21 +51,21 @@
 
 #[test]
 fn what_waits_for_a_connection_when_the_answer_is_given_is_never_sent() {
-    let quick = Worker::start(Does::Serves("quick"));
+    let quick = Worker::start(Behaviour::Respond("quick"));
     let (stuck, line) = full();
-    let (mut setup, discovery) = Setup::new(&[&quick]);
-    setup.admin = true;
+    let (mut setup, discovery) = NodeSetup::new(&[&quick]);
+    setup.has_admin_api = true;
     setup.settings["Limits"]["ConnectTimeout"] = json!(20.0);
     // A second copy goes out after 0.8 s, and an attempt ends after 2 s; nothing else takes nearly so long.
     setup.settings["Classes"][0]["Slo"] = json!(2.0);
     let node = setup.start();
-    let version = discovery.change(entry("w1", stuck.local_addr().expect("bound"), "SERVING"));
-    discovery.told(version);
+    let version = discovery.upsert(discovery_entry("w1", stuck.local_addr().expect("bound"), "SERVING"));
+    discovery.wait_for_watch_from(version);
     // Some go to the stuck one first, and the other answers them as a second copy.
     let start = Instant::now();
     let second_copy = |i: usize| {
         let asked = Instant::now();
-        assert_eq!(node.ask(&Ask::new(&format!("early-{i}"))).status(), 200);
+        assert_eq!(node.request(&ClientRequest::new(&format!("early-{i}"))).status(), 200);
         asked.elapsed() > SECOND_COPY
     };
     for i in 0.. {
@@ -77,27 +77,27 @@
     // Its line moves on: the connection comes up, and whatever waits for it could be written now.
     let told = open(stuck);
     drop(line);
-    node.pool("w1", |w| w["connecting"].as_u64() == Some(0) && w["idle"].as_u64() > Some(0));
-    assert_eq!(node.call("POST /control/workers/w0/offline"), 200);
-    assert_eq!(node.ask(&Ask::new("late")).status(), 200);
+    node.wait_for_pool("w1", |w| w["connecting"].as_u64() == Some(0) && w["idle"].as_u64() > Some(0));
+    assert_eq!(node.admin_status("POST /control/workers/w0/offline"), 200);
+    assert_eq!(node.request(&ClientRequest::new("late")).status(), 200);
     assert_eq!(told.recv_timeout(LIMIT).as_deref(), Ok("late"));
 }
 
 /// Where a list is stale an address may belong to nobody: a connect there says nothing, for longer than its request has.
 #[test]
 fn a_request_to_a_worker_that_is_not_there_has_its_answer_in_its_time_and_is_harmless_to_repeat() {
-    let (mut setup, discovery) = Setup::new(&[]);
+    let (mut setup, discovery) = NodeSetup::new(&[]);
     let (stuck, _line) = full();
-    let entry = entry("w0", stuck.local_addr().expect("bound"), "SERVING");
-    discovery.change(entry.clone());
-    setup.known.push(entry);
+    let entry = discovery_entry("w0", stuck.local_addr().expect("bound"), "SERVING");
+    discovery.upsert(entry.clone());
+    setup.initial_servers.push(entry);
     setup.settings["Limits"]["ConnectTimeout"] = json!(20.0);
     let node = setup.start();
-    let (mut soon, mut later) = (node.client(), node.client());
-    soon.send(&Ask::submit("soon").with("X-Remaining", "0.5"));
-    later.send(&Ask::submit("later").with("X-Remaining", "4.0"));
-    let soon = thread::spawn(move || soon.answer().map(|a| a.status()));
-    assert_eq!(later.answer().map(|a| a.status()), Some(429), "not a byte of it was written");
+    let (mut soon, mut later) = (node.connect(), node.connect());
+    soon.send(&ClientRequest::submit("soon").with_header("X-Remaining", "0.5"));
+    later.send(&ClientRequest::submit("later").with_header("X-Remaining", "4.0"));
+    let soon = thread::spawn(move || soon.read_response().map(|a| a.status()));
+    assert_eq!(later.read_response().map(|a| a.status()), Some(429), "not a byte of it was written");
     assert!(soon.is_finished(), "one with less time still waits");
     assert_eq!(soon.join().expect("no panic"), Some(429));
 }
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -1,20 +1,24 @@
-//! A harness that drives the module alone and keeps what it returned.
+//! A harness that drives the gateway's decisions without I/O and records the actions they return.
 #![allow(dead_code)]
 
 use opalrun_gateway::*;
 
-pub struct Rig {
+/// A gateway with a settable clock.
+pub struct Harness {
     pub gateway: Gateway,
     pub now: Time,
+    /// Every action returned so far, in order.
     pub actions: Vec<Action>,
 }
 
+/// A plan with `rate` units per second, a burst of `burst` units and a unit value of 1.
 pub fn plan(rate: f64, burst: f64) -> Plan {
     let mut plan = Plan::default();
     (plan.rate, plan.burst, plan.unit_value) = (rate, burst, 1.0);
     plan
 }
 
+/// Settings for two gateways with a counter, one default class and one plan of 10 units/s with a burst of 20.
 pub fn settings() -> Settings {
     let mut s = Settings::default();
     (s.gateway_count, s.has_counter, s.hedging_allowed, s.max_attempts) = (2, true, true, 3);
@@ -25,17 +29,19 @@
     s
 }
 
-/// Checks and takes other settings.
-pub fn retune(gateway: &mut Gateway, settings: Settings) -> Result<(), SettingsError> {
+/// Validates new settings and applies them to `gateway`.
+pub fn apply_settings(gateway: &mut Gateway, settings: Settings) -> Result<(), SettingsError> {
     let ready = gateway.prepare(settings)?;
     gateway.commit(ready);
     Ok(())
 }
 
+/// A server of zone 0 and cell 0.
 pub fn server(name: &str, lifecycle: Lifecycle, started: Time) -> Server {
     Server { id: name.into(), zone: 0, cell: 0, started, lifecycle }
 }
 
+/// A request of one unit for customer "c" that expires 3 s after `now`.
 pub fn request(job: &str, now: Time) -> Request {
     Request {
         job: job.into(),
@@ -51,41 +57,52 @@
     }
 }
 
-impl Rig {
+impl Harness {
+    /// A gateway at time 100 s with the running servers a, b and c.
     pub fn new(settings: Settings) -> Self {
-        let mut rig = Self::empty(settings);
+        let mut harness = Self::without_servers(settings);
         let servers = ["a", "b", "c"].map(|n| server(n, Lifecycle::Running, 0.0)).to_vec();
-        rig.list(ListKind::Stale, servers);
-        rig
+        harness.update_servers(ListKind::Stale, servers);
+        harness
     }
 
-    pub fn empty(settings: Settings) -> Self {
+    /// A gateway at time 100 s that has received no server list.
+    pub fn without_servers(settings: Settings) -> Self {
         Self { gateway: Gateway::new(settings, 7).expect("usable settings"), now: 100.0, actions: Vec::new() }
     }
 
-    pub fn list(&mut self, kind: ListKind, servers: Vec<Server>) {
-        self.event(Event::List { kind, servers });
+    pub fn update_servers(&mut self, kind: ListKind, servers: Vec<Server>) {
+        self.handle_event(Event::List { kind, servers });
     }
 
-    /// Handles one event and returns what it led to.
-    pub fn event(&mut self, event: Event) -> Vec<Action> {
+    /// Handles one event at the current time and returns the resulting actions.
+    pub fn handle_event(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.gateway.handle(self.now, event, &mut out);
         self.actions.extend(out.iter().cloned());
         out
     }
 
-    pub fn ask(&mut self, job: &str) -> Vec<Action> {
+    /// Handles a default [`request`].
+    pub fn request(&mut self, job: &str) -> Vec<Action> {
         let request = request(job, self.now);
-        self.event(Event::Request(request))
+        self.handle_event(Event::Request(request))
     }
 
-    pub fn counted(&mut self, counter: u64, status: Status, total: f64) -> Vec<Action> {
-        self.event(Event::CounterAnswered { counter, status, total, elapsed: 0.002 })
+    /// Handles the counter's answer to a call, received 2 ms after the call.
+    pub fn counter_answered(&mut self, counter: u64, status: Status, total: f64) -> Vec<Action> {
+        self.handle_event(Event::CounterAnswered { counter, status, total, elapsed: 0.002 })
     }
 
-    pub fn outcome(&mut self, job: &str, attempt: u32, server: &ServerId, status: Status) -> Vec<Action> {
-        self.event(Event::AttemptEnded {
+    /// Handles the end of an attempt that took 0.1 s.
+    pub fn attempt_ended(
+        &mut self,
+        job: &str,
+        attempt: u32,
+        server: &ServerId,
+        status: Status,
+    ) -> Vec<Action> {
+        self.handle_event(Event::AttemptEnded {
             job: job.into(),
             attempt,
             server: server.clone(),
@@ -98,7 +115,8 @@
     }
 }
 
-pub fn counts(actions: &[Action]) -> Vec<(u64, f64)> {
+/// Counter name and amount of each call to the counter among `actions`.
+pub fn counter_calls(actions: &[Action]) -> Vec<(u64, f64)> {
     let count = |a: &Action| match a {
         Action::Count { counter, amount, .. } => Some((*counter, *amount)),
         _ => None,
@@ -106,7 +124,8 @@
     actions.iter().filter_map(count).collect()
 }
 
-pub fn sends(actions: &[Action]) -> Vec<(JobId, ServerId)> {
+/// Job and server of each attempt that `actions` send.
+pub fn sent_attempts(actions: &[Action]) -> Vec<(JobId, ServerId)> {
     let send = |a: &Action| match a {
         Action::Send { job, server, .. } => Some((job.clone(), server.clone())),
         _ => None,
@@ -114,56 +133,61 @@
     actions.iter().filter_map(send).collect()
 }
 
-pub fn refused(actions: &[Action]) -> usize {
+/// Number of requests that `actions` refuse.
+pub fn refused_count(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Refuse { .. })).count()
 }
 
-pub fn failed(actions: &[Action]) -> usize {
+/// Number of requests that `actions` fail.
+pub fn failed_count(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Fail { .. })).count()
 }
 
-/// A counter that answers at once, as the service would.
+/// An in-memory counter that answers each call at once; holds the total of each counter by name.
 #[derive(Default)]
-pub struct Counter(pub std::collections::BTreeMap<u64, f64>);
-
-impl Counter {
-    /// Answers the calls among `actions`, and those that follow, through `rig`; returns what they led to.
-    pub fn answer(&mut self, rig: &mut Rig, actions: &[Action]) -> Vec<Action> {
-        let mut pending: std::collections::VecDeque<_> = counts(actions).into();
-        let mut led_to = Vec::new();
+pub struct InstantCounter(pub std::collections::BTreeMap<u64, f64>);
+
+impl InstantCounter {
+    /// Answers the counter calls among `actions`, and those that the answers cause, through `harness`; returns the
+    /// actions that followed.
+    pub fn answer_calls(&mut self, harness: &mut Harness, actions: &[Action]) -> Vec<Action> {
+        let mut pending: std::collections::VecDeque<_> = counter_calls(actions).into();
+        let mut resulting = Vec::new();
         while let Some((name, step)) = pending.pop_front() {
             let total = self.0.entry(name).or_default();
             *total += step;
             let total = *total;
-            let out = rig.counted(name, Status::Ok, total);
-            pending.extend(counts(&out));
-            led_to.extend(out);
+            let out = harness.counter_answered(name, Status::Ok, total);
+            pending.extend(counter_calls(&out));
+            resulting.extend(out);
         }
-        led_to
+        resulting
     }
 
-    /// One request through `rig` with its calls answered; its actions.
-    pub fn ask(&mut self, rig: &mut Rig, job: &str) -> Vec<Action> {
-        let mut out = rig.ask(job);
-        out.extend(self.answer(rig, &out.clone()));
+    /// Handles one request and answers its counter calls; returns all resulting actions.
+    pub fn request(&mut self, harness: &mut Harness, job: &str) -> Vec<Action> {
+        let mut out = harness.request(job);
+        out.extend(self.answer_calls(harness, &out.clone()));
         out
     }
 
-    /// Asks `n` requests, answers those that are sent, and tells how many were.
-    pub fn ask_many(&mut self, rig: &mut Rig, tag: &str, n: usize) -> usize {
+    /// Handles `count` requests one after another, answers each attempt at once with success, and returns the number
+    /// of attempts sent.
+    pub fn request_many(&mut self, harness: &mut Harness, tag: &str, count: usize) -> usize {
         let mut sent = 0;
-        for i in 0..n {
-            let out = self.ask(rig, &format!("{tag}{i}"));
-            for (job, server) in sends(&out) {
+        for i in 0..count {
+            let out = self.request(harness, &format!("{tag}{i}"));
+            for (job, server) in sent_attempts(&out) {
                 sent += 1;
-                let out = rig.outcome(&job, 0, &server, Status::Ok);
-                self.answer(rig, &out);
+                let out = harness.attempt_ended(&job, 0, &server, Status::Ok);
+                self.answer_calls(harness, &out);
             }
         }
         sent
     }
 
-    pub fn sum(&self) -> f64 {
+    /// Sum of all counters.
+    pub fn total(&self) -> f64 {
         self.0.values().sum()
     }
 }
--- a/crates/gateway/tests/events.rs
+++ b/crates/gateway/tests/events.rs
@@ -7,22 +7,24 @@
 use std::process::{Command, Output};
 
 fn told(node: &Node, message: &str) -> Value {
-    let line = node.says(&format!("\"message\":\"{message}\""));
+    let line = node.wait_for_log(&format!("\"message\":\"{message}\""));
     serde_json::from_str(&line).unwrap_or_else(|e| panic!("{line}: {e}"))
 }
 
 #[test]
 fn each_refusal_and_send_carries_its_request_and_its_reason() {
-    let worker = Worker::start(Does::Serves("here"));
-    let (mut setup, _discovery) = Setup::new(&[&worker]);
+    let worker = Worker::start(Behaviour::Respond("here"));
+    let (mut setup, _discovery) = NodeSetup::new(&[&worker]);
     setup.log = Some(json!({"form": "json", "level": "debug"}));
     let node = setup.start();
-    assert_eq!(node.ask(&Ask::new("free-1")).status(), 200);
+    assert_eq!(node.request(&ClientRequest::new("free-1")).status(), 200);
     let sent = told(&node, "sent");
     assert_eq!((&sent["txn"], &sent["why"]), (&json!("free-1"), &json!("lease")));
     assert_eq!((&sent["worker"], &sent["level"]), (&json!("w0"), &json!("DEBUG")));
     // Without a counter the even share decides, of a burst of eight: one of the first nine is refused.
-    let status = |i: usize| node.ask(&Ask::new(&format!("small-{i}")).with("X-Plan", "pieni")).status();
+    let status = |i: usize| {
+        node.request(&ClientRequest::new(&format!("small-{i}")).with_header("X-Plan", "pieni")).status()
+    };
     let at = (0..9).find(|i| status(*i) == 429).expect("a refusal");
     let refused = told(&node, "refused");
     assert_eq!((&refused["txn"], &refused["worker"]), (&json!(format!("small-{at}")), &Value::Null));
@@ -31,29 +33,31 @@
 
 #[test]
 fn the_log_is_text_without_requests_unless_the_configuration_says_otherwise() {
-    let worker = Worker::start(Does::Serves("here"));
-    let (mut setup, _discovery) = Setup::new(&[&worker]);
+    let worker = Worker::start(Behaviour::Respond("here"));
+    let (mut setup, _discovery) = NodeSetup::new(&[&worker]);
     let node = setup.start();
-    assert_eq!(node.ask(&Ask::new("quiet")).status(), 200);
+    assert_eq!(node.request(&ClientRequest::new("quiet")).status(), 200);
     setup.log = Some(json!({"form": "json", "level": "debug"}));
     node.reload(&setup.config().to_string());
     let line = node.log.recv_timeout(LIMIT).expect("the change is told");
     let line: Value = serde_json::from_str(&line).expect("from this line on as JSON, and none before");
     assert!(line["message"].as_str().is_some_and(|m| m.starts_with("configuration reloaded")), "{line}");
-    assert_eq!(node.ask(&Ask::new("loud")).status(), 200);
+    assert_eq!(node.request(&ClientRequest::new("loud")).status(), 200);
     assert_eq!(told(&node, "sent")["txn"], "loud");
     setup.log = Some(json!({"form": "text", "level": "info"}));
     node.reload(&setup.config().to_string());
-    assert!(node.says("configuration reloaded").starts_with("opalrun-gateway: configuration reloaded"));
+    assert!(
+        node.wait_for_log("configuration reloaded").starts_with("opalrun-gateway: configuration reloaded")
+    );
 }
 
 #[test]
 fn a_form_that_is_none_is_refused_with_its_key() {
-    let worker = Worker::start(Does::Serves("here"));
-    let (mut setup, _discovery) = Setup::new(&[&worker]);
+    let worker = Worker::start(Behaviour::Respond("here"));
+    let (mut setup, _discovery) = NodeSetup::new(&[&worker]);
     setup.log = Some(json!({"form": "xml"}));
-    let folder = folder();
-    let done = setup.run_text(&setup.config().to_string(), &folder);
+    let folder = create_temp_folder();
+    let done = setup.run_with_config_text(&setup.config().to_string(), &folder);
     assert!(!done.status.success());
     let said = String::from_utf8(done.stderr).expect("text");
     assert!(said.contains("log") && said.contains("xml"), "{said}");
@@ -78,17 +82,17 @@
 
 #[test]
 fn a_check_says_where_every_request_would_be_refused() {
-    let worker = Worker::start(Does::Serves("here"));
-    let (mut setup, _discovery) = Setup::new(&[&worker]);
+    let worker = Worker::start(Behaviour::Respond("here"));
+    let (mut setup, _discovery) = NodeSetup::new(&[&worker]);
     setup.settings["Classes"] = json!([]);
-    let folder = folder();
+    let folder = create_temp_folder();
     let file = folder.join("c.json");
     std::fs::write(&file, setup.config().to_string()).expect("a file");
     let done = call(env!("CARGO_BIN_EXE_opalrun-gateway"), &["--check", file.to_str().expect("text")]);
     let told: Value = serde_json::from_slice(&done.stdout).expect("JSON");
     assert_eq!(told["plan"]["notes"][0]["path"], "settings.Classes", "{told}");
     // It starts, as it always did, and says so.
-    let mut child = run(&setup.config().to_string());
+    let mut child = spawn_gateway(&setup.config().to_string());
     let log = std::io::BufReader::new(child.stderr.take().expect("piped"));
     let note = "opalrun-gateway: settings.Classes: is empty: every request is refused";
     assert!(std::io::BufRead::lines(log).map_while(Result::ok).any(|line| line == note));
--- a/crates/gateway/tests/fakes/mod.rs
+++ b/crates/gateway/tests/fakes/mod.rs
@@ -1,5 +1,5 @@
-//! What stands round the gateway in its tests: workers, a counter and discovery on loopback sockets, and the
-//! built program itself. All wait on events, with limits far beyond what any of it takes.
+//! Fake workers, counter and discovery on loopback sockets, and a runner for the built gateway program. Tests wait for
+//! events rather than sleep, with a time-out far above the duration of any step.
 #![allow(dead_code)]
 
 use serde_json::{Value, json};
@@ -19,10 +19,10 @@
     time::{Duration, Instant},
 };
 
-/// Nothing here takes nearly so long.
+/// Time-out of every wait for an event.
 pub const LIMIT: Duration = Duration::from_secs(30);
 
-/// One message: first line, headers by lower-case name, body.
+/// An HTTP message: start line, headers by lower-case name, body.
 #[derive(Debug, Clone, Default)]
 pub struct Message {
     pub line: String,
@@ -31,15 +31,17 @@
 }
 
 impl Message {
+    /// Status code of a response.
     pub fn status(&self) -> u16 {
         self.line.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status line")
     }
+    /// Value of the header `name` (in lower case); empty if absent.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
 }
 
-/// Reads one message; `None` at the end of the stream or when it breaks.
+/// Reads one message; `None` at the end of the stream or on a read error.
 pub fn read_message(from: &mut impl BufRead) -> Option<Message> {
     let mut message = Message::default();
     loop {
@@ -68,7 +70,7 @@
     (listener, addr)
 }
 
-/// Runs `serve` on a thread of its own for each connection, with the connection's number.
+/// Runs `serve` in a separate thread for each connection, with the connection's number, counted from 0.
 fn accept(listener: TcpListener, serve: impl Fn(TcpStream, usize) + Send + Sync + 'static) {
     let serve = Arc::new(serve);
     thread::spawn(move || {
@@ -81,28 +83,30 @@
 
 // ---- Workers ----
 
-/// What a worker does with a request.
+/// How a fake worker handles a request.
 #[derive(Clone)]
-pub enum Does {
-    Serves(&'static str),
-    /// Writes these bytes as they are.
-    Says(&'static str),
-    /// Closes without a word.
-    Resets,
-    /// Answers, then ends its sending without having said so.
-    ServesAndEnds,
-    /// Writes these bytes and closes.
-    SaysAndEnds(&'static str),
-    /// Answers; once the gate opens, it sends what nobody asked for.
-    ServesAndChatters(Arc<Gate>),
-    /// Keeps the request until the gateway ends the connection.
-    Holds,
-    /// Answers once the gate opens.
-    Waits(Arc<Gate>),
-    /// Closes once the gate opens.
-    WaitsAndResets(Arc<Gate>),
-}
-
+pub enum Behaviour {
+    /// Responds with status 200 and this body.
+    Respond(&'static str),
+    /// Sends these bytes unchanged and keeps the connection.
+    SendRaw(&'static str),
+    /// Closes the connection without responding.
+    Close,
+    /// Responds, then shuts down its write side without `Connection: close`.
+    RespondThenShutDownWrite,
+    /// Sends these bytes unchanged and closes the connection.
+    SendRawThenClose(&'static str),
+    /// Responds; once the gate opens, sends a second response without a request.
+    RespondThenSendUnsolicited(Arc<Gate>),
+    /// Never responds, and keeps the connection until the gateway closes it.
+    NeverRespond,
+    /// Responds once the gate opens.
+    RespondWhenOpened(Arc<Gate>),
+    /// Closes the connection once the gate opens.
+    CloseWhenOpened(Arc<Gate>),
+}
+
+/// A flag that threads wait for; once open it stays open.
 #[derive(Default)]
 pub struct Gate(Mutex<bool>, Condvar);
 
@@ -111,113 +115,125 @@
         *self.0.lock().expect("no panic inside") = true;
         self.1.notify_all();
     }
+    /// Waits until the gate is open, for [`LIMIT`] at most.
     pub fn wait(&self) {
         let guard = self.0.lock().expect("no panic inside");
         drop(self.1.wait_timeout_while(guard, LIMIT, |open| !*open).expect("no panic inside"));
     }
 }
 
-/// What a worker has seen.
+/// An event at a fake worker.
 #[derive(Debug)]
-pub enum Seen {
+pub enum WorkerEvent {
+    /// A request, with the number of its connection.
     Request(usize, Message),
-    /// The connection of this number has ended.
-    Ended(usize),
-    /// It has ended its sending on it.
-    Ending,
+    /// The connection of this number has been closed.
+    ConnectionClosed(usize),
+    /// The worker has shut down the write side of a connection.
+    WriteShutDown,
 }
 
+/// A fake worker.
 pub struct Worker {
     pub addr: SocketAddr,
-    pub seen: Receiver<Seen>,
-    does: Arc<Mutex<Does>>,
+    pub events: Receiver<WorkerEvent>,
+    behaviour: Arc<Mutex<Behaviour>>,
 }
 
 impl Worker {
-    pub fn start(does: Does) -> Self {
+    pub fn start(behaviour: Behaviour) -> Self {
         let (listener, addr) = listen();
-        let does = Arc::new(Mutex::new(does));
-        let (tell, seen) = channel();
-        let now = does.clone();
+        let behaviour = Arc::new(Mutex::new(behaviour));
+        let (event_sender, events) = channel();
+        let current = behaviour.clone();
         accept(listener, move |socket, number| {
-            worker(&socket, number, &now, &tell);
+            serve_connection(&socket, number, &current, &event_sender);
             drop(socket);
-            let _ = tell.send(Seen::Ended(number));
+            let _ = event_sender.send(WorkerEvent::ConnectionClosed(number));
         });
-        Self { addr, seen, does }
+        Self { addr, events, behaviour }
     }
 
-    /// One that closes each connection as soon as it has come.
-    pub fn slamming() -> Self {
+    /// Starts a worker that closes each connection as soon as it is accepted.
+    pub fn closing_on_accept() -> Self {
         let (listener, addr) = listen();
-        let (tell, seen) = channel();
+        let (event_sender, events) = channel();
         accept(listener, move |socket, number| {
             drop(socket);
-            let _ = tell.send(Seen::Ended(number));
+            let _ = event_sender.send(WorkerEvent::ConnectionClosed(number));
         });
-        Self { addr, seen, does: Arc::new(Mutex::new(Does::Resets)) }
+        Self { addr, events, behaviour: Arc::new(Mutex::new(Behaviour::Close)) }
     }
 
-    pub fn now(&self, does: Does) {
-        *self.does.lock().expect("no panic inside") = does;
+    /// Changes how the worker handles requests received from now on.
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
+        *self.behaviour.lock().expect("no panic inside") = behaviour;
     }
 
-    pub fn request(&self) -> (usize, Message) {
+    /// Waits for the next request; skips other events.
+    pub fn next_request(&self) -> (usize, Message) {
         loop {
-            if let Seen::Request(number, message) = self.seen.recv_timeout(LIMIT).expect("a request") {
+            if let WorkerEvent::Request(number, message) = self.events.recv_timeout(LIMIT).expect("a request")
+            {
                 return (number, message);
             }
         }
     }
 
-    pub fn wait_for(&self, wanted: impl Fn(&Seen) -> bool) {
-        while !wanted(&self.seen.recv_timeout(LIMIT).expect("the event")) {}
+    /// Waits for an event that satisfies `wanted`; skips all others.
+    pub fn wait_for_event(&self, wanted: impl Fn(&WorkerEvent) -> bool) {
+        while !wanted(&self.events.recv_timeout(LIMIT).expect("the event")) {}
     }
 
-    /// The requests seen and not yet taken by the calls above.
-    pub fn rest(&self) -> Vec<Message> {
-        let message = |seen| if let Seen::Request(_, m) = seen { Some(m) } else { None };
-        self.seen.try_iter().filter_map(message).collect()
+    /// Returns the requests received and not yet returned by the methods above, without waiting.
+    pub fn drain_requests(&self) -> Vec<Message> {
+        let message = |event| if let WorkerEvent::Request(_, m) = event { Some(m) } else { None };
+        self.events.try_iter().filter_map(message).collect()
     }
 }
 
-fn worker(mut socket: &TcpStream, number: usize, does: &Mutex<Does>, tell: &Sender<Seen>) {
+fn serve_connection(
+    mut socket: &TcpStream,
+    number: usize,
+    behaviour: &Mutex<Behaviour>,
+    events: &Sender<WorkerEvent>,
+) {
     let mut reader = BufReader::new(socket);
     while let Some(message) = read_message(&mut reader) {
-        let now = does.lock().expect("no panic inside").clone();
-        let _ = tell.send(Seen::Request(number, message));
+        let current = behaviour.lock().expect("no panic inside").clone();
+        let _ = events.send(WorkerEvent::Request(number, message));
         let ok = |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        let said = match now {
-            Does::Serves(body) => ok(body),
-            Does::Says(text) => text.to_owned(),
-            Does::Resets => return,
-            Does::ServesAndEnds => {
+        let response = match current {
+            Behaviour::Respond(body) => ok(body),
+            Behaviour::SendRaw(text) => text.to_owned(),
+            Behaviour::Close => return,
+            Behaviour::RespondThenShutDownWrite => {
                 let _ = socket.write_all(ok("last").as_bytes());
                 let _ = socket.shutdown(std::net::Shutdown::Write);
-                let _ = tell.send(Seen::Ending);
+                let _ = events.send(WorkerEvent::WriteShutDown);
                 let _ = socket.read(&mut [0]);
                 return;
             }
-            Does::SaysAndEnds(text) => {
+            Behaviour::SendRawThenClose(text) => {
                 let _ = socket.write_all(text.as_bytes());
                 return;
             }
-            Does::ServesAndChatters(gate) => {
+            Behaviour::RespondThenSendUnsolicited(gate) => {
                 let _ = socket.write_all(ok("first").as_bytes());
                 gate.wait();
                 "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray".to_owned()
             }
-            Does::Holds => {
+            Behaviour::NeverRespond => {
                 let _ = reader.read(&mut [0]);
                 return;
             }
-            Does::Waits(gate) => {
+            Behaviour::RespondWhenOpened(gate) => {
                 gate.wait();
                 ok("waited")
             }
-            Does::WaitsAndResets(gate) => return gate.wait(),
+            Behaviour::CloseWhenOpened(gate) => return gate.wait(),
         };
-        if socket.write_all(said.as_bytes()).is_err() {
+        if socket.write_all(response.as_bytes()).is_err() {
             return;
         }
     }
@@ -225,62 +241,67 @@
 
 // ---- The counter ----
 
-/// How the counter answers.
+/// How the fake counter answers.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Counts {
-    Well,
-    Never,
+pub enum CounterBehaviour {
+    Answer,
+    Silent,
+    /// Answers every call with "busy".
     Busy,
+    /// Answers every call with bytes that are not part of the protocol.
     Garbage,
-    /// On its first connection it answers the first call when a second has come, in their order.
-    FirstWaitsForSecond,
-    /// Never on its first connection, well on others.
-    FirstIsStuck,
+    /// On the first connection, answers the first call together with the second, in order.
+    HoldFirstUntilSecond,
+    /// Never answers on the first connection; answers on all others.
+    FirstConnectionSilent,
 }
 
+/// A fake counter service.
 pub struct Counter {
     pub addr: SocketAddr,
+    /// Connection number and text line of each call received, pings included.
     pub calls: Receiver<(usize, String)>,
-    counts: Arc<Mutex<BTreeMap<String, f64>>>,
+    /// Total by counter name.
+    totals: Arc<Mutex<BTreeMap<String, f64>>>,
 }
 
 impl Counter {
-    pub fn start(how: Counts) -> Self {
-        Self::with(how, 0.0)
+    pub fn start(behaviour: CounterBehaviour) -> Self {
+        Self::starting_at(behaviour, 0.0)
     }
 
-    /// The first name that is asked for stands at `first` already.
-    pub fn with(how: Counts, first: f64) -> Self {
+    /// Starts a counter on which the first name called has a total of `first_total` already.
+    pub fn starting_at(behaviour: CounterBehaviour, first_total: f64) -> Self {
         let (listener, addr) = listen();
-        let (tell, calls) = channel();
-        let counts = Arc::new(Mutex::new(BTreeMap::new()));
-        let kept = counts.clone();
+        let (call_sender, calls) = channel();
+        let totals = Arc::new(Mutex::new(BTreeMap::new()));
+        let shared_totals = totals.clone();
         accept(listener, move |mut socket, number| {
             let reader = BufReader::new(socket.try_clone().expect("a socket"));
             let mut answers: Vec<String> = Vec::new();
-            let mut called = 0;
+            let mut call_count = 0;
             for line in reader.lines().map_while(Result::ok) {
                 let words: Vec<&str> = line.split(' ').collect();
                 if words[0] == "ping" {
                     answers.push("pong".into());
                 } else {
-                    called += 1;
-                    let mut counts = kept.lock().expect("no panic inside");
-                    let start = if counts.is_empty() { first } else { 0.0 };
-                    let total = counts.entry(words[1].to_owned()).or_insert(start);
+                    call_count += 1;
+                    let mut totals = shared_totals.lock().expect("no panic inside");
+                    let start = if totals.is_empty() { first_total } else { 0.0 };
+                    let total = totals.entry(words[1].to_owned()).or_insert(start);
                     *total += words[2].parse::<f64>().expect("an amount");
-                    assert!(words[3].parse::<u64>().is_ok_and(|life| life >= 1), "a life in milliseconds");
-                    answers.push(match how {
-                        Counts::Busy => "busy".into(),
-                        Counts::Garbage => "\u{1}nonsense".into(),
+                    assert!(words[3].parse::<u64>().is_ok_and(|ttl| ttl >= 1), "a lifetime in milliseconds");
+                    answers.push(match behaviour {
+                        CounterBehaviour::Busy => "busy".into(),
+                        CounterBehaviour::Garbage => "\u{1}nonsense".into(),
                         _ => format!("ok {total}"),
                     });
                 }
-                let _ = tell.send((number, line.clone()));
-                let silent = match how {
-                    Counts::Never => true,
-                    Counts::FirstIsStuck => number == 0,
-                    Counts::FirstWaitsForSecond => number == 0 && called == 1,
+                let _ = call_sender.send((number, line.clone()));
+                let silent = match behaviour {
+                    CounterBehaviour::Silent => true,
+                    CounterBehaviour::FirstConnectionSilent => number == 0,
+                    CounterBehaviour::HoldFirstUntilSecond => number == 0 && call_count == 1,
                     _ => false,
                 };
                 if !silent {
@@ -289,11 +310,11 @@
                 }
             }
         });
-        Self { addr, calls, counts }
+        Self { addr, calls, totals }
     }
 
-    /// The next call, pings left out.
-    pub fn call(&self) -> (usize, String) {
+    /// Waits for the next call other than a ping; returns connection number and text line.
+    pub fn next_call(&self) -> (usize, String) {
         loop {
             let call = self.calls.recv_timeout(LIMIT).expect("a call");
             if call.1 != "ping" {
@@ -302,36 +323,44 @@
         }
     }
 
-    /// It has lost all counts.
-    pub fn empty(&self) {
-        self.counts.lock().expect("no panic inside").clear();
+    /// Removes all totals, as after a restart without stored data.
+    pub fn clear(&self) {
+        self.totals.lock().expect("no panic inside").clear();
     }
 
+    /// Sum of the totals of all names.
     pub fn total(&self) -> f64 {
-        self.counts.lock().expect("no panic inside").values().sum()
+        self.totals.lock().expect("no panic inside").values().sum()
     }
 }
 
 // ---- Discovery ----
 
-/// A list as it stands: each change has a version.
+/// The server list, and how the fake discovery answers.
 #[derive(Default)]
-struct Known {
+struct DiscoveryState {
+    /// Version of the list; incremented by every change.
     version: u64,
+    /// Entries, each with the version of its last change.
     entries: Vec<(u64, Value)>,
-    garbage: bool,
+    /// Responses carry truncated JSON.
+    malformed: bool,
+    /// Calls are not answered.
     silent: bool,
-    overbooked: bool,
+    /// Calls are answered with status 503.
+    unavailable: bool,
 }
 
+/// A fake discovery service.
 pub struct Discovery {
     pub addr: SocketAddr,
-    /// The version that each watch starts from.
+    /// The version that each call asks for changes from; 0 if the call asks for the full list.
     watches: Receiver<u64>,
-    known: Arc<(Mutex<Known>, Condvar)>,
+    state: Arc<(Mutex<DiscoveryState>, Condvar)>,
 }
 
-pub fn entry(id: &str, addr: SocketAddr, state: &str) -> Value {
+/// A discovery entry in zone "hall-a" for a worker at `addr`.
+pub fn discovery_entry(id: &str, addr: SocketAddr, state: &str) -> Value {
     json!({"id": id, "addr": addr.to_string(), "zone": "hall-a", "kind": "k", "cell": 1, "state": state,
         "weight": 1.0, "started_ms": 0})
 }
@@ -339,93 +368,99 @@
 impl Discovery {
     pub fn start(entries: &[Value]) -> Self {
         let (listener, addr) = listen();
-        let known = Arc::new((Mutex::new(Known::default()), Condvar::new()));
-        let (tell, watches) = channel();
-        let shared = known.clone();
+        let state = Arc::new((Mutex::new(DiscoveryState::default()), Condvar::new()));
+        let (watch_sender, watches) = channel();
+        let shared = state.clone();
         accept(listener, move |mut socket, _| {
             let mut reader = BufReader::new(socket.try_clone().expect("a socket"));
             while let Some(message) = read_message(&mut reader) {
                 let from = message.line.split_once("from=").map(|(_, rest)| {
                     rest.split(['&', ' ']).next().and_then(|v| v.parse::<u64>().ok()).expect("a version")
                 });
-                let _ = tell.send(from.unwrap_or(0));
-                let (known, changed) = &*shared;
-                let guard = known.lock().expect("no panic inside");
-                // Held for a second at most, whatever was asked: a shorter wait is allowed.
-                let wait =
-                    |k: &mut Known| k.silent || (!k.garbage && !k.overbooked && from == Some(k.version));
-                let (known, _) =
+                let _ = watch_sender.send(from.unwrap_or(0));
+                let (state, changed) = &*shared;
+                let guard = state.lock().expect("no panic inside");
+                // Waits 1 s at most: the protocol allows a shorter wait than the call asks for.
+                let wait = |state: &mut DiscoveryState| {
+                    state.silent || (!state.malformed && !state.unavailable && from == Some(state.version))
+                };
+                let (state, _) =
                     changed.wait_timeout_while(guard, Duration::from_secs(1), wait).expect("no panic inside");
-                if known.silent {
-                    drop(known);
+                if state.silent {
+                    drop(state);
                     let _ = reader.read(&mut [0]);
                     return;
                 }
-                if known.overbooked {
-                    drop(known);
+                if state.unavailable {
+                    drop(state);
                     let _ =
                         socket.write_all(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
                     continue;
                 }
-                let newer = known.entries.iter().filter(|(v, _)| from.is_none_or(|from| *v > from));
+                let newer = state.entries.iter().filter(|(v, _)| from.is_none_or(|from| *v > from));
                 let servers: Vec<&Value> = newer.map(|(_, e)| e).collect();
-                let list = json!({"version": known.version, "full": from.is_none(), "servers": servers});
-                let body = if known.garbage { "{\"version\":".to_owned() } else { list.to_string() };
-                drop(known);
-                let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-                let _ = socket.write_all(answer.as_bytes());
+                let list = json!({"version": state.version, "full": from.is_none(), "servers": servers});
+                let body = if state.malformed { "{\"version\":".to_owned() } else { list.to_string() };
+                drop(state);
+                let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+                let _ = socket.write_all(response.as_bytes());
             }
         });
-        let discovery = Self { addr, watches, known };
+        let discovery = Self { addr, watches, state };
         for entry in entries {
-            discovery.change(entry.clone());
+            discovery.upsert(entry.clone());
         }
         discovery
     }
 
-    fn with(&self, change: impl FnOnce(&mut Known)) {
-        change(&mut self.known.0.lock().expect("no panic inside"));
-        self.known.1.notify_all();
+    fn modify(&self, change: impl FnOnce(&mut DiscoveryState)) {
+        change(&mut self.state.0.lock().expect("no panic inside"));
+        self.state.1.notify_all();
     }
 
-    /// Adds or changes an entry; the list's new version.
-    pub fn change(&self, entry: Value) -> u64 {
+    /// Inserts or replaces an entry; returns the list's new version.
+    pub fn upsert(&self, entry: Value) -> u64 {
         let mut version = 0;
-        self.with(|k| {
-            k.version += 1;
-            version = k.version;
-            k.entries.retain(|(_, e)| e["id"] != entry["id"]);
-            k.entries.push((version, entry));
+        self.modify(|state| {
+            state.version += 1;
+            version = state.version;
+            state.entries.retain(|(_, e)| e["id"] != entry["id"]);
+            state.entries.push((version, entry));
         });
         version
     }
 
-    pub fn garbage(&self, on: bool) {
-        self.with(|k| k.garbage = on);
+    /// Answers calls with truncated JSON, or no longer.
+    pub fn set_malformed(&self, on: bool) {
+        self.modify(|state| state.malformed = on);
     }
 
-    pub fn silent(&self, on: bool) {
-        self.with(|k| k.silent = on);
+    /// Leaves calls unanswered, or no longer.
+    pub fn set_silent(&self, on: bool) {
+        self.modify(|state| state.silent = on);
     }
 
-    pub fn overbooked(&self, on: bool) {
-        self.with(|k| k.overbooked = on);
+    /// Answers calls with status 503, or no longer.
+    pub fn set_unavailable(&self, on: bool) {
+        self.modify(|state| state.unavailable = on);
     }
 
-    /// Waits until the gateway watches from `version`: it has taken in all before.
-    pub fn told(&self, version: u64) {
+    /// Waits for a call that asks for changes from `version` or later: the gateway has then applied the list up to
+    /// that version.
+    pub fn wait_for_watch_from(&self, version: u64) {
         while self.watches.recv_timeout(LIMIT).expect("a watch") < version {}
     }
 
-    /// Waits for one more call of any kind.
-    pub fn called(&self) -> u64 {
+    /// Waits for the next call; returns the version it asks for changes from, 0 for the full list.
+    pub fn next_watch(&self) -> u64 {
         self.watches.recv_timeout(LIMIT).expect("a call")
     }
 }
 
 // ---- The program ----
 
-/// Settings with one safe class, one unsafe one, a plan without a rate and one with a small burst.
+/// Settings with an idempotent class, a class of at most one attempt, a plan without a quota, and the plan "pieni" with
+/// a quota of 0.01 units/s and a burst of 8.
 pub fn settings() -> Value {
     json!({
         "Classes": [
@@ -444,25 +479,27 @@
     })
 }
 
-static NUMBERS: AtomicU64 = AtomicU64::new(1);
+/// Number of the next temporary file.
+static NEXT_FILE: AtomicU64 = AtomicU64::new(1);
 
 fn config_file() -> PathBuf {
-    let number = NUMBERS.fetch_add(1, Ordering::Relaxed);
+    let number = NEXT_FILE.fetch_add(1, Ordering::Relaxed);
     std::env::temp_dir().join(format!("opalrun-gateway-test-{}-{number}.json", std::process::id()))
 }
 
-/// An empty folder of a test's own.
-pub fn folder() -> PathBuf {
+/// Creates an empty temporary folder with a unique name.
+pub fn create_temp_folder() -> PathBuf {
     let folder = config_file().with_extension("d");
     std::fs::create_dir(&folder).expect("a writable folder for temporary files");
     folder
 }
 
-pub fn run(config: &str) -> Child {
-    run_with(&config_file(), config)
+/// Starts the gateway with `config` as its configuration.
+pub fn spawn_gateway(config: &str) -> Child {
+    spawn_gateway_with_file(&config_file(), config)
 }
 
-fn run_with(path: &Path, config: &str) -> Child {
+fn spawn_gateway_with_file(path: &Path, config: &str) -> Child {
     std::fs::write(path, config).expect("a writable folder for temporary files");
     Command::new(env!("CARGO_BIN_EXE_opalrun-gateway"))
         .env("NODE_CONFIG", path)
@@ -472,55 +509,63 @@
         .expect("the program starts")
 }
 
+/// A running gateway process; killed when dropped.
 pub struct Node {
     pub addr: SocketAddr,
-    /// Where it takes the operators' calls; port 0: nowhere.
-    pub admin: SocketAddr,
+    /// Address of the admin API; port 0 if it is off.
+    pub admin_addr: SocketAddr,
     pub child: Child,
+    /// Lines of the process's log.
     pub log: Receiver<String>,
     config: PathBuf,
 }
 
-/// What a node is started with; the fields stand at what most tests want.
-pub struct Setup {
+/// The configuration that a node is started with; [`NodeSetup::new`] sets what most tests need.
+pub struct NodeSetup {
     pub name: String,
     pub settings: Value,
-    pub known: Vec<Value>,
-    /// The version of that list.
-    pub version: u64,
+    /// The server list in the configuration file (its key `known`).
+    pub initial_servers: Vec<Value>,
+    /// Version of that list.
+    pub initial_version: u64,
     pub discovery: SocketAddr,
     pub counter: Option<SocketAddr>,
-    pub sockets: usize,
-    /// It has a second address.
-    pub admin: bool,
+    /// The configured limit of open descriptors.
+    pub max_sockets: usize,
+    /// Whether the admin API listens, on an address of its own.
+    pub has_admin_api: bool,
+    /// Trial period of configuration changes; `None` if they have none.
     pub trial: Option<Value>,
-    /// Where the last good configuration is kept.
-    pub state: Option<PathBuf>,
-    /// How the log is written.
+    /// Folder of the journal and of the last good configuration.
+    pub state_folder: Option<PathBuf>,
+    /// Format and level of the log.
     pub log: Option<Value>,
-    /// The other gateways.
+    /// The fleet's other gateways and this one's place among them.
     pub fleet: Option<Value>,
 }
 
-impl Setup {
-    /// Workers `w0`, `w1` and so on, as known at the start and as `discovery` has them.
+impl NodeSetup {
+    /// A setup with `workers` as `w0`, `w1` and so on, both in the initial list and in the returned discovery.
     pub fn new(workers: &[&Worker]) -> (Self, Discovery) {
-        let entries: Vec<Value> =
-            workers.iter().enumerate().map(|(i, w)| entry(&format!("w{i}"), w.addr, "SERVING")).collect();
+        let entries: Vec<Value> = workers
+            .iter()
+            .enumerate()
+            .map(|(i, w)| discovery_entry(&format!("w{i}"), w.addr, "SERVING"))
+            .collect();
         let discovery = Discovery::start(&entries);
         let addr = discovery.addr;
         (
             Self {
                 name: "n0".into(),
                 settings: settings(),
-                known: entries,
-                version: 0,
+                initial_servers: entries,
+                initial_version: 0,
                 discovery: addr,
                 counter: None,
-                sockets: 256,
-                admin: false,
+                max_sockets: 256,
+                has_admin_api: false,
                 trial: None,
-                state: None,
+                state_folder: None,
                 log: None,
                 fleet: None,
             },
@@ -528,15 +573,17 @@
         )
     }
 
+    /// The configuration file's content.
     pub fn config(&self) -> Value {
-        let admin = self.admin.then_some("127.0.0.1:0");
+        let admin = self.has_admin_api.then_some("127.0.0.1:0");
         let mut config = json!({
             "name": self.name, "admin": admin, "listen": "127.0.0.1:0", "discovery": self.discovery.to_string(),
             "seed": "8c1f30d27a5be964", "counter": self.counter.map(|c| c.to_string()),
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.sockets},
-            "known": {"version": self.version, "full": true, "servers": self.known}, "settings": self.settings,
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.max_sockets},
+            "known": {"version": self.initial_version, "full": true, "servers": self.initial_servers},
+            "settings": self.settings,
         });
-        let state = self.state.as_ref().map(|s| json!(s));
+        let state = self.state_folder.as_ref().map(|s| json!(s));
         let (log, fleet) = (self.log.clone(), self.fleet.clone());
         let extra = [("trial", self.trial.clone()), ("state", state), ("log", log), ("fleet", fleet)];
         for (key, value) in extra.into_iter().filter_map(|(key, value)| Some((key, value?))) {
@@ -545,6 +592,7 @@
         config
     }
 
+    /// Writes `text` to a configuration file; returns the command to start with it, and the file.
     fn command(text: &str, state: &Path) -> (Command, PathBuf) {
         let config = config_file();
         std::fs::write(&config, text).expect("a writable folder for temporary files");
@@ -554,22 +602,23 @@
         (command, config)
     }
 
-    /// Starts it with a file of `text` where `state` keeps the last good one.
-    pub fn start_text(&self, text: &str, state: &Path) -> Node {
+    /// Starts the gateway with `text` as its configuration file and `state` as its state folder.
+    pub fn start_with_config_text(&self, text: &str, state: &Path) -> Node {
         let (mut command, config) = Self::command(text, state);
         let child = command.spawn().expect("the program starts");
         self.node(child, config)
     }
 
-    /// The same, to its end, which is to come at once.
-    pub fn run_text(&self, text: &str, state: &Path) -> std::process::Output {
+    /// Starts the gateway as [`NodeSetup::start_with_config_text`] does and waits for it to exit; panics if it
+    /// is still running after [`LIMIT`].
+    pub fn run_with_config_text(&self, text: &str, state: &Path) -> std::process::Output {
         let mut child =
             Self::command(text, state).0.stdout(Stdio::piped()).spawn().expect("the program starts");
         let start = Instant::now();
         while child.try_wait().expect("its own child").is_none() {
             if start.elapsed() > LIMIT {
                 child.kill().expect("its own child");
-                panic!("it serves instead of ending");
+                panic!("the gateway serves instead of exiting");
             }
             thread::sleep(Duration::from_millis(5));
         }
@@ -578,16 +627,16 @@
 
     pub fn start(&self) -> Node {
         let config = config_file();
-        let child = run_with(&config, &self.config().to_string());
+        let child = spawn_gateway_with_file(&config, &self.config().to_string());
         self.node(child, config)
     }
 
-    /// Starts it where the system gives it `most` descriptors, whatever the configuration says.
-    pub fn start_within(&self, most: usize) -> Node {
+    /// Starts the gateway under a system limit of `limit` descriptors, whatever limit its configuration sets.
+    pub fn start_with_descriptor_limit(&self, limit: usize) -> Node {
         let config = config_file();
         std::fs::write(&config, self.config().to_string()).expect("a writable folder for temporary files");
         let child = Command::new("sh")
-            .args(["-c", &format!("ulimit -n {most}; exec \"$0\""), env!("CARGO_BIN_EXE_opalrun-gateway")])
+            .args(["-c", &format!("ulimit -n {limit}; exec \"$0\""), env!("CARGO_BIN_EXE_opalrun-gateway")])
             .env("NODE_CONFIG", &config)
             .stdin(Stdio::null())
             .stderr(Stdio::piped())
@@ -596,8 +645,8 @@
         self.node(child, config)
     }
 
-    /// Starts it with `listener` as its inherited descriptor 4 and `folder` as its `$TMPDIR`.
-    pub fn start_on(&self, listener: &TcpListener, folder: &Path) -> Node {
+    /// Starts the gateway with `listener` as its inherited descriptor 4 and `folder` as its `$TMPDIR`.
+    pub fn start_on_listener(&self, listener: &TcpListener, folder: &Path) -> Node {
         let config = config_file();
         std::fs::write(&config, self.config().to_string()).expect("a writable folder for temporary files");
         let listener = listener.try_clone().expect("a descriptor");
@@ -613,29 +662,32 @@
         self.node(child, config)
     }
 
+    /// Waits until the process logs the addresses it listens on.
     fn node(&self, mut child: Child, config: PathBuf) -> Node {
         let stderr = BufReader::new(child.stderr.take().expect("piped"));
-        let (tell, log) = channel();
-        thread::spawn(move || stderr.lines().map_while(Result::ok).for_each(|line| drop(tell.send(line))));
-        let nowhere = "127.0.0.1:0".parse().expect("an address");
-        let mut node = Node { addr: nowhere, admin: nowhere, child, log, config };
-        // The log may be JSON.
-        let at = |line: String| {
+        let (line_sender, log) = channel();
+        thread::spawn(move || {
+            stderr.lines().map_while(Result::ok).for_each(|line| drop(line_sender.send(line)));
+        });
+        let unset = "127.0.0.1:0".parse().expect("an address");
+        let mut node = Node { addr: unset, admin_addr: unset, child, log, config };
+        // The address is the last word of the message, which a JSON log ends with a quote and a brace.
+        let address_in = |line: String| {
             let last = line.trim_end_matches(['"', '}']).rsplit(' ').next();
             last.and_then(|a| a.parse().ok()).expect("an address")
         };
-        if self.admin {
-            node.admin = at(node.says("serves the admin API on "));
+        if self.has_admin_api {
+            node.admin_addr = address_in(node.wait_for_log("serves the admin API on "));
         }
-        let line = node.says("listens on ");
-        node.addr = at(line);
+        let line = node.wait_for_log("listens on ");
+        node.addr = address_in(line);
         node
     }
 }
 
 impl Node {
-    /// Waits for a line of the log that holds `text`.
-    pub fn says(&self, text: &str) -> String {
+    /// Waits for a log line that contains `text`; discards the lines before it.
+    pub fn wait_for_log(&self, text: &str) -> String {
         loop {
             let line = self.log.recv_timeout(LIMIT).expect("the line");
             if line.contains(text) {
@@ -650,13 +702,14 @@
         assert!(sent.success());
     }
 
-    /// Stops it as it stands. What happens until [`Node::resume`] it meets all at once.
+    /// Stops the process with SIGSTOP and waits until it has stopped. It handles whatever happens until
+    /// [`Node::resume`] in one go.
     pub fn pause(&self) {
         self.signal("-STOP");
         let start = Instant::now();
         let stat = || std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).expect("a process");
         while !stat().rsplit(") ").next().is_some_and(|rest| rest.starts_with('T')) {
-            assert!(start.elapsed() < LIMIT, "it does not stop");
+            assert!(start.elapsed() < LIMIT, "the process does not stop");
             thread::yield_now();
         }
     }
@@ -669,67 +722,67 @@
         self.signal("-TERM");
     }
 
-    /// Puts `config` in the place of its configuration and tells it so.
+    /// Replaces the configuration file and signals the process to reload it.
     pub fn reload(&self, config: &str) {
-        self.put(config);
-        self.hang_up();
+        self.replace_config(config);
+        self.send_sighup();
     }
 
-    /// Puts `config` in the place of its configuration, as whoever replaces a file in use should.
-    pub fn put(&self, config: &str) {
-        let aside = self.config.with_extension("new");
-        std::fs::write(&aside, config).expect("a writable folder for temporary files");
-        std::fs::rename(&aside, &self.config).expect("the file it was started with");
+    /// Replaces the configuration file atomically, by writing a new file and renaming it.
+    pub fn replace_config(&self, config: &str) {
+        let new_file = self.config.with_extension("new");
+        std::fs::write(&new_file, config).expect("a writable folder for temporary files");
+        std::fs::rename(&new_file, &self.config).expect("the file the gateway was started with");
     }
 
-    pub fn hang_up(&self) {
+    pub fn send_sighup(&self) {
         self.signal("-HUP");
     }
 
-    /// Its configuration's file.
-    pub fn config(&self) -> &Path {
+    pub fn config_path(&self) -> &Path {
         &self.config
     }
 
-    pub fn exit(&mut self) -> ExitStatus {
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         let start = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().expect("a child") {
                 return status;
             }
-            assert!(start.elapsed() < LIMIT, "it does not end");
+            assert!(start.elapsed() < LIMIT, "the process does not exit");
             thread::sleep(Duration::from_millis(10));
         }
     }
 
-    pub fn client(&self) -> Client {
-        Client::to(self.addr)
+    /// Opens a client connection.
+    pub fn connect(&self) -> Client {
+        Client::connect(self.addr)
     }
 
-    /// One of the operators' calls; the answer's status.
-    pub fn call(&self, line: &str) -> u16 {
-        self.called(line).status()
+    /// Calls the admin API with `line` (method and path); returns the response's status.
+    pub fn admin_status(&self, line: &str) -> u16 {
+        self.admin_call(line).status()
     }
 
-    /// One of the operators' calls; its answer.
-    pub fn called(&self, line: &str) -> Message {
-        let mut socket = TcpStream::connect(self.admin).expect("it listens");
+    /// Calls the admin API with `line` (method and path); returns the response.
+    pub fn admin_call(&self, line: &str) -> Message {
+        let mut socket = TcpStream::connect(self.admin_addr).expect("the admin API listens");
         socket.set_read_timeout(Some(LIMIT)).expect("a socket");
         write!(socket, "{line} HTTP/1.1\r\nHost: n0\r\n\r\n").expect("a socket");
         read_message(&mut BufReader::new(socket)).expect("an answer")
     }
 
-    /// What it tells at `GET /control/` and `name`.
+    /// The JSON response of `GET /control/{name}`.
     pub fn report(&self, name: &str) -> Value {
-        serde_json::from_slice(&self.called(&format!("GET /control/{name}")).body).expect("JSON")
+        serde_json::from_slice(&self.admin_call(&format!("GET /control/{name}")).body).expect("JSON")
     }
 
-    /// The same, once `fits` it; the rest changes meanwhile.
-    pub fn until(&self, name: &str, fits: impl Fn(&Value) -> bool) -> Value {
+    /// Polls [`Node::report`] until the report satisfies `condition`, and returns it.
+    pub fn wait_for_report(&self, name: &str, condition: impl Fn(&Value) -> bool) -> Value {
         let start = Instant::now();
         loop {
             let report = self.report(name);
-            if fits(&report) {
+            if condition(&report) {
                 return report;
             }
             assert!(start.elapsed() < LIMIT, "still {report}");
@@ -737,23 +790,24 @@
         }
     }
 
-    /// What it tells of the pool of the worker `id`, once `fits` it.
-    pub fn pool(&self, id: &str, fits: impl Fn(&Value) -> bool) -> Value {
+    /// Polls the report of the connection pool of the worker `id` until it satisfies `condition`, and returns it.
+    pub fn wait_for_pool(&self, id: &str, condition: impl Fn(&Value) -> bool) -> Value {
         let find = |report: &Value| {
             let pools = report["workers"].as_array().expect("a list");
-            pools.iter().find(|p| p["id"] == id).filter(|p| fits(p)).cloned()
+            pools.iter().find(|p| p["id"] == id).filter(|p| condition(p)).cloned()
         };
-        find(&self.until("pools", |report| find(report).is_some())).expect("it fitted")
+        find(&self.wait_for_report("pools", |report| find(report).is_some()))
+            .expect("the pool was just found")
     }
 
-    /// Descriptors that it holds.
-    pub fn descriptors(&self) -> usize {
+    /// Number of open descriptors of the process.
+    pub fn descriptor_count(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("a process").count()
     }
 
-    /// One request on a connection of its own.
-    pub fn ask(&self, ask: &Ask) -> Message {
-        self.client().ask(ask)
+    /// Sends one request on a new connection and returns the response.
+    pub fn request(&self, request: &ClientRequest) -> Message {
+        self.connect().request(request)
     }
 }
 
@@ -764,19 +818,22 @@
     }
 }
 
+/// A client connection to a gateway.
 pub struct Client {
     pub reader: BufReader<TcpStream>,
 }
 
-/// A request; the default is a plain good one.
+/// A client's HTTP request.
 #[derive(Clone)]
-pub struct Ask {
+pub struct ClientRequest {
+    /// Request line.
     pub line: String,
     pub headers: Vec<(&'static str, String)>,
     pub body: Vec<u8>,
 }
 
-impl Ask {
+impl ClientRequest {
+    /// A valid request of the idempotent class, without a body.
     pub fn new(txn: &str) -> Self {
         let headers = vec![
             ("Host", "backend.local".to_owned()),
@@ -790,25 +847,27 @@
         Self { line: "GET /check-answer HTTP/1.1".into(), headers, body: Vec::new() }
     }
 
-    /// The same for the unsafe class.
+    /// A valid request of the class that allows at most one attempt, with a body.
     pub fn submit(txn: &str) -> Self {
-        let mut ask = Self::new(txn).with("X-Lane", "submit");
-        ask.line = "POST /submit HTTP/1.1".into();
-        ask.body = b"answer".to_vec();
-        ask
+        let mut request = Self::new(txn).with_header("X-Lane", "submit");
+        request.line = "POST /submit HTTP/1.1".into();
+        request.body = b"answer".to_vec();
+        request
     }
 
-    pub fn with(mut self, name: &'static str, value: &str) -> Self {
+    /// Adds the header, or replaces its value.
+    pub fn with_header(mut self, name: &'static str, value: &str) -> Self {
         self.headers.retain(|(n, _)| *n != name);
         self.headers.push((name, value.to_owned()));
         self
     }
 
-    pub fn without(mut self, name: &str) -> Self {
+    pub fn without_header(mut self, name: &str) -> Self {
         self.headers.retain(|(n, _)| *n != name);
         self
     }
 
+    /// The request as sent, with a `Content-Length` for its body unless its headers frame it already.
     pub fn bytes(&self) -> Vec<u8> {
         let mut text = format!("{}\r\n", self.line);
         self.headers.iter().for_each(|(n, v)| text += &format!("{n}: {v}\r\n"));
@@ -823,23 +882,25 @@
 }
 
 impl Client {
-    pub fn to(addr: SocketAddr) -> Self {
-        let socket = TcpStream::connect(addr).expect("it listens");
+    pub fn connect(addr: SocketAddr) -> Self {
+        let socket = TcpStream::connect(addr).expect("the gateway listens");
         socket.set_read_timeout(Some(LIMIT)).expect("a socket");
         Self { reader: BufReader::new(socket) }
     }
 
-    pub fn send(&mut self, ask: &Ask) {
-        // The gateway may answer and close before it has read all of what is too long.
-        let _ = self.reader.get_mut().write_all(&ask.bytes());
+    pub fn send(&mut self, request: &ClientRequest) {
+        // A write error is no failure: the gateway may respond and close before it has read a request that is too long.
+        let _ = self.reader.get_mut().write_all(&request.bytes());
     }
 
-    pub fn answer(&mut self) -> Option<Message> {
+    /// Reads one response; `None` if the connection ends before it is complete.
+    pub fn read_response(&mut self) -> Option<Message> {
         read_message(&mut self.reader)
     }
 
-    pub fn ask(&mut self, ask: &Ask) -> Message {
-        self.send(ask);
-        self.answer().expect("a whole answer")
+    /// Sends one request and returns the response.
+    pub fn request(&mut self, request: &ClientRequest) -> Message {
+        self.send(request);
+        self.read_response().expect("a complete response")
     }
 }
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -5,13 +5,13 @@
 use opalrun_gateway::*;
 use std::collections::BTreeSet;
 
-fn fleet(n: u32, settings: &Settings, servers: &[Server]) -> Vec<Rig> {
+fn fleet(n: u32, settings: &Settings, servers: &[Server]) -> Vec<Harness> {
     let rig = |me: u32| {
         let mut s = settings.clone();
         (s.gateway_index, s.gateway_count) = (me, n);
         let gateway = Gateway::new(s, u64::from(me) * 7919 + 1).expect("usable settings");
-        let mut rig = Rig { gateway, now: 100.0, actions: Vec::new() };
-        rig.list(ListKind::Stale, servers.to_vec());
+        let mut rig = Harness { gateway, now: 100.0, actions: Vec::new() };
+        rig.update_servers(ListKind::Stale, servers.to_vec());
         rig
     };
     (0..n).map(rig).collect()
@@ -22,12 +22,12 @@
 }
 
 /// One request through `rig`, answered in 50 ms if sent; the server it went to.
-fn one(rig: &mut Rig, job: &str, spread: u32) -> Option<ServerId> {
+fn one(rig: &mut Harness, job: &str, spread: u32) -> Option<ServerId> {
     let mut request = request(job, rig.now);
     request.spread = spread;
-    let out = rig.event(Event::Request(request));
-    let (job, server) = sends(&out).pop()?;
-    rig.outcome(&job, 0, &server, Status::Ok);
+    let out = rig.handle_event(Event::Request(request));
+    let (job, server) = sent_attempts(&out).pop()?;
+    rig.attempt_ended(&job, 0, &server, Status::Ok);
     Some(server)
 }
 
@@ -44,7 +44,7 @@
         for (i, rig) in rigs.iter_mut().enumerate() {
             rig.now = now;
             if step == 70 {
-                rig.list(ListKind::Changes, vec![server("s000", Lifecycle::Running, now)]);
+                rig.update_servers(ListKind::Changes, vec![server("s000", Lifecycle::Running, now)]);
             }
             if (i + step as usize).is_multiple_of(5) {
                 let server = one(rig, &format!("{i}-{step}"), n);
@@ -72,7 +72,7 @@
             rig.now = now;
             if step == 500 {
                 let cold = servers(count / 2).into_iter().map(|s| Server { started: now, ..s });
-                rig.list(ListKind::Changes, cold.collect());
+                rig.update_servers(ListKind::Changes, cold.collect());
             }
             if (i + step as usize).is_multiple_of(10) {
                 let server = one(rig, &format!("{i}-{step}"), n);
@@ -129,17 +129,17 @@
 fn refused_when_lost(lost: usize) -> usize {
     let mut s = settings();
     (s.plans, s.gateway_count) = (vec![Plan::default()], 20);
-    let mut rig = Rig::new(s);
+    let mut rig = Harness::new(s);
     let mut total = 0;
     for i in 0..300 {
         rig.now += 0.1;
-        let out = rig.ask(&format!("j{i}"));
-        total += refused(&out);
-        for (job, server) in sends(&out) {
+        let out = rig.request(&format!("j{i}"));
+        total += refused_count(&out);
+        for (job, server) in sent_attempts(&out) {
             let (status, spent) = if i * 3 % 10 < lost { (Status::Timeout, 1.0) } else { (Status::Ok, 0.03) };
             let over = status == Status::Ok;
             let load = Load::default();
-            rig.event(Event::AttemptEnded {
+            rig.handle_event(Event::AttemptEnded {
                 job,
                 attempt: 0,
                 server,
@@ -167,12 +167,12 @@
     let sent_after = |answers: &[f64]| {
         let mut s = settings();
         s.plans[0].rate = 0.0; // No quota: the fleet alone decides.
-        let mut rig = Rig::new(s);
+        let mut rig = Harness::new(s);
         for (i, &spent) in answers.iter().enumerate() {
             rig.now += 0.05;
-            for (job, server) in sends(&rig.ask(&format!("a{i}"))) {
+            for (job, server) in sent_attempts(&rig.request(&format!("a{i}"))) {
                 let (attempt, status, over, settled, load) = (0, Status::Ok, true, None, Load::default());
-                rig.event(Event::AttemptEnded {
+                rig.handle_event(Event::AttemptEnded {
                     job,
                     attempt,
                     server,
@@ -184,7 +184,7 @@
                 });
             }
         }
-        (0..6).map(|i| sends(&rig.ask(&format!("b{i}"))).len()).sum::<usize>()
+        (0..6).map(|i| sent_attempts(&rig.request(&format!("b{i}"))).len()).sum::<usize>()
     };
     assert_eq!(sent_after(&[0.15; 40]), 6, "as long as ever: nothing waits");
     assert!(sent_after(&[[0.15; 40], [0.6; 40]].concat()) < 6, "four times as long: much waits");
@@ -194,7 +194,7 @@
 fn a_server_out_by_hand_stays_out_whatever_the_list_and_is_cold_when_back() {
     let mut free = settings();
     free.plans = vec![Plan::default()];
-    let mut rig = Rig::new(free);
+    let mut rig = Harness::new(free);
     assert!(!rig.gateway.set_offline(rig.now, "nonesuch", true), "never listed");
     assert!(!rig.gateway.set_offline(rig.now, "nonesuch", false));
     for id in ["a", "b"] {
@@ -204,19 +204,19 @@
     for (lifecycle, started) in
         [(Lifecycle::Running, 99.0), (Lifecycle::Draining, 99.0), (Lifecycle::Running, 99.5)]
     {
-        rig.list(ListKind::Changes, vec![server("a", lifecycle, started)]);
+        rig.update_servers(ListKind::Changes, vec![server("a", lifecycle, started)]);
     }
     for i in 0..6 {
-        assert!(sends(&rig.ask(&format!("j{i}"))).iter().all(|(_, s)| &**s == "c"));
+        assert!(sent_attempts(&rig.request(&format!("j{i}"))).iter().all(|(_, s)| &**s == "c"));
     }
     assert!(rig.gateway.set_offline(rig.now, "a", false), "one call back ends it");
     assert!(rig.gateway.set_offline(rig.now, "c", false), "one that is not out is left as it is");
     let mut used = std::collections::BTreeMap::<_, u32>::new();
     for i in 0..60 {
         rig.now += 0.05;
-        for (job, server) in sends(&rig.ask(&format!("k{i}"))) {
+        for (job, server) in sent_attempts(&rig.request(&format!("k{i}"))) {
             *used.entry(server.to_string()).or_default() += 1;
-            rig.outcome(&job, 0, &server, Status::Ok);
+            rig.attempt_ended(&job, 0, &server, Status::Ok);
         }
     }
     assert!(used.get("a").is_some_and(|n| *n * 2 < used["c"]), "used, but as a cold one: {used:?}");
@@ -234,7 +234,7 @@
         // All of them are cold from 5 s on, and never get to be warm.
         if step > 0 && step % 100 == 0 {
             let now = rig.now;
-            rig.list(
+            rig.update_servers(
                 ListKind::Full,
                 (0..3).map(|i| server(&format!("s{i:03}"), Lifecycle::Running, now)).collect(),
             );
@@ -257,16 +257,16 @@
             rig.now += 0.05;
             one(&mut rig, &format!("warm{i}"), 1);
         }
-        let begins = |rig: &mut Rig, job: &str| sends(&rig.ask(job)).remove(0).1;
+        let begins = |rig: &mut Harness, job: &str| sent_attempts(&rig.request(job)).remove(0).1;
         let server = begins(&mut rig, "had");
         if !lived {
-            rig.outcome("had", 0, &server, Status::Reset);
+            rig.attempt_ended("had", 0, &server, Status::Reset);
         }
         begins(&mut rig, "fails");
-        rig.outcome("fails", 0, &server, Status::ConnectFailed);
+        rig.attempt_ended("fails", 0, &server, Status::ConnectFailed);
         if lived {
             rig.now += 0.1;
-            rig.outcome("had", 0, &server, Status::Ok);
+            rig.attempt_ended("had", 0, &server, Status::Ok);
         }
         rig.now += 2.0;
         (0..20).filter(|i| one(&mut rig, &format!("after{i}"), 1).is_some()).count()
--- a/crates/gateway/tests/fleet_members.rs
+++ b/crates/gateway/tests/fleet_members.rs
@@ -19,16 +19,16 @@
 }
 
 /// Gateway `me` of `addrs.len()`, with an address for the operators.
-fn setup(me: usize, addrs: &[SocketAddr], worker: &Worker) -> (Setup, Discovery) {
-    let (mut setup, discovery) = Setup::new(&[worker]);
+fn setup(me: usize, addrs: &[SocketAddr], worker: &Worker) -> (NodeSetup, Discovery) {
+    let (mut setup, discovery) = NodeSetup::new(&[worker]);
     setup.settings["Me"] = json!(me);
     setup.settings["PeersTotal"] = json!(addrs.len());
-    setup.admin = true;
+    setup.has_admin_api = true;
     setup.fleet = Some(terms(addrs[me], addrs));
     (setup, discovery)
 }
 
-fn fleet(addrs: &[SocketAddr], worker: &Worker) -> Vec<(Node, Setup, Discovery)> {
+fn fleet(addrs: &[SocketAddr], worker: &Worker) -> Vec<(Node, NodeSetup, Discovery)> {
     let start = |me| {
         let (setup, discovery) = setup(me, addrs, worker);
         (setup.start(), setup, discovery)
@@ -42,7 +42,7 @@
 
 /// Waits until a gateway's report fits.
 fn until(node: &Node, fits: impl Fn(&Value) -> bool) -> Value {
-    node.until("fleet", fits)
+    node.wait_for_report("fleet", fits)
 }
 
 fn members(n: usize) -> impl Fn(&Value) -> bool {
@@ -51,13 +51,13 @@
 
 #[test]
 fn gateways_find_each_other_notice_a_death_and_a_return() {
-    let (worker, addrs) = (Worker::start(Does::Serves("here")), addrs(4));
+    let (worker, addrs) = (Worker::start(Behaviour::Respond("here")), addrs(4));
     let mut nodes = fleet(&addrs, &worker);
     nodes.iter().for_each(|(node, ..)| drop(until(node, members(3))));
     let (mut dead, setup, _discovery) = nodes.pop().expect("four");
     dead.child.kill().expect("its own child");
     dead.child.wait().expect("its own child");
-    nodes.iter().for_each(|(node, ..)| drop(node.says("fleet: gateway 3")));
+    nodes.iter().for_each(|(node, ..)| drop(node.wait_for_log("fleet: gateway 3")));
     nodes.iter().for_each(|(node, ..)| drop(until(node, members(2))));
     // The same name and address, another start.
     let back = setup.start();
@@ -70,7 +70,7 @@
 
 #[test]
 fn a_whole_fleet_that_starts_again_finds_itself_again() {
-    let (worker, addrs) = (Worker::start(Does::Serves("here")), addrs(3));
+    let (worker, addrs) = (Worker::start(Behaviour::Respond("here")), addrs(3));
     let first = fleet(&addrs, &worker);
     first.iter().for_each(|(node, ..)| drop(until(node, members(2))));
     let starts: Vec<Value> = first.iter().map(|(node, ..)| report(node)["start"].clone()).collect();
@@ -84,13 +84,18 @@
 
 #[test]
 fn what_one_gateway_spent_is_spent_at_the_others() {
-    let (worker, addrs) = (Worker::start(Does::Serves("here")), addrs(2));
+    let (worker, addrs) = (Worker::start(Behaviour::Respond("here")), addrs(2));
     let nodes = fleet(&addrs, &worker);
     nodes.iter().for_each(|(node, ..)| drop(until(node, members(1))));
     let (a, b, customer) = (&nodes[0].0, &nodes[1].0, "00000000b4d65521");
-    let ask = |i: usize| Ask::new(&format!("spend-{i}")).with("X-Plan", "pieni").with("X-Customer", customer);
-    let served =
-        |node: &Node, from: usize| (from..from + 12).filter(|i| node.ask(&ask(*i)).status() == 200).count();
+    let ask = |i: usize| {
+        ClientRequest::new(&format!("spend-{i}"))
+            .with_header("X-Plan", "pieni")
+            .with_header("X-Customer", customer)
+    };
+    let served = |node: &Node, from: usize| {
+        (from..from + 12).filter(|i| node.request(&ask(*i)).status() == 200).count()
+    };
     // Of a burst of eight and next to no rate.
     let of_a = served(a, 0);
     assert!((4..=8).contains(&of_a), "{of_a} at the first");
@@ -103,7 +108,7 @@
 
 #[test]
 fn a_flood_of_datagrams_from_nobody_is_passed_over_while_requests_are_served() {
-    let (worker, addrs) = (Worker::start(Does::Serves("here")), addrs(2));
+    let (worker, addrs) = (Worker::start(Behaviour::Respond("here")), addrs(2));
     let nodes = fleet(&addrs, &worker);
     nodes.iter().for_each(|(node, ..)| drop(until(node, members(1))));
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a free port");
@@ -125,7 +130,7 @@
             }
         });
         for i in 0..200 {
-            assert_eq!(nodes[0].0.ask(&Ask::new(&format!("flooded-{i}"))).status(), 200);
+            assert_eq!(nodes[0].0.request(&ClientRequest::new(&format!("flooded-{i}"))).status(), 200);
         }
         stop.store(true, std::sync::atomic::Ordering::Relaxed);
     });
@@ -137,11 +142,11 @@
 
 #[test]
 fn a_fleet_is_switched_on_and_off_by_sighup_and_a_taken_address_is_told() {
-    let (worker, addrs) = (Worker::start(Does::Serves("here")), addrs(2));
+    let (worker, addrs) = (Worker::start(Behaviour::Respond("here")), addrs(2));
     let (mut first, _discovery) = setup(0, &addrs, &worker);
     first.fleet = None;
     let a = first.start();
-    assert_eq!(a.call("GET /control/fleet"), 404, "off unless the configuration names it");
+    assert_eq!(a.admin_status("GET /control/fleet"), 404, "off unless the configuration names it");
     let (second, _other) = setup(1, &addrs, &worker);
     let b = second.start();
     first.fleet = Some(terms(addrs[0], &addrs));
@@ -155,19 +160,19 @@
     first.fleet = Some(off);
     a.reload(&first.config().to_string());
     until(&b, members(0));
-    a.says("has left the fleet");
+    a.wait_for_log("has left the fleet");
     // Another process at the address of the second: it serves, and says why it is not heard of.
     let twin = second.start();
-    twin.says("fleet: can't bind");
-    assert_eq!(twin.ask(&Ask::new("twin")).status(), 200);
+    twin.wait_for_log("fleet: can't bind");
+    assert_eq!(twin.request(&ClientRequest::new("twin")).status(), 200);
 }
 
 #[test]
 fn terms_that_are_wrong_are_refused_with_their_key() {
-    let worker = Worker::start(Does::Serves("here"));
-    let (mut setup, _discovery) = Setup::new(&[&worker]);
+    let worker = Worker::start(Behaviour::Respond("here"));
+    let (mut setup, _discovery) = NodeSetup::new(&[&worker]);
     setup.fleet = Some(json!({"listen": "nowhere", "name": "x"}));
-    let done = setup.run_text(&setup.config().to_string(), &folder());
+    let done = setup.run_with_config_text(&setup.config().to_string(), &create_temp_folder());
     assert!(!done.status.success());
     let said = String::from_utf8(done.stderr).expect("text");
     assert!(said.contains("fleet"), "{said}");
--- a/crates/gateway/tests/golden_state.rs
+++ b/crates/gateway/tests/golden_state.rs
@@ -9,18 +9,18 @@
 use opalrun_gateway::*;
 
 /// A gateway with leased and spent units, observed servers and one server that is offline.
-fn used_gateway() -> Rig {
-    let mut rig = Rig::new(settings());
-    let mut counter = Counter::default();
-    assert!(counter.ask_many(&mut rig, "a", 12) > 0);
-    let attempts = sends(&rig.actions.clone());
+fn used_gateway() -> Harness {
+    let mut harness = Harness::new(settings());
+    let mut counter = InstantCounter::default();
+    assert!(counter.request_many(&mut harness, "a", 12) > 0);
+    let attempts = sent_attempts(&harness.actions.clone());
     for (number, (job, server)) in attempts.iter().enumerate() {
-        rig.now += 0.01;
+        harness.now += 0.01;
         let status = if number % 3 == 2 { Status::Error } else { Status::Ok };
-        rig.outcome(job, 0, server, status);
+        harness.attempt_ended(job, 0, server, status);
     }
-    rig.gateway.set_offline(rig.now, "c", true);
-    rig
+    harness.gateway.set_offline(harness.now, "c", true);
+    harness
 }
 
 /// The JSON encoding of a state.
@@ -30,8 +30,8 @@
 
 #[test]
 fn a_state_decodes_and_encodes_as_in_earlier_versions() {
-    let mut rig = used_gateway();
-    let states = [("empty", State::default()), ("used", rig.gateway.hand_over(rig.now))];
+    let mut harness = used_gateway();
+    let states = [("empty", State::default()), ("used", harness.gateway.hand_over(harness.now))];
     check(
         "gateway_state",
         &states.map(|(stem, state)| case(stem, text(&state))),
--- a/crates/gateway/tests/handover.rs
+++ b/crates/gateway/tests/handover.rs
@@ -10,9 +10,9 @@
 }
 
 /// Hands all that `old` knows to a process that has just been started.
-fn successor(old: &mut Rig, settings: Settings) -> Rig {
+fn successor(old: &mut Harness, settings: Settings) -> Harness {
     let state = old.gateway.hand_over(old.now);
-    let mut new = Rig::new(settings);
+    let mut new = Harness::new(settings);
     new.now = old.now;
     new.gateway.take_over(carried(&state));
     new
@@ -20,14 +20,14 @@
 
 #[test]
 fn the_two_together_grant_a_quota_once() {
-    let mut counter = Counter::default();
-    let mut old = Rig::new(settings());
-    let before = counter.ask_many(&mut old, "a", 12);
+    let mut counter = InstantCounter::default();
+    let mut old = Harness::new(settings());
+    let before = counter.request_many(&mut old, "a", 12);
     assert!(before >= 10, "{before}");
     let mut new = successor(&mut old, settings());
     // The counter is silent from now on: only what was leased, and the even share that is left, is granted.
-    let ask = |rig: &mut Rig, tag: &str| {
-        (0..30).filter(|i| !sends(&rig.ask(&format!("{tag}{i}"))).is_empty()).count()
+    let ask = |rig: &mut Harness, tag: &str| {
+        (0..30).filter(|i| !sent_attempts(&rig.request(&format!("{tag}{i}"))).is_empty()).count()
     };
     let (kept, handed) = (ask(&mut old, "old"), ask(&mut new, "new"));
     assert_eq!(kept, 0, "the old one has nothing left to grant");
@@ -39,7 +39,8 @@
         Action::Timer { token, .. } => Some(token),
         _ => None,
     });
-    let sent: usize = timers.map(|token| sends(&old.event(Event::Timer { token })).len()).sum();
+    let sent: usize =
+        timers.map(|token| sent_attempts(&old.handle_event(Event::Timer { token })).len()).sum();
     assert!((1..=3).contains(&sent), "{sent}: it grants its share of what has come in since, and no more");
 }
 
@@ -49,36 +50,40 @@
     s.plans = vec![plan(100.0, 100.0)];
     (s.plans[0].max_open_attempts, s.plans[0].overrun_cost, s.has_counter, s.gateway_count) =
         (1, 0.8, false, 1);
-    let mut old = Rig::new(s.clone());
+    let mut old = Harness::new(s.clone());
     let mut request = request("out", old.now);
     request.spread = 1;
-    assert_eq!(sends(&old.event(Event::Request(request.clone()))).len(), 1);
+    assert_eq!(sent_attempts(&old.handle_event(Event::Request(request.clone()))).len(), 1);
     let mut new = successor(&mut old, s);
     request.job = "second".into();
-    assert_eq!(refused(&new.event(Event::Request(request.clone()))), 1, "one may be out, and one is");
+    assert_eq!(
+        refused_count(&new.handle_event(Event::Request(request.clone()))),
+        1,
+        "one may be out, and one is"
+    );
     assert_eq!(old.gateway.attempts_in_flight(), [("c".into(), 1)]);
     new.gateway.set_attempts_elsewhere(&[]);
     request.job = "third".into();
-    assert_eq!(sends(&new.event(Event::Request(request))).len(), 1);
+    assert_eq!(sent_attempts(&new.handle_event(Event::Request(request))).len(), 1);
 }
 
 #[test]
 fn servers_stay_out_drained_or_cold() {
     let mut free = settings();
     free.plans = vec![Plan::default()];
-    let mut old = Rig::new(free.clone());
+    let mut old = Harness::new(free.clone());
     assert!(old.gateway.set_offline(old.now, "a", true));
     let started = old.now - 1.0;
-    old.list(
+    old.update_servers(
         ListKind::Changes,
         vec![server("b", Lifecycle::Draining, 0.0), server("d", Lifecycle::Running, started)],
     );
     let mut new = successor(&mut old, free);
     for rig in [&mut old, &mut new] {
         rig.actions.clear();
-        (0..20).for_each(|i| drop(rig.ask(&format!("j{i}"))));
+        (0..20).for_each(|i| drop(rig.request(&format!("j{i}"))));
     }
-    let to = |rig: &Rig, id: &str| sends(&rig.actions).iter().filter(|(_, s)| &**s == id).count();
+    let to = |rig: &Harness, id: &str| sent_attempts(&rig.actions).iter().filter(|(_, s)| &**s == id).count();
     assert_eq!((to(&new, "a"), to(&new, "b"), to(&old, "d")), (0, 0, 0), "one of them warms it up");
     assert!(to(&new, "d") * 4 < to(&new, "c"), "{} and {}", to(&new, "d"), to(&new, "c"));
     assert!(
@@ -90,14 +95,14 @@
 fn a_state_of_other_settings_is_taken_as_far_as_it_fits() {
     let mut more = settings();
     more.plans = vec![plan(10.0, 20.0); 3];
-    let mut old = Rig::new(more);
+    let mut old = Harness::new(more);
     let mut third = request("third", old.now);
     third.plan = 2;
-    old.event(Event::Request(third));
+    old.handle_event(Event::Request(third));
     let mut one = settings();
     one.gateway_count = 1;
     let mut new = successor(&mut old, one);
-    assert_eq!(refused(&new.ask("a")), 0, "it goes on as if it had not met it");
+    assert_eq!(refused_count(&new.request("a")), 0, "it goes on as if it had not met it");
     for broken in ["", "{}", "null", "{\"servers\":7}"] {
         assert!(serde_json::from_str::<State>(broken).is_err());
     }
--- a/crates/gateway/tests/leases.rs
+++ b/crates/gateway/tests/leases.rs
@@ -5,42 +5,51 @@
 use opalrun_gateway::*;
 
 /// Advances to the time `at` and fires every timer that has expired by then; `counter` answers the calls.
-fn advance(rig: &mut Rig, counter: &mut Counter, at: Time) {
-    let timers = std::mem::take(&mut rig.actions);
-    rig.now = at;
+fn advance(harness: &mut Harness, counter: &mut InstantCounter, at: Time) {
+    let timers = std::mem::take(&mut harness.actions);
+    harness.now = at;
     for timer in timers {
         if let Action::Timer { token, at: due } = timer
             && due <= at
         {
-            let out = rig.event(Event::Timer { token });
-            counter.answer(rig, &out);
+            let out = harness.handle_event(Event::Timer { token });
+            counter.answer_calls(harness, &out);
         }
     }
 }
 
 #[test]
 fn a_new_customers_first_request_is_paid_from_the_even_share() {
-    let mut rig = Rig::new(settings());
-    let out = rig.ask("j");
-    assert_eq!((sends(&out).len(), counts(&out).len()), (1, 1), "sent at once, while the counter is called");
+    let mut harness = Harness::new(settings());
+    let out = harness.request("j");
+    assert_eq!(
+        (sent_attempts(&out).len(), counter_calls(&out).len()),
+        (1, 1),
+        "sent at once, while the counter is called"
+    );
 }
 
 #[test]
 fn the_burst_is_granted_once_and_further_requests_are_refused_without_a_call() {
-    let (mut rig, mut counter) = (Rig::new(settings()), Counter::default());
-    assert_eq!(counter.ask_many(&mut rig, "a", 60), 20, "exactly the burst");
-    let out = rig.ask("b");
-    assert_eq!((refused(&out), counts(&out).len()), (1, 0), "no call while the known level is zero");
+    let (mut harness, mut counter) = (Harness::new(settings()), InstantCounter::default());
+    assert_eq!(counter.request_many(&mut harness, "a", 60), 20, "exactly the burst");
+    let out = harness.request("b");
+    assert_eq!(
+        (refused_count(&out), counter_calls(&out).len()),
+        (1, 0),
+        "no call while the known level is zero"
+    );
     assert!(matches!(out[0], Action::Refuse { retry_after, .. } if retry_after > 0.0));
 }
 
 #[test]
 fn two_gateways_share_one_burst() {
-    let (mut one, mut two, mut counter) = (Rig::new(settings()), Rig::new(settings()), Counter::default());
+    let (mut one, mut two, mut counter) =
+        (Harness::new(settings()), Harness::new(settings()), InstantCounter::default());
     let mut sent = 0;
     for i in 0..40 {
-        sent += counter.ask_many(&mut one, &format!("a{i}-"), 1);
-        sent += counter.ask_many(&mut two, &format!("b{i}-"), 1);
+        sent += counter.request_many(&mut one, &format!("a{i}-"), 1);
+        sent += counter.request_many(&mut two, &format!("b{i}-"), 1);
     }
     assert!((18..=21).contains(&sent), "{sent} sent of a burst of 20 (one unit may be sent without a grant)");
 }
@@ -61,18 +70,20 @@
     for (disconnected, status, returned) in ends {
         let mut settings = settings();
         (settings.plans, settings.max_attempts) = (vec![plan(0.01, 1.0)], 1);
-        let (mut rig, mut counter) = (Rig::new(settings), Counter::default());
-        let out = counter.ask(&mut rig, "first");
-        let (job, server) = sends(&out).pop().expect("the counter grants it");
+        let (mut harness, mut counter) = (Harness::new(settings), InstantCounter::default());
+        let out = counter.request(&mut harness, "first");
+        let (job, server) = sent_attempts(&out).pop().expect("the counter grants it");
         if disconnected {
-            rig.event(Event::ClientDisconnected { job: job.clone() });
+            harness.handle_event(Event::ClientDisconnected { job: job.clone() });
         }
-        rig.outcome(&job, 0, &server, status);
+        harness.attempt_ended(&job, 0, &server, status);
         let mut sent = 0;
         for job in ["second", "third"] {
-            let out = counter.ask(&mut rig, job);
-            sent += sends(&out).len();
-            sends(&out).iter().for_each(|(job, server)| drop(rig.outcome(job, 0, server, Status::Ok)));
+            let out = counter.request(&mut harness, job);
+            sent += sent_attempts(&out).len();
+            sent_attempts(&out)
+                .iter()
+                .for_each(|(job, server)| drop(harness.attempt_ended(job, 0, server, Status::Ok)));
         }
         assert_eq!(sent, returned, "disconnected: {disconnected}, {status:?}");
     }
@@ -80,52 +91,52 @@
 
 #[test]
 fn a_new_window_grants_no_second_burst() {
-    let (mut rig, mut counter) = (Rig::new(settings()), Counter::default());
+    let (mut harness, mut counter) = (Harness::new(settings()), InstantCounter::default());
     let mut sent = 0;
     for step in 0..100 {
         let at = 100.0 + f64::from(step) * 0.1;
-        advance(&mut rig, &mut counter, at);
-        sent += counter.ask_many(&mut rig, &format!("s{step}-"), 4);
+        advance(&mut harness, &mut counter, at);
+        sent += counter.request_many(&mut harness, &format!("s{step}-"), 4);
     }
     assert!((110..=124).contains(&sent), "{sent} sent; a burst of 20 and 10 per second for 10 s are 120");
 }
 
 #[test]
 fn an_emptied_counter_grants_no_second_burst() {
-    let (mut rig, mut counter) = (Rig::new(settings()), Counter::default());
-    counter.ask_many(&mut rig, "a", 60);
+    let (mut harness, mut counter) = (Harness::new(settings()), InstantCounter::default());
+    counter.request_many(&mut harness, "a", 60);
     counter.0.clear();
-    rig.now += 0.3;
-    let sent = counter.ask_many(&mut rig, "b", 60);
+    harness.now += 0.3;
+    let sent = counter.request_many(&mut harness, "b", 60);
     assert!(sent <= 4, "{sent} sent after 0.3 s at 10 per second");
-    assert!(counter.sum() > 15.0, "the units used before are added to the count again");
+    assert!(counter.total() > 15.0, "the units used before are added to the count again");
 }
 
 #[test]
 fn a_request_that_waits_for_a_lost_answer_is_decided() {
-    let (mut rig, mut counter) = (Rig::new(settings()), Counter::default());
-    counter.ask_many(&mut rig, "a", 60);
-    rig.now += 1.0;
-    let out = rig.ask("lost");
-    let (name, _) = counts(&out)[0];
-    let out = rig.counted(name, Status::Timeout, 0.0);
-    assert_eq!(sends(&out).len() + refused(&out), 1);
+    let (mut harness, mut counter) = (Harness::new(settings()), InstantCounter::default());
+    counter.request_many(&mut harness, "a", 60);
+    harness.now += 1.0;
+    let out = harness.request("lost");
+    let (name, _) = counter_calls(&out)[0];
+    let out = harness.counter_answered(name, Status::Timeout, 0.0);
+    assert_eq!(sent_attempts(&out).len() + refused_count(&out), 1);
 }
 
 #[test]
 fn without_the_counter_the_even_share_is_spent() {
-    let (mut rig, mut counter) = (Rig::new(settings()), Counter::default());
-    counter.ask_many(&mut rig, "a", 60);
+    let (mut harness, mut counter) = (Harness::new(settings()), InstantCounter::default());
+    counter.request_many(&mut harness, "a", 60);
     let mut sent = 0;
     for step in 1..=50 {
-        rig.now = 100.0 + f64::from(step) * 0.1;
-        let mut out = rig.ask(&format!("q{step}"));
-        for (name, _) in counts(&out) {
-            out.extend(rig.counted(name, Status::Timeout, 0.0));
+        harness.now = 100.0 + f64::from(step) * 0.1;
+        let mut out = harness.request(&format!("q{step}"));
+        for (name, _) in counter_calls(&out) {
+            out.extend(harness.counter_answered(name, Status::Timeout, 0.0));
         }
-        for (job, server) in sends(&out) {
+        for (job, server) in sent_attempts(&out) {
             sent += 1;
-            rig.outcome(&job, 0, &server, Status::Ok);
+            harness.attempt_ended(&job, 0, &server, Status::Ok);
         }
     }
     assert!(
@@ -136,11 +147,11 @@
 
 #[test]
 fn an_unspent_lease_lapses_with_its_window() {
-    let (mut rig, mut counter) = (Rig::new(settings()), Counter::default());
-    counter.ask_many(&mut rig, "a", 15);
-    rig.now += 30.0; // Windows last 8 s here, so the rest of the block belongs to an earlier one.
-    let out = rig.ask("b");
-    assert_eq!(counts(&out).len(), 1, "a lapsed lease covers nothing: the counter is called");
+    let (mut harness, mut counter) = (Harness::new(settings()), InstantCounter::default());
+    counter.request_many(&mut harness, "a", 15);
+    harness.now += 30.0; // Windows last 8 s here, so the rest of the block belongs to an earlier one.
+    let out = harness.request("b");
+    assert_eq!(counter_calls(&out).len(), 1, "a lapsed lease covers nothing: the counter is called");
 }
 
 #[test]
@@ -151,12 +162,12 @@
         s.plans.push(s.plans[0].clone());
         s.plans[0].max_open_attempts = 4;
         s.classes[0].latency_target = 20.0; // All latencies below are far from the target.
-        let (mut rig, mut counter) = (Rig::new(s), Counter::default());
-        let mut other = request("other", rig.now);
+        let (mut harness, mut counter) = (Harness::new(s), InstantCounter::default());
+        let mut other = request("other", harness.now);
         (other.plan, other.customer) = (1, "other".into());
-        for (job, server) in sends(&rig.event(Event::Request(other))) {
+        for (job, server) in sent_attempts(&harness.handle_event(Event::Request(other))) {
             let (attempt, status, over, settled, load) = (0, Status::Ok, true, None, Load::default());
-            rig.event(Event::AttemptEnded {
+            harness.handle_event(Event::AttemptEnded {
                 job,
                 attempt,
                 server,
@@ -167,8 +178,8 @@
                 load,
             });
         }
-        let asks = (0..6).flat_map(|i| counter.ask(&mut rig, &format!("j{i}")));
-        sends(&asks.collect::<Vec<_>>()).len()
+        let asks = (0..6).flat_map(|i| counter.request(&mut harness, &format!("j{i}")));
+        sent_attempts(&asks.collect::<Vec<_>>()).len()
     };
     assert_eq!(
         sent_at_once(0.004),
@@ -182,36 +193,40 @@
 fn each_gateway_has_an_even_share_of_the_open_attempt_limit() {
     let mut s = settings();
     s.plans[0].max_open_attempts = 4;
-    let (mut rig, mut counter) = (Rig::new(s), Counter::default());
+    let (mut harness, mut counter) = (Harness::new(s), InstantCounter::default());
     let mut out = Vec::new();
     for i in 0..6 {
-        out.extend(counter.ask(&mut rig, &format!("j{i}")));
+        out.extend(counter.request(&mut harness, &format!("j{i}")));
     }
-    assert_eq!((sends(&out).len(), refused(&out)), (2, 4), "a limit of four, at one of two gateways");
-    let (job, server) = sends(&out).remove(0);
-    rig.outcome(&job, 0, &server, Status::Ok);
-    assert_eq!(sends(&counter.ask(&mut rig, "k")).len(), 1, "one attempt has ended");
+    assert_eq!(
+        (sent_attempts(&out).len(), refused_count(&out)),
+        (2, 4),
+        "a limit of four, at one of two gateways"
+    );
+    let (job, server) = sent_attempts(&out).remove(0);
+    harness.attempt_ended(&job, 0, &server, Status::Ok);
+    assert_eq!(sent_attempts(&counter.request(&mut harness, "k")).len(), 1, "one attempt has ended");
 }
 
 #[test]
 fn a_call_that_its_connection_cut_off_does_not_lower_the_call_rate() {
     // Calls made for 400 customers with one request each, while every fourth call ends after `lost_after` seconds.
     let calls_made = |lost_after: f64| {
-        let mut rig = Rig::new(settings());
+        let mut harness = Harness::new(settings());
         let mut calls = 0;
         for i in 0..400 {
-            rig.now += 0.02;
-            let mut request = request(&format!("j{i}"), rig.now);
+            harness.now += 0.02;
+            let mut request = request(&format!("j{i}"), harness.now);
             request.customer = format!("c{i}").into();
-            let out = rig.event(Event::Request(request));
-            calls += counts(&out).len();
-            for (counter, _) in counts(&out) {
+            let out = harness.handle_event(Event::Request(request));
+            calls += counter_calls(&out).len();
+            for (counter, _) in counter_calls(&out) {
                 let status = if i % 4 == 0 { Status::Timeout } else { Status::Ok };
                 let elapsed = if i % 4 == 0 { lost_after } else { 0.002 };
-                rig.event(Event::CounterAnswered { counter, status, total: 1.0, elapsed });
+                harness.handle_event(Event::CounterAnswered { counter, status, total: 1.0, elapsed });
             }
-            for (job, server) in sends(&out) {
-                rig.outcome(&job, 0, &server, Status::Ok);
+            for (job, server) in sent_attempts(&out) {
+                harness.attempt_ended(&job, 0, &server, Status::Ok);
             }
         }
         calls
@@ -225,21 +240,21 @@
 fn the_call_rate_recovers_at_once_when_an_unavailable_counter_answers_again() {
     // Calls made for the last fifty customers, four seconds after five in which calls ended as given.
     let calls_made = |status: Status, elapsed: f64| {
-        let mut rig = Rig::new(settings());
+        let mut harness = Harness::new(settings());
         let mut calls = 0;
         for i in 0..550 {
-            rig.now += 0.02;
-            let mut request = request(&format!("j{i}"), rig.now);
+            harness.now += 0.02;
+            let mut request = request(&format!("j{i}"), harness.now);
             request.customer = format!("c{i}").into();
-            let out = rig.event(Event::Request(request));
-            calls += counts(&out).len() * usize::from(i >= 500);
-            for (counter, _) in counts(&out) {
+            let out = harness.handle_event(Event::Request(request));
+            calls += counter_calls(&out).len() * usize::from(i >= 500);
+            for (counter, _) in counter_calls(&out) {
                 let faulty = (50..300).contains(&i);
                 let (status, elapsed) = if faulty { (status, elapsed) } else { (Status::Ok, 0.002) };
-                rig.event(Event::CounterAnswered { counter, status, total: 1.0, elapsed });
+                harness.handle_event(Event::CounterAnswered { counter, status, total: 1.0, elapsed });
             }
-            for (job, server) in sends(&out) {
-                rig.outcome(&job, 0, &server, Status::Ok);
+            for (job, server) in sent_attempts(&out) {
+                harness.attempt_ended(&job, 0, &server, Status::Ok);
             }
         }
         calls
@@ -254,26 +269,26 @@
 fn an_estimate_of_units_that_others_sent_does_not_refuse_a_customer_with_an_unused_quota() {
     let mut s = settings();
     (s.gateway_count, s.plans[0]) = (100, plan(0.4, 2.0));
-    let mut rig = Rig::new(s);
-    let first_request = |rig: &mut Rig, i: u32| {
-        let mut request = request(&format!("j{i}"), rig.now);
+    let mut harness = Harness::new(s);
+    let first_request = |harness: &mut Harness, i: u32| {
+        let mut request = request(&format!("j{i}"), harness.now);
         (request.spread, request.customer) = (100, format!("c{i}").into());
-        let out = rig.event(Event::Request(request));
-        for (job, server) in sends(&out) {
-            rig.outcome(&job, 0, &server, Status::Ok);
+        let out = harness.handle_event(Event::Request(request));
+        for (job, server) in sent_attempts(&out) {
+            harness.attempt_ended(&job, 0, &server, Status::Ok);
         }
         out
     };
     // Sixty customers at once: the few calls that the budget allows stay unanswered, the other requests are sent
     // without a grant.
-    let uncounted = (0..60).map(|i| sends(&first_request(&mut rig, i)).len()).sum::<usize>();
+    let uncounted = (0..60).map(|i| sent_attempts(&first_request(&mut harness, i)).len()).sum::<usize>();
     assert!(uncounted >= 20, "{uncounted} sent without a grant");
-    rig.now += 2.0;
-    let out = first_request(&mut rig, 60);
-    let (name, amount) = counts(&out)[0];
+    harness.now += 2.0;
+    let out = first_request(&mut harness, 60);
+    let (name, amount) = counter_calls(&out)[0];
     assert!(amount > 1.0, "the call adds a proportional part of the units sent without a grant");
-    let out = rig.counted(name, Status::Ok, amount);
-    assert_eq!((sends(&out).len(), refused(&out)), (1, 0));
+    let out = harness.counter_answered(name, Status::Ok, amount);
+    assert_eq!((sent_attempts(&out).len(), refused_count(&out)), (1, 0));
 }
 
 #[test]
@@ -283,18 +298,18 @@
         let mut s = settings();
         s.gateway_count = 100;
         (s.plans[0].max_open_attempts, s.classes[0].latency_target) = (3, 50.0);
-        let (mut rig, mut counter) = (Rig::new(s), Counter::default());
+        let (mut harness, mut counter) = (Harness::new(s), InstantCounter::default());
         let mut sent = 0;
         for i in 0..600 {
-            rig.now += 0.02;
-            let mut request = request(&format!("j{i}"), rig.now);
+            harness.now += 0.02;
+            let mut request = request(&format!("j{i}"), harness.now);
             request.spread = 100;
-            let mut out = rig.event(Event::Request(request));
-            out.extend(counter.answer(&mut rig, &out.clone()));
-            for (job, server) in sends(&out) {
+            let mut out = harness.handle_event(Event::Request(request));
+            out.extend(counter.answer_calls(&mut harness, &out.clone()));
+            for (job, server) in sent_attempts(&out) {
                 sent += 1;
                 let (attempt, status, over, settled, load) = (0, Status::Ok, true, None, Load::default());
-                rig.event(Event::AttemptEnded {
+                harness.handle_event(Event::AttemptEnded {
                     job,
                     attempt,
                     server,
@@ -315,23 +330,27 @@
 
 #[test]
 fn units_sent_before_a_late_answer_are_paid_once() {
-    let (mut rig, mut counter) = (Rig::new(settings()), Counter::default());
-    counter.ask_many(&mut rig, "a", 2);
-    rig.now += 3.0;
-    let out = rig.ask("late");
-    let (name, amount) = counts(&out)[0];
-    assert!(sends(&out).is_empty(), "waits for the answer");
+    let (mut harness, mut counter) = (Harness::new(settings()), InstantCounter::default());
+    counter.request_many(&mut harness, "a", 2);
+    harness.now += 3.0;
+    let out = harness.request("late");
+    let (name, amount) = counter_calls(&out)[0];
+    assert!(sent_attempts(&out).is_empty(), "waits for the answer");
     let timer = |a: &Action| if let Action::Timer { token, .. } = a { Some(*token) } else { None };
     let token = out.iter().find_map(timer).expect("a waiting request has a timer");
-    rig.now += 0.02;
-    assert_eq!(sends(&rig.event(Event::Timer { token })).len(), 1, "the even share pays for it");
+    harness.now += 0.02;
+    assert_eq!(
+        sent_attempts(&harness.handle_event(Event::Timer { token })).len(),
+        1,
+        "the even share pays for it"
+    );
     let total = counter.0.entry(name).or_default();
     *total += amount;
     let total = *total;
-    rig.counted(name, Status::Ok, total);
-    let next = rig.ask("next");
-    assert!(sends(&next).is_empty(), "the block has paid for the request that was sent ahead");
-    assert_eq!(counts(&next), [(name, 1.0)], "and nothing is owed for that request");
+    harness.counter_answered(name, Status::Ok, total);
+    let next = harness.request("next");
+    assert!(sent_attempts(&next).is_empty(), "the block has paid for the request that was sent ahead");
+    assert_eq!(counter_calls(&next), [(name, 1.0)], "and nothing is owed for that request");
 }
 
 #[test]
@@ -341,37 +360,37 @@
     // With 100 gateways the even share of a burst is below one unit: a new customer waits for the counter.
     s.gateway_count = 100;
     let sent_uncounted = |used_up: bool| {
-        let mut rig = Rig::new(s.clone());
-        let request_of = |rig: &Rig, i: usize, client_retry| {
+        let mut harness = Harness::new(s.clone());
+        let request_of = |harness: &Harness, i: usize, client_retry| {
             let customer = format!("c{i}").as_str().into();
-            Request { customer, client_retry, spread: 100, ..request(&format!("j{i}"), rig.now) }
+            Request { customer, client_retry, spread: 100, ..request(&format!("j{i}"), harness.now) }
         };
-        let mut counter = Counter::default();
+        let mut counter = InstantCounter::default();
         for i in 0..40 {
-            rig.now += 1.0;
-            let asked = request_of(&rig, i, false);
-            let out = rig.event(Event::Request(asked));
-            for (name, _) in counts(&out) {
+            harness.now += 1.0;
+            let asked = request_of(&harness, i, false);
+            let out = harness.handle_event(Event::Request(asked));
+            for (name, _) in counter_calls(&out) {
                 // The units that other gateways have spent are in the count already.
                 counter.0.insert(name, if used_up { 1e3 } else { 0.0 });
             }
-            let more = counter.answer(&mut rig, &out);
-            for (job, server) in sends(&out).into_iter().chain(sends(&more)) {
-                rig.outcome(&job, 0, &server, Status::Ok);
+            let more = counter.answer_calls(&mut harness, &out);
+            for (job, server) in sent_attempts(&out).into_iter().chain(sent_attempts(&more)) {
+                harness.attempt_ended(&job, 0, &server, Status::Ok);
             }
         }
         // More customers at one moment than the call budget has calls.
         let mut sent = 0;
         for i in 1000..1400 {
-            let asked = request_of(&rig, i, false);
-            let out = rig.event(Event::Request(asked));
-            if counts(&out).is_empty() {
-                for (job, server) in sends(&out) {
+            let asked = request_of(&harness, i, false);
+            let out = harness.handle_event(Event::Request(asked));
+            if counter_calls(&out).is_empty() {
+                for (job, server) in sent_attempts(&out) {
                     sent += 1;
-                    rig.outcome(&job, 0, &server, Status::Ok);
+                    harness.attempt_ended(&job, 0, &server, Status::Ok);
                 }
             } else {
-                counter.answer(&mut rig, &out);
+                counter.answer_calls(&mut harness, &out);
             }
         }
         sent
--- a/crates/gateway/tests/node.rs
+++ b/crates/gateway/tests/node.rs
@@ -15,27 +15,27 @@
 
 #[test]
 fn a_request_goes_on_unchanged_and_connections_are_kept() {
-    let worker = Worker::start(Does::Serves("marked: 7"));
-    let (mut setup, _discovery) = Setup::new(&[&worker]);
-    setup.admin = true;
+    let worker = Worker::start(Behaviour::Respond("marked: 7"));
+    let (mut setup, _discovery) = NodeSetup::new(&[&worker]);
+    setup.has_admin_api = true;
     let node = setup.start();
-    let mut client = node.client();
-    let mut up = Ask::new("up");
+    let mut client = node.connect();
+    let mut up = ClientRequest::new("up");
     up.line = "GET /up HTTP/1.1".into();
-    assert_eq!(client.ask(&up).status(), 200, "the front takes it in");
-    let mut ask = Ask::new("9b1f03aa5c7e2d41");
+    assert_eq!(client.request(&up).status(), 200, "the front takes it in");
+    let mut ask = ClientRequest::new("9b1f03aa5c7e2d41");
     ask.line = "GET /check-answer/5?pupil=3 HTTP/1.1".into();
-    let answer = client.ask(&ask);
+    let answer = client.request(&ask);
     assert_eq!((answer.status(), answer.body.as_slice()), (200, b"marked: 7".as_slice()));
-    let (first, seen) = worker.request();
+    let (first, seen) = worker.next_request();
     assert_eq!(seen.line, ask.line);
     assert_eq!(seen.header("x-txn"), "9b1f03aa5c7e2d41");
     let wait: f64 = seen.header("x-remaining").parse().expect("how long the gateway waits");
     assert!(wait > 0.0 && wait <= 25.0, "{wait}");
     // After its answer a connection rests before another request may have it.
-    node.pool("w0", |p| p["idle"] == 1);
-    assert_eq!(client.ask(&Ask::submit("b")).status(), 200);
-    let (second, seen) = worker.request();
+    node.wait_for_pool("w0", |p| p["idle"] == 1);
+    assert_eq!(client.request(&ClientRequest::submit("b")).status(), 200);
+    let (second, seen) = worker.next_request();
     assert_eq!((seen.line.as_str(), seen.body.as_slice()), ("POST /submit HTTP/1.1", b"answer".as_slice()));
     assert_eq!(first, second, "on the connection that was kept");
 }
@@ -44,33 +44,33 @@
 /// how long the gateway waits, which shows this whatever the test's machine is busy with.
 #[test]
 fn a_request_ends_before_its_client_has_gone() {
-    let worker = Worker::start(Does::Holds);
-    let (setup, _discovery) = Setup::new(&[&worker]);
+    let worker = Worker::start(Behaviour::NeverRespond);
+    let (setup, _discovery) = NodeSetup::new(&[&worker]);
     let node = setup.start();
     for remaining in [0.4, 2.0] {
-        let ask = Ask::new("held").with("X-Remaining", &remaining.to_string());
-        assert_eq!(node.ask(&ask).status(), 429);
-        let told: f64 = worker.request().1.header("x-remaining").parse().expect("seconds");
+        let ask = ClientRequest::new("held").with_header("X-Remaining", &remaining.to_string());
+        assert_eq!(node.request(&ask).status(), 429);
+        let told: f64 = worker.next_request().1.header("x-remaining").parse().expect("seconds");
         assert!(told < remaining - 0.004, "{told} of {remaining}");
     }
 }
 
 #[test]
 fn the_key_of_a_keyed_request_goes_on() {
-    let worker = Worker::start(Does::Serves("ok"));
-    let (mut setup, _discovery) = Setup::new(&[&worker]);
+    let worker = Worker::start(Behaviour::Respond("ok"));
+    let (mut setup, _discovery) = NodeSetup::new(&[&worker]);
     setup.settings["Classes"][1]["Effect"] = json!("deduplicated");
     let node = setup.start();
     let key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
-    assert_eq!(node.ask(&Ask::submit("k").with("Idempotency-Key", key)).status(), 200);
-    assert_eq!(worker.request().1.header("idempotency-key"), key);
+    assert_eq!(node.request(&ClientRequest::submit("k").with_header("Idempotency-Key", key)).status(), 200);
+    assert_eq!(worker.next_request().1.header("idempotency-key"), key);
 }
 
 #[test]
 fn two_gateways_hold_one_quota_and_refuse_with_advice() {
-    let worker = Worker::start(Does::Serves("ok"));
-    let counter = Counter::start(Counts::Well);
-    let (mut setup, _discovery) = Setup::new(&[&worker]);
+    let worker = Worker::start(Behaviour::Respond("ok"));
+    let counter = Counter::start(CounterBehaviour::Answer);
+    let (mut setup, _discovery) = NodeSetup::new(&[&worker]);
     setup.counter = Some(counter.addr);
     let one = setup.start();
     setup.settings["Me"] = json!(1);
@@ -78,7 +78,7 @@
     let mut served = 0;
     for i in 0..20 {
         for node in [&one, &two] {
-            let answer = node.ask(&Ask::new(&format!("t{i}")).with("X-Plan", "pieni"));
+            let answer = node.request(&ClientRequest::new(&format!("t{i}")).with_header("X-Plan", "pieni"));
             match answer.status() {
                 200 => served += 1,
                 429 => assert!(answer.header("retry-after").parse::<f64>().is_ok_and(|s| s > 0.0)),
@@ -94,31 +94,37 @@
 
 #[test]
 fn what_may_have_run_is_not_sent_again_where_a_repeat_would_do_harm() {
-    for does in [Does::Resets, Does::Says(ERROR), Does::Says(UNMARKED), Does::Says("nonsense\r\n\r\n")] {
+    for does in [
+        Behaviour::Close,
+        Behaviour::SendRaw(ERROR),
+        Behaviour::SendRaw(UNMARKED),
+        Behaviour::SendRaw("nonsense\r\n\r\n"),
+    ] {
         let (one, two) = (Worker::start(does.clone()), Worker::start(does));
-        let (setup, _discovery) = Setup::new(&[&one, &two]);
+        let (setup, _discovery) = NodeSetup::new(&[&one, &two]);
         let node = setup.start();
         // Neither served nor refused: a refusal would promise that it has not run.
-        assert_eq!(node.ask(&Ask::submit("once")).status(), 502);
-        assert_eq!(one.rest().len() + two.rest().len(), 1, "one attempt");
+        assert_eq!(node.request(&ClientRequest::submit("once")).status(), 502);
+        assert_eq!(one.drain_requests().len() + two.drain_requests().len(), 1, "one attempt");
     }
 }
 
 #[test]
 fn what_never_ran_is_sent_again_even_then() {
-    let (full, well) = (Worker::start(Does::Says(TURNED_AWAY)), Worker::start(Does::Serves("ok")));
-    let (mut setup, discovery) = Setup::new(&[&full, &well]);
+    let (full, well) =
+        (Worker::start(Behaviour::SendRaw(TURNED_AWAY)), Worker::start(Behaviour::Respond("ok")));
+    let (mut setup, discovery) = NodeSetup::new(&[&full, &well]);
     // A port that was free a moment ago and that nobody listens on.
     let nobody = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port");
-    let refused = entry("w2", nobody, "SERVING");
-    discovery.change(refused.clone());
-    setup.known.push(refused);
+    let refused = discovery_entry("w2", nobody, "SERVING");
+    discovery.upsert(refused.clone());
+    setup.initial_servers.push(refused);
     let node = setup.start();
     // Who comes first is chance, and the module saves up only so many further attempts: until it was full.
     for i in 0.. {
-        assert_eq!(node.ask(&Ask::submit(&format!("r{i}"))).status(), 200);
-        assert_eq!(well.rest().len(), 1);
-        if !full.rest().is_empty() {
+        assert_eq!(node.request(&ClientRequest::submit(&format!("r{i}"))).status(), 200);
+        assert_eq!(well.drain_requests().len(), 1);
+        if !full.drain_requests().is_empty() {
             break;
         }
     }
@@ -126,12 +132,12 @@
 
 #[test]
 fn a_reset_of_a_safe_request_is_made_good_elsewhere() {
-    let (breaks, well) = (Worker::start(Does::Resets), Worker::start(Does::Serves("ok")));
-    let (setup, _discovery) = Setup::new(&[&breaks, &well]);
+    let (breaks, well) = (Worker::start(Behaviour::Close), Worker::start(Behaviour::Respond("ok")));
+    let (setup, _discovery) = NodeSetup::new(&[&breaks, &well]);
     let node = setup.start();
     for i in 0.. {
-        assert_eq!(node.ask(&Ask::new(&format!("s{i}"))).status(), 200);
-        if !breaks.rest().is_empty() {
+        assert_eq!(node.request(&ClientRequest::new(&format!("s{i}"))).status(), 200);
+        if !breaks.drain_requests().is_empty() {
             break;
         }
     }
@@ -139,187 +145,205 @@
 
 #[test]
 fn when_every_attempt_ends_badly_a_safe_request_is_refused() {
-    let worker = Worker::start(Does::Says(ERROR));
-    let (setup, _discovery) = Setup::new(&[&worker]);
-    assert_eq!(setup.start().ask(&Ask::new("e")).status(), 429);
+    let worker = Worker::start(Behaviour::SendRaw(ERROR));
+    let (setup, _discovery) = NodeSetup::new(&[&worker]);
+    assert_eq!(setup.start().request(&ClientRequest::new("e")).status(), 429);
 }
 
 #[test]
 fn a_kept_connection_that_is_dead_is_replaced_not_reported() {
-    let worker = Worker::start(Does::ServesAndEnds);
-    let (setup, _discovery) = Setup::new(&[&worker]);
+    let worker = Worker::start(Behaviour::RespondThenShutDownWrite);
+    let (setup, _discovery) = NodeSetup::new(&[&worker]);
     let node = setup.start();
-    let mut client = node.client();
+    let mut client = node.connect();
     // Unsafe, so that an attempt on the dead connection would show as a failure.
     for i in 0..4 {
-        assert_eq!(client.ask(&Ask::submit(&format!("d{i}"))).status(), 200);
-        worker.wait_for(|seen| matches!(seen, Seen::Ending));
+        assert_eq!(client.request(&ClientRequest::submit(&format!("d{i}"))).status(), 200);
+        worker.wait_for_event(|event| matches!(event, WorkerEvent::WriteShutDown));
     }
 }
 
 #[test]
 fn an_idle_connection_is_closed_before_the_workers_limit() {
-    let worker = Worker::start(Does::Serves("ok"));
-    let (mut setup, _discovery) = Setup::new(&[&worker]);
+    let worker = Worker::start(Behaviour::Respond("ok"));
+    let (mut setup, _discovery) = NodeSetup::new(&[&worker]);
     setup.settings["Limits"]["ConnIdle"] = json!(2.0);
     let node = setup.start();
-    let mut client = node.client();
-    assert_eq!(client.ask(&Ask::submit("i")).status(), 200);
-    worker.wait_for(|seen| matches!(seen, Seen::Ended(0)));
-    assert_eq!(client.ask(&Ask::submit("j")).status(), 200, "the next has a new one");
+    let mut client = node.connect();
+    assert_eq!(client.request(&ClientRequest::submit("i")).status(), 200);
+    worker.wait_for_event(|event| matches!(event, WorkerEvent::ConnectionClosed(0)));
+    assert_eq!(client.request(&ClientRequest::submit("j")).status(), 200, "the next has a new one");
 }
 
 #[test]
 fn a_silent_worker_times_out_and_the_connection_is_closed() {
-    let worker = Worker::start(Does::Holds);
-    let (setup, _discovery) = Setup::new(&[&worker]);
+    let worker = Worker::start(Behaviour::NeverRespond);
+    let (setup, _discovery) = NodeSetup::new(&[&worker]);
     let node = setup.start();
-    assert_eq!(node.ask(&Ask::new("t").with("X-Remaining", "0.3")).status(), 429);
-    worker.wait_for(|seen| matches!(seen, Seen::Ended(_)));
-    assert_eq!(node.ask(&Ask::submit("u").with("X-Remaining", "0.3")).status(), 502, "it may have run");
+    assert_eq!(node.request(&ClientRequest::new("t").with_header("X-Remaining", "0.3")).status(), 429);
+    worker.wait_for_event(|event| matches!(event, WorkerEvent::ConnectionClosed(_)));
+    assert_eq!(
+        node.request(&ClientRequest::submit("u").with_header("X-Remaining", "0.3")).status(),
+        502,
+        "it may have run"
+    );
 }
 
 #[test]
 fn a_client_that_leaves_is_owed_nothing_more() {
     let gate = Arc::new(Gate::default());
-    let worker = Worker::start(Does::WaitsAndResets(gate.clone()));
-    let other = Worker::start(Does::WaitsAndResets(gate.clone()));
-    let (setup, _discovery) = Setup::new(&[&worker, &other]);
+    let worker = Worker::start(Behaviour::CloseWhenOpened(gate.clone()));
+    let other = Worker::start(Behaviour::CloseWhenOpened(gate.clone()));
+    let (setup, _discovery) = NodeSetup::new(&[&worker, &other]);
     let node = setup.start();
-    let mut client = node.client();
-    client.send(&Ask::new("gone"));
+    let mut client = node.connect();
+    client.send(&ClientRequest::new("gone"));
     let tried = loop {
-        match [&worker, &other].into_iter().find(|w| !w.rest().is_empty()) {
+        match [&worker, &other].into_iter().find(|w| !w.drain_requests().is_empty()) {
             Some(worker) => break worker,
             None => std::thread::yield_now(),
         }
     };
     client.reader.get_ref().shutdown(Shutdown::Write).expect("a socket");
-    assert!(client.answer().is_none(), "it closes too, without an answer");
+    assert!(client.read_response().is_none(), "it closes too, without an answer");
     // A safe request whose attempt breaks would be tried again, were the client still there.
     gate.open();
-    tried.wait_for(|seen| matches!(seen, Seen::Ended(_)));
-    [&worker, &other].into_iter().for_each(|w| w.now(Does::Serves("ok")));
-    assert_eq!(node.ask(&Ask::new("next")).status(), 200);
-    let txns: Vec<String> =
-        [worker.rest(), other.rest()].concat().iter().map(|m| m.header("x-txn").to_owned()).collect();
+    tried.wait_for_event(|event| matches!(event, WorkerEvent::ConnectionClosed(_)));
+    [&worker, &other].into_iter().for_each(|w| w.set_behaviour(Behaviour::Respond("ok")));
+    assert_eq!(node.request(&ClientRequest::new("next")).status(), 200);
+    let txns: Vec<String> = [worker.drain_requests(), other.drain_requests()]
+        .concat()
+        .iter()
+        .map(|m| m.header("x-txn").to_owned())
+        .collect();
     assert_eq!(txns, ["next"]);
 }
 
 #[test]
 fn bad_input_is_answered_and_never_reaches_a_worker() {
-    let worker = Worker::start(Does::Serves("ok"));
-    let (setup, _discovery) = Setup::new(&[&worker]);
+    let worker = Worker::start(Behaviour::Respond("ok"));
+    let (setup, _discovery) = NodeSetup::new(&[&worker]);
     let node = setup.start();
-    let good = || Ask::new("x");
-    let line = |line: &str| Ask { line: line.into(), ..good() };
+    let good = || ClientRequest::new("x");
+    let line = |line: &str| ClientRequest { line: line.into(), ..good() };
     let mut bad = vec![
-        good().with("X-Lane", "nonesuch"),
+        good().with_header("X-Lane", "nonesuch"),
         line("GET /submit HTTP/1.1"),
         line("DELETE /check-answer HTTP/1.1"),
         line("POST /check-answer HTTP/1.1"),
-        Ask { body: b"more".to_vec(), ..good() },
-        Ask { line: "GET /submit HTTP/1.1".into(), ..Ask::submit("x") },
-        Ask::submit("x").with("Idempotency-Key", "5c0f6e1a2b3d4c59"),
-        good().with("X-Plan", "nonesuch"),
-        good().with("X-Customer", "b4d65521"),
-        good().with("X-Customer", "zzzzzzzzzzzzzzzz"),
-        good().with("X-Customer", "ffffffffffffffff"),
-        good().with("X-Customer", "+0000000b4d65521"),
-        good().with("X-Quota", "units=NaN,spread=2,first=0"),
-        good().with("X-Quota", "units=-1,spread=2,first=0"),
-        good().with("X-Quota", "units=1,spread=0,first=0"),
-        good().with("X-Quota", "units=1,spread=3,first=0"),
-        good().with("X-Quota", "units=1,spread=2,first=2"),
-        good().with("X-Quota", "units=1,spread=2"),
-        good().with("X-Quota", "nonsense"),
+        ClientRequest { body: b"more".to_vec(), ..good() },
+        ClientRequest { line: "GET /submit HTTP/1.1".into(), ..ClientRequest::submit("x") },
+        ClientRequest::submit("x").with_header("Idempotency-Key", "5c0f6e1a2b3d4c59"),
+        good().with_header("X-Plan", "nonesuch"),
+        good().with_header("X-Customer", "b4d65521"),
+        good().with_header("X-Customer", "zzzzzzzzzzzzzzzz"),
+        good().with_header("X-Customer", "ffffffffffffffff"),
+        good().with_header("X-Customer", "+0000000b4d65521"),
+        good().with_header("X-Quota", "units=NaN,spread=2,first=0"),
+        good().with_header("X-Quota", "units=-1,spread=2,first=0"),
+        good().with_header("X-Quota", "units=1,spread=0,first=0"),
+        good().with_header("X-Quota", "units=1,spread=3,first=0"),
+        good().with_header("X-Quota", "units=1,spread=2,first=2"),
+        good().with_header("X-Quota", "units=1,spread=2"),
+        good().with_header("X-Quota", "nonsense"),
     ];
-    bad.extend(["soon", "-1", "inf", "NaN", ""].map(|v| good().with("X-Remaining", v)));
+    bad.extend(["soon", "-1", "inf", "NaN", ""].map(|v| good().with_header("X-Remaining", v)));
     bad.extend(
-        ["X-Txn", "X-Lane", "X-Plan", "X-Customer", "X-Remaining", "X-Quota"].map(|h| good().without(h)),
+        ["X-Txn", "X-Lane", "X-Plan", "X-Customer", "X-Remaining", "X-Quota"]
+            .map(|h| good().without_header(h)),
     );
     for ask in &bad {
-        assert_eq!(node.ask(ask).status(), 400, "{} {:?}", ask.line, ask.headers);
+        assert_eq!(node.request(ask).status(), 400, "{} {:?}", ask.line, ask.headers);
     }
-    let mut client = node.client();
+    let mut client = node.connect();
     client.reader.get_mut().write_all(b"\x16\x03 nonsense\r\n\r\n").expect("a socket");
-    assert_eq!(client.answer().map(|a| a.status()), Some(400));
-    assert_eq!(node.ask(&good().with("X-Lane", &"x".repeat(40_000))).status(), 431);
-    assert!(worker.rest().is_empty());
-    assert_eq!(node.ask(&good().with("X-Remaining", "1e300")).status(), 200, "however long it would wait");
+    assert_eq!(client.read_response().map(|a| a.status()), Some(400));
+    assert_eq!(node.request(&good().with_header("X-Lane", &"x".repeat(40_000))).status(), 431);
+    assert!(worker.drain_requests().is_empty());
+    assert_eq!(
+        node.request(&good().with_header("X-Remaining", "1e300")).status(),
+        200,
+        "however long it would wait"
+    );
 }
 
 #[test]
 fn a_peer_that_brings_no_whole_request_is_not_waited_for() {
-    let worker = Worker::start(Does::Serves("ok"));
-    let (setup, _discovery) = Setup::new(&[&worker]);
+    let worker = Worker::start(Behaviour::Respond("ok"));
+    let (setup, _discovery) = NodeSetup::new(&[&worker]);
     let node = setup.start();
     let part = "POST /submit HTTP/1.1\r\nX-Lane: sub";
     // One sends nothing, one half a head, one a head without its body.
-    let mut peers: Vec<Client> = (0..3).map(|_| node.client()).collect();
+    let mut peers: Vec<Client> = (0..3).map(|_| node.connect()).collect();
     peers[1].reader.get_mut().write_all(part.as_bytes()).expect("a socket");
-    peers[2].send(&Ask { body: Vec::new(), ..Ask::submit("x").with("Content-Length", "9") });
+    peers[2].send(&ClientRequest {
+        body: Vec::new(),
+        ..ClientRequest::submit("x").with_header("Content-Length", "9")
+    });
     for peer in &mut peers {
         let mut said = String::new();
         peer.reader.read_to_string(&mut said).expect("closed before this test's own limit");
         assert!(said.is_empty() || said.starts_with("HTTP/1.1 4"), "{said}");
     }
-    assert!(worker.rest().is_empty());
+    assert!(worker.drain_requests().is_empty());
 }
 
 #[test]
 fn a_counter_that_is_silent_busy_or_mad_leaves_the_even_share() {
-    for how in [Counts::Never, Counts::Busy, Counts::Garbage] {
-        let worker = Worker::start(Does::Serves("ok"));
+    for how in [CounterBehaviour::Silent, CounterBehaviour::Busy, CounterBehaviour::Garbage] {
+        let worker = Worker::start(Behaviour::Respond("ok"));
         let counter = Counter::start(how);
-        let (mut setup, _discovery) = Setup::new(&[&worker]);
+        let (mut setup, _discovery) = NodeSetup::new(&[&worker]);
         setup.counter = Some(counter.addr);
         let node = setup.start();
-        let mut client = node.client();
-        let ask = |i: usize| Ask::new(&format!("c{i}")).with("X-Plan", "pieni");
-        let served = (0..12).filter(|i| client.ask(&ask(*i)).status() == 200).count();
-        counter.call();
+        let mut client = node.connect();
+        let ask = |i: usize| ClientRequest::new(&format!("c{i}")).with_header("X-Plan", "pieni");
+        let served = (0..12).filter(|i| client.request(&ask(*i)).status() == 200).count();
+        counter.next_call();
         assert!((3..=5).contains(&served), "{served} served; half of a burst of 8");
     }
 }
 
 #[test]
 fn a_late_answer_of_the_counter_is_not_taken_for_another_calls() {
-    let worker = Worker::start(Does::Serves("ok"));
+    let worker = Worker::start(Behaviour::Respond("ok"));
     // The first customer's count stands far beyond its quota; the second's is new.
-    let counter = Counter::with(Counts::FirstWaitsForSecond, 1000.0);
-    let (mut setup, _discovery) = Setup::new(&[&worker]);
+    let counter = Counter::starting_at(CounterBehaviour::HoldFirstUntilSecond, 1000.0);
+    let (mut setup, _discovery) = NodeSetup::new(&[&worker]);
     setup.counter = Some(counter.addr);
     let node = setup.start();
-    let ask =
-        |n: usize, txn: &str| Ask::new(txn).with("X-Plan", "pieni").with("X-Customer", &format!("{n:016x}"));
-    assert_eq!(node.ask(&ask(1, "a")).status(), 200, "unseen: the share serves while the count is asked");
-    counter.call();
+    let ask = |n: usize, txn: &str| {
+        ClientRequest::new(txn).with_header("X-Plan", "pieni").with_header("X-Customer", &format!("{n:016x}"))
+    };
+    assert_eq!(node.request(&ask(1, "a")).status(), 200, "unseen: the share serves while the count is asked");
+    counter.next_call();
     // Six of the second's eight are more than its share, so its count must have been read. One refused while
     // an answer is still on its way asks again; with the first's total in hand it would ask for ever.
     for i in 0..6 {
         let start = std::time::Instant::now();
-        while node.ask(&ask(2, &format!("b{i}"))).status() != 200 {
+        while node.request(&ask(2, &format!("b{i}"))).status() != 200 {
             assert!(start.elapsed() < LIMIT, "refused by another's count");
             std::thread::sleep(std::time::Duration::from_millis(20));
         }
     }
-    assert_eq!(node.ask(&ask(1, "c")).status(), 429, "the first has had its own late answer");
+    assert_eq!(node.request(&ask(1, "c")).status(), 429, "the first has had its own late answer");
 }
 
 #[test]
 fn one_stuck_connection_to_the_counter_does_not_stall_the_rest() {
-    let worker = Worker::start(Does::Serves("ok"));
-    let counter = Counter::start(Counts::FirstIsStuck);
-    let (mut setup, _discovery) = Setup::new(&[&worker]);
+    let worker = Worker::start(Behaviour::Respond("ok"));
+    let counter = Counter::start(CounterBehaviour::FirstConnectionSilent);
+    let (mut setup, _discovery) = NodeSetup::new(&[&worker]);
     setup.counter = Some(counter.addr);
     let node = setup.start();
-    let mut client = node.client();
+    let mut client = node.connect();
     let (mut served, mut connections) = (0, std::collections::BTreeSet::new());
     for i in 0..200 {
         let customer = format!("{i:016x}");
-        let ask = Ask::new(&format!("k{i}")).with("X-Plan", "pieni").with("X-Customer", &customer);
-        served += usize::from(client.ask(&ask).status() == 200);
+        let ask = ClientRequest::new(&format!("k{i}"))
+            .with_header("X-Plan", "pieni")
+            .with_header("X-Customer", &customer);
+        served += usize::from(client.request(&ask).status() == 200);
         connections.extend(counter.calls.try_iter().filter(|c| c.1 != "ping").map(|c| c.0));
         if connections.len() > 1 {
             break;
@@ -332,9 +356,9 @@
 
 #[test]
 fn a_stuck_connection_to_the_counter_is_replaced_before_it_would_idle() {
-    let worker = Worker::start(Does::Serves("ok"));
-    let counter = Counter::start(Counts::FirstIsStuck);
-    let (mut setup, _discovery) = Setup::new(&[&worker]);
+    let worker = Worker::start(Behaviour::Respond("ok"));
+    let counter = Counter::start(CounterBehaviour::FirstConnectionSilent);
+    let (mut setup, _discovery) = NodeSetup::new(&[&worker]);
     setup.counter = Some(counter.addr);
     let _node = setup.start();
     let next = || counter.calls.recv_timeout(LIMIT).expect("a ping");
@@ -345,9 +369,9 @@
 
 #[test]
 fn the_line_to_the_counter_is_kept_from_idling_out() {
-    let worker = Worker::start(Does::Serves("ok"));
-    let counter = Counter::start(Counts::Well);
-    let (mut setup, _discovery) = Setup::new(&[&worker]);
+    let worker = Worker::start(Behaviour::Respond("ok"));
+    let counter = Counter::start(CounterBehaviour::Answer);
+    let (mut setup, _discovery) = NodeSetup::new(&[&worker]);
     setup.counter = Some(counter.addr);
     let _node = setup.start();
     for _ in 0..3 {
@@ -359,93 +383,94 @@
 #[test]
 fn nothing_goes_to_a_worker_that_drains_or_is_gone() {
     for state in ["DRAINING", "DELETED"] {
-        let (one, two) = (Worker::start(Does::Serves("ok")), Worker::start(Does::Serves("ok")));
-        let (setup, discovery) = Setup::new(&[&one, &two]);
+        let (one, two) = (Worker::start(Behaviour::Respond("ok")), Worker::start(Behaviour::Respond("ok")));
+        let (setup, discovery) = NodeSetup::new(&[&one, &two]);
         let node = setup.start();
-        discovery.told(2);
+        discovery.wait_for_watch_from(2);
         // Unhindered, both would be used.
         let (mut first, mut second) = (0, 0);
         for i in 0.. {
-            assert_eq!(node.ask(&Ask::new(&format!("p{i}"))).status(), 200);
-            (first, second) = (first + one.rest().len(), second + two.rest().len());
+            assert_eq!(node.request(&ClientRequest::new(&format!("p{i}"))).status(), 200);
+            (first, second) = (first + one.drain_requests().len(), second + two.drain_requests().len());
             if first > 0 && second > 0 {
                 break;
             }
         }
-        discovery.told(discovery.change(entry("w0", one.addr, state)));
-        (0..8).for_each(|i| assert_eq!(node.ask(&Ask::new(&format!("q{i}"))).status(), 200));
-        assert_eq!((one.rest().len(), two.rest().len()), (0, 8));
+        discovery.wait_for_watch_from(discovery.upsert(discovery_entry("w0", one.addr, state)));
+        (0..8).for_each(|i| assert_eq!(node.request(&ClientRequest::new(&format!("q{i}"))).status(), 200));
+        assert_eq!((one.drain_requests().len(), two.drain_requests().len()), (0, 8));
     }
 }
 
 #[test]
 fn discovery_may_be_silent_or_mad_and_is_followed_when_it_is_back() {
-    let (old, new) = (Worker::start(Does::Serves("old")), Worker::start(Does::Serves("new")));
-    let (setup, discovery) = Setup::new(&[&old]);
-    discovery.silent(true);
+    let (old, new) = (Worker::start(Behaviour::Respond("old")), Worker::start(Behaviour::Respond("new")));
+    let (setup, discovery) = NodeSetup::new(&[&old]);
+    discovery.set_silent(true);
     let node = setup.start();
-    discovery.called();
-    assert_eq!(node.ask(&Ask::new("a")).body, b"old", "what was known at the start serves");
-    node.says("no answer");
-    discovery.silent(false);
-    discovery.garbage(true);
-    node.says("unreadable");
-    discovery.garbage(false);
-    discovery.change(entry("w1", new.addr, "SERVING"));
-    discovery.told(discovery.change(entry("w0", old.addr, "DELETED")));
-    assert_eq!(node.ask(&Ask::new("b")).body, b"new");
+    discovery.next_watch();
+    assert_eq!(node.request(&ClientRequest::new("a")).body, b"old", "what was known at the start serves");
+    node.wait_for_log("no answer");
+    discovery.set_silent(false);
+    discovery.set_malformed(true);
+    node.wait_for_log("unreadable");
+    discovery.set_malformed(false);
+    discovery.upsert(discovery_entry("w1", new.addr, "SERVING"));
+    discovery.wait_for_watch_from(discovery.upsert(discovery_entry("w0", old.addr, "DELETED")));
+    assert_eq!(node.request(&ClientRequest::new("b")).body, b"new");
 }
 
 #[test]
 fn an_overbooked_discovery_is_asked_for_changes_only() {
-    let worker = Worker::start(Does::Serves("old"));
-    let (mut setup, discovery) = Setup::new(&[&worker]);
-    setup.version = 1;
-    discovery.overbooked(true);
+    let worker = Worker::start(Behaviour::Respond("old"));
+    let (mut setup, discovery) = NodeSetup::new(&[&worker]);
+    setup.initial_version = 1;
+    discovery.set_unavailable(true);
     let node = setup.start();
-    node.says("status 503");
+    node.wait_for_log("status 503");
     assert_eq!(
-        (discovery.called(), discovery.called()),
+        (discovery.next_watch(), discovery.next_watch()),
         (1, 1),
         "from the list that is held, also after an error"
     );
-    assert_eq!(node.ask(&Ask::new("a")).body, b"old", "what was known at the start serves");
-    discovery.overbooked(false);
-    let drained = discovery.change(entry("w0", worker.addr, "DRAINING"));
-    discovery.told(drained);
-    assert_eq!(node.ask(&Ask::new("b")).status(), 429, "followed again");
+    assert_eq!(node.request(&ClientRequest::new("a")).body, b"old", "what was known at the start serves");
+    discovery.set_unavailable(false);
+    let drained = discovery.upsert(discovery_entry("w0", worker.addr, "DRAINING"));
+    discovery.wait_for_watch_from(drained);
+    assert_eq!(node.request(&ClientRequest::new("b")).status(), 429, "followed again");
 }
 
 #[test]
 fn after_sighup_discovery_and_the_counter_are_where_the_new_configuration_says() {
-    let (old, new) = (Worker::start(Does::Serves("old")), Worker::start(Does::Serves("new")));
-    let (counter, moved) = (Counter::start(Counts::Well), Counter::start(Counts::Well));
-    let (mut setup, _discovery) = Setup::new(&[&old]);
+    let (old, new) = (Worker::start(Behaviour::Respond("old")), Worker::start(Behaviour::Respond("new")));
+    let (counter, moved) =
+        (Counter::start(CounterBehaviour::Answer), Counter::start(CounterBehaviour::Answer));
+    let (mut setup, _discovery) = NodeSetup::new(&[&old]);
     setup.counter = Some(counter.addr);
     let mut node = setup.start();
-    assert_eq!(node.ask(&Ask::new("a").with("X-Plan", "pieni")).body, b"old");
-    counter.call();
-    let (next, discovery) = Setup::new(&[&new]);
+    assert_eq!(node.request(&ClientRequest::new("a").with_header("X-Plan", "pieni")).body, b"old");
+    counter.next_call();
+    let (next, discovery) = NodeSetup::new(&[&new]);
     node.reload("{");
     // Ended by the signal, it never says so.
-    node.says("configuration rejected, the present one stays in force");
-    assert_eq!(node.ask(&Ask::new("b")).body, b"old");
+    node.wait_for_log("configuration rejected, the present one stays in force");
+    assert_eq!(node.request(&ClientRequest::new("b")).body, b"old");
     setup.discovery = next.discovery;
     setup.counter = Some(moved.addr);
     node.reload(&setup.config().to_string());
-    node.says("configuration reloaded");
-    discovery.told(1);
+    node.wait_for_log("configuration reloaded");
+    discovery.wait_for_watch_from(1);
     let customer = "00000000000000c5";
-    let ask = Ask::new("c").with("X-Plan", "pieni").with("X-Customer", customer);
-    assert_eq!(node.ask(&ask).body, b"new", "the new list is followed");
-    moved.call();
+    let ask = ClientRequest::new("c").with_header("X-Plan", "pieni").with_header("X-Customer", customer);
+    assert_eq!(node.request(&ask).body, b"new", "the new list is followed");
+    moved.next_call();
     assert!(node.child.try_wait().expect("a child").is_none(), "it goes on");
 }
 
 #[test]
 fn a_bad_configuration_at_sighup_changes_nothing_at_all() {
-    let worker = Worker::start(Does::Serves("ok"));
-    let (mut setup, _discovery) = Setup::new(&[&worker]);
+    let worker = Worker::start(Behaviour::Respond("ok"));
+    let (mut setup, _discovery) = NodeSetup::new(&[&worker]);
     let node = setup.start();
     let good = setup.config().to_string();
     // Whatever else a bad file says, such as other classes and another discovery, must not be taken in.
@@ -479,103 +504,111 @@
     ];
     for config in &bad {
         node.reload(config);
-        node.says("configuration rejected, the present one stays in force");
-        assert_eq!(node.ask(&Ask::new("a")).status(), 200, "{config}");
-        assert_eq!(node.ask(&Ask::new("b").with("X-Lane", "other")).status(), 400);
+        node.wait_for_log("configuration rejected, the present one stays in force");
+        assert_eq!(node.request(&ClientRequest::new("a")).status(), 200, "{config}");
+        assert_eq!(node.request(&ClientRequest::new("b").with_header("X-Lane", "other")).status(), 400);
     }
 }
 
 #[test]
 fn new_settings_hold_from_sighup_on_and_open_requests_keep_the_old_rules() {
     let gate = Arc::new(Gate::default());
-    let worker = Worker::start(Does::WaitsAndResets(gate.clone()));
-    let (mut setup, _discovery) = Setup::new(&[&worker]);
+    let worker = Worker::start(Behaviour::CloseWhenOpened(gate.clone()));
+    let (mut setup, _discovery) = NodeSetup::new(&[&worker]);
     let node = setup.start();
-    let mut client = node.client();
-    client.send(&Ask::submit("open"));
-    worker.request();
+    let mut client = node.connect();
+    client.send(&ClientRequest::submit("open"));
+    worker.next_request();
     let mut new = setup.settings["Classes"][0].clone();
     new["Name"] = json!("submit_new");
     // The unsafe class is gone, and a safe one stands in its place.
     setup.settings["Classes"][1] = new;
     node.reload(&setup.config().to_string());
-    node.says("configuration reloaded");
+    node.wait_for_log("configuration reloaded");
     gate.open();
-    assert_eq!(client.answer().map(|a| a.status()), Some(502), "it may have run, so it is not refused");
-    worker.now(Does::Serves("ok"));
-    let mut ask = Ask::new("new").with("X-Lane", "submit_new");
+    assert_eq!(
+        client.read_response().map(|a| a.status()),
+        Some(502),
+        "it may have run, so it is not refused"
+    );
+    worker.set_behaviour(Behaviour::Respond("ok"));
+    let mut ask = ClientRequest::new("new").with_header("X-Lane", "submit_new");
     ask.line = "GET /submit_new HTTP/1.1".into();
-    assert_eq!(node.ask(&ask).status(), 200);
-    assert_eq!(node.ask(&Ask::submit("old")).status(), 400, "no client's request any more");
+    assert_eq!(node.request(&ask).status(), 200);
+    assert_eq!(node.request(&ClientRequest::submit("old")).status(), 400, "no client's request any more");
 }
 
 #[test]
 fn after_sigterm_what_is_in_hand_is_answered_and_the_end_is_clean() {
     let gate = Arc::new(Gate::default());
-    let worker = Worker::start(Does::Waits(gate.clone()));
-    let (setup, _discovery) = Setup::new(&[&worker]);
+    let worker = Worker::start(Behaviour::RespondWhenOpened(gate.clone()));
+    let (setup, _discovery) = NodeSetup::new(&[&worker]);
     let mut node = setup.start();
-    let mut idle = node.client();
-    let mut client = node.client();
-    client.send(&Ask::new("held"));
-    worker.request();
+    let mut idle = node.connect();
+    let mut client = node.connect();
+    client.send(&ClientRequest::new("held"));
+    worker.next_request();
     node.terminate();
-    node.says("shuts down with 1 open requests");
+    node.wait_for_log("shuts down with 1 open requests");
     gate.open();
-    let answer = client.answer().expect("an answer");
+    let answer = client.read_response().expect("an answer");
     assert_eq!((answer.status(), answer.header("connection")), (200, "close"));
-    assert!(idle.answer().is_none(), "idle connections are closed");
-    assert!(node.exit().success());
+    assert!(idle.read_response().is_none(), "idle connections are closed");
+    assert!(node.wait_for_exit().success());
 }
 
 #[test]
 fn after_sigterm_what_no_worker_answers_is_failed_before_the_kill() {
-    let worker = Worker::start(Does::Holds);
-    let (setup, _discovery) = Setup::new(&[&worker]);
+    let worker = Worker::start(Behaviour::NeverRespond);
+    let (setup, _discovery) = NodeSetup::new(&[&worker]);
     let mut node = setup.start();
-    let mut client = node.client();
-    client.send(&Ask::submit("held"));
-    worker.request();
+    let mut client = node.connect();
+    client.send(&ClientRequest::submit("held"));
+    worker.next_request();
     node.terminate();
-    assert_eq!(client.answer().map(|a| a.status()), Some(502), "though its client would wait for 25 s");
-    assert!(node.exit().success());
+    assert_eq!(
+        client.read_response().map(|a| a.status()),
+        Some(502),
+        "though its client would wait for 25 s"
+    );
+    assert!(node.wait_for_exit().success());
 }
 
 #[test]
 fn at_the_limit_of_descriptors_idle_connections_make_room() {
     let gate = Arc::new(Gate::default());
-    let worker = Worker::start(Does::Serves("ok"));
-    let (mut setup, _discovery) = Setup::new(&[&worker]);
-    setup.sockets = 64;
+    let worker = Worker::start(Behaviour::Respond("ok"));
+    let (mut setup, _discovery) = NodeSetup::new(&[&worker]);
+    setup.max_sockets = 64;
     let node = setup.start();
     let mut idle = Vec::new();
     for i in 0..60 {
-        let mut client = node.client();
-        assert_eq!(client.ask(&Ask::new(&format!("i{i}"))).status(), 200);
+        let mut client = node.connect();
+        assert_eq!(client.request(&ClientRequest::new(&format!("i{i}"))).status(), 200);
         idle.push(client);
         let open = std::fs::read_dir(format!("/proc/{}/fd", node.child.id())).expect("a process").count();
         assert!(open <= 64, "{open} descriptors");
     }
     assert!(idle[0].reader.read(&mut [0]).is_ok_and(|n| n == 0), "the first was closed");
     // All busy: more than there is room for wait their turn, and none is lost.
-    worker.now(Does::Waits(gate.clone()));
-    let ask = |i: usize| Ask::new(&format!("b{i}"));
-    let mut busy: Vec<Client> = (0..30).map(|_| node.client()).collect();
+    worker.set_behaviour(Behaviour::RespondWhenOpened(gate.clone()));
+    let ask = |i: usize| ClientRequest::new(&format!("b{i}"));
+    let mut busy: Vec<Client> = (0..30).map(|_| node.connect()).collect();
     busy.iter_mut().enumerate().for_each(|(i, c)| c.send(&ask(i)));
-    worker.request();
+    worker.next_request();
     gate.open();
     for (i, client) in busy.iter_mut().enumerate() {
         // Where the closing crossed the request, a client sends it once more.
-        let answer = client.answer().unwrap_or_else(|| node.ask(&ask(i)));
+        let answer = client.read_response().unwrap_or_else(|| node.request(&ask(i)));
         assert!(matches!(answer.status(), 200 | 429));
     }
-    assert_eq!(node.ask(&Ask::new("after")).status(), 200);
+    assert_eq!(node.request(&ClientRequest::new("after")).status(), 200);
 }
 
 #[test]
 fn a_bad_configuration_is_one_plain_line_and_a_failing_exit() {
-    let worker = Worker::start(Does::Holds);
-    let (setup, _discovery) = Setup::new(&[&worker]);
+    let worker = Worker::start(Behaviour::NeverRespond);
+    let (setup, _discovery) = NodeSetup::new(&[&worker]);
     let broken = |key: &str, value: serde_json::Value| {
         let mut config = setup.config();
         *config.pointer_mut(key).expect("a key") = value;
@@ -593,7 +626,7 @@
         broken("/settings/Domain/CountLimit", json!(-1)),
     ];
     for config in bad {
-        let output = run(&config).wait_with_output().expect("it ends");
+        let output = spawn_gateway(&config).wait_with_output().expect("it ends");
         let said = String::from_utf8(output.stderr).expect("text");
         assert!(!output.status.success() && said.lines().count() == 1, "{config}: {said}");
         assert!(said.starts_with("opalrun-gateway: ") && !said.contains("panicked"), "{said}");
--- a/crates/gateway/tests/pools.rs
+++ b/crates/gateway/tests/pools.rs
@@ -5,9 +5,9 @@
 use serde_json::{Value, json};
 use std::sync::Arc;
 
-fn setup(workers: &[&Worker]) -> (Setup, Discovery) {
-    let (mut setup, discovery) = Setup::new(workers);
-    setup.admin = true;
+fn setup(workers: &[&Worker]) -> (NodeSetup, Discovery) {
+    let (mut setup, discovery) = NodeSetup::new(workers);
+    setup.has_admin_api = true;
     (setup, discovery)
 }
 
@@ -17,15 +17,15 @@
 
 #[test]
 fn what_the_pools_hold_is_told() {
-    let worker = Worker::start(Does::Serves("ok"));
+    let worker = Worker::start(Behaviour::Respond("ok"));
     let (setup, _discovery) = setup(&[&worker]);
     let node = setup.start();
     for i in 0..5 {
-        assert_eq!(node.ask(&Ask::new(&format!("t{i}"))).status(), 200);
+        assert_eq!(node.request(&ClientRequest::new(&format!("t{i}"))).status(), 200);
         // After its answer a connection rests before another request may have it.
-        node.pool("w0", |p| p["idle"] == 1);
+        node.wait_for_pool("w0", |p| p["idle"] == 1);
     }
-    let pool = node.pool("w0", |p| p["idle"] == 1);
+    let pool = node.wait_for_pool("w0", |p| p["idle"] == 1);
     assert_eq!(pool["addr"], worker.addr.to_string());
     assert_eq!((count(&pool, "opened"), count(&pool, "reused"), count(&pool, "in_use")), (1, 4, 0));
     assert_eq!(
@@ -33,164 +33,168 @@
         (&Value::Null, &json!(true), &json!(false))
     );
     let gate = Arc::new(Gate::default());
-    worker.now(Does::Waits(gate.clone()));
-    let mut client = node.client();
-    client.send(&Ask::new("held"));
-    assert_eq!(count(&node.pool("w0", |p| p["in_use"] == 1), "idle"), 0);
+    worker.set_behaviour(Behaviour::RespondWhenOpened(gate.clone()));
+    let mut client = node.connect();
+    client.send(&ClientRequest::new("held"));
+    assert_eq!(count(&node.wait_for_pool("w0", |p| p["in_use"] == 1), "idle"), 0);
     gate.open();
-    assert_eq!(client.answer().map(|a| a.status()), Some(200));
-    assert_eq!(node.call("POST /control/pools"), 405);
-    assert_eq!(node.called("GET /control/pools").header("content-type"), "application/json");
+    assert_eq!(client.read_response().map(|a| a.status()), Some(200));
+    assert_eq!(node.admin_status("POST /control/pools"), 405);
+    assert_eq!(node.admin_call("GET /control/pools").header("content-type"), "application/json");
 }
 
 #[test]
 fn bytes_on_an_idle_connection_end_it_at_once_and_no_request_meets_them() {
-    let (worker, gate) = (Worker::start(Does::Serves("ok")), Arc::new(Gate::default()));
-    worker.now(Does::ServesAndChatters(gate.clone()));
+    let (worker, gate) = (Worker::start(Behaviour::Respond("ok")), Arc::new(Gate::default()));
+    worker.set_behaviour(Behaviour::RespondThenSendUnsolicited(gate.clone()));
     let (setup, _discovery) = setup(&[&worker]);
     let node = setup.start();
-    assert_eq!(node.ask(&Ask::submit("a")).body, b"first");
-    node.pool("w0", |p| p["idle"] == 1);
-    worker.now(Does::Serves("ok"));
+    assert_eq!(node.request(&ClientRequest::submit("a")).body, b"first");
+    node.wait_for_pool("w0", |p| p["idle"] == 1);
+    worker.set_behaviour(Behaviour::Respond("ok"));
     gate.open();
     // Nothing is asked for: the end is noticed when it comes.
-    let pool = node.pool("w0", |p| p["idle"] == 0);
+    let pool = node.wait_for_pool("w0", |p| p["idle"] == 0);
     assert_eq!(pool["closed"], json!({"peer": 1}));
-    assert_eq!(node.ask(&Ask::submit("b")).body, b"ok");
+    assert_eq!(node.request(&ClientRequest::submit("b")).body, b"ok");
 }
 
 #[test]
 fn a_worker_that_ends_an_idle_connection_is_noticed_when_it_does() {
-    let worker = Worker::start(Does::ServesAndEnds);
+    let worker = Worker::start(Behaviour::RespondThenShutDownWrite);
     let (setup, _discovery) = setup(&[&worker]);
     let node = setup.start();
     for i in 1..4 {
-        assert_eq!(node.ask(&Ask::submit(&format!("e{i}"))).status(), 200);
-        node.pool("w0", |p| p["idle"] == 0 && p["closed"]["peer"] == i);
+        assert_eq!(node.request(&ClientRequest::submit(&format!("e{i}"))).status(), 200);
+        node.wait_for_pool("w0", |p| p["idle"] == 0 && p["closed"]["peer"] == i);
     }
-    assert_eq!(count(&node.pool("w0", |_| true), "stale"), 0, "no request met one");
+    assert_eq!(count(&node.wait_for_pool("w0", |_| true), "stale"), 0, "no request met one");
 }
 
 #[test]
 fn one_that_closes_what_has_just_come_up_costs_a_safe_request_nothing_and_is_refused_as_never_sent() {
-    let (slams, serves) = (Worker::slamming(), Worker::start(Does::Serves("ok")));
+    let (slams, serves) = (Worker::closing_on_accept(), Worker::start(Behaviour::Respond("ok")));
     let (both, _discovery) = setup(&[&slams, &serves]);
     let node = both.start();
     for i in 0..4 {
-        assert_eq!(node.ask(&Ask::new(&format!("s{i}"))).status(), 200);
+        assert_eq!(node.request(&ClientRequest::new(&format!("s{i}"))).status(), 200);
     }
     let (alone, _discovery) = setup(&[&slams]);
     let node = alone.start();
-    let status = node.ask(&Ask::new("alone")).status();
+    let status = node.request(&ClientRequest::new("alone")).status();
     assert_eq!(status, 429);
-    node.pool("w0", |p| p["idle"] == 0 && p["in_use"] == 0 && p["connecting"] == 0);
+    node.wait_for_pool("w0", |p| p["idle"] == 0 && p["in_use"] == 0 && p["connecting"] == 0);
 }
 
 #[test]
 fn a_cut_head_may_have_run_and_a_trickling_one_is_given_up_in_time() {
-    let worker = Worker::start(Does::SaysAndEnds("HTTP/1.1 200 OK\r\nContent-Le"));
+    let worker = Worker::start(Behaviour::SendRawThenClose("HTTP/1.1 200 OK\r\nContent-Le"));
     let (setup, _discovery) = setup(&[&worker]);
     let node = setup.start();
-    assert_eq!(node.ask(&Ask::submit("cut")).status(), 502, "it is not sent again");
-    assert_eq!(worker.rest().len(), 1);
-    worker.now(Does::Says("HTTP/1.1 200 OK\r\nContent-Le"));
-    assert_eq!(node.ask(&Ask::submit("slow").with("X-Remaining", "0.4")).status(), 502);
-    let pool = node.pool("w0", |p| p["in_use"] == 0);
+    assert_eq!(node.request(&ClientRequest::submit("cut")).status(), 502, "it is not sent again");
+    assert_eq!(worker.drain_requests().len(), 1);
+    worker.set_behaviour(Behaviour::SendRaw("HTTP/1.1 200 OK\r\nContent-Le"));
+    assert_eq!(node.request(&ClientRequest::submit("slow").with_header("X-Remaining", "0.4")).status(), 502);
+    let pool = node.wait_for_pool("w0", |p| p["in_use"] == 0);
     assert_eq!((count(&pool, "idle"), &pool["closed"]), (0, &json!({"in_use": 2})));
 }
 
 #[test]
 fn after_a_silence_the_others_are_not_handed_out_ahead_of_a_new_connection() {
     let gate = Arc::new(Gate::default());
-    let worker = Worker::start(Does::Waits(gate.clone()));
+    let worker = Worker::start(Behaviour::RespondWhenOpened(gate.clone()));
     let (setup, _discovery) = setup(&[&worker]);
     let node = setup.start();
-    let mut clients: Vec<Client> = (0..2).map(|_| node.client()).collect();
-    clients.iter_mut().enumerate().for_each(|(i, c)| c.send(&Ask::new(&format!("w{i}"))));
-    node.pool("w0", |p| p["in_use"] == 2);
+    let mut clients: Vec<Client> = (0..2).map(|_| node.connect()).collect();
+    clients.iter_mut().enumerate().for_each(|(i, c)| c.send(&ClientRequest::new(&format!("w{i}"))));
+    node.wait_for_pool("w0", |p| p["in_use"] == 2);
     gate.open();
-    clients.iter_mut().for_each(|c| assert_eq!(c.answer().expect("an answer").status(), 200));
-    node.pool("w0", |p| p["idle"] == 2);
-    worker.now(Does::Holds);
-    assert_eq!(node.ask(&Ask::new("silent").with("X-Remaining", "0.3")).status(), 429);
-    let pool = node.pool("w0", |p| p["suspect"] == true);
+    clients.iter_mut().for_each(|c| assert_eq!(c.read_response().expect("an answer").status(), 200));
+    node.wait_for_pool("w0", |p| p["idle"] == 2);
+    worker.set_behaviour(Behaviour::NeverRespond);
+    assert_eq!(node.request(&ClientRequest::new("silent").with_header("X-Remaining", "0.3")).status(), 429);
+    let pool = node.wait_for_pool("w0", |p| p["suspect"] == true);
     assert_eq!((count(&pool, "idle"), count(&pool, "opened")), (1, 2));
-    worker.now(Does::Serves("ok"));
-    assert_eq!(node.ask(&Ask::submit("next")).status(), 200);
-    let pool = node.pool("w0", |p| p["idle"] == 1);
+    worker.set_behaviour(Behaviour::Respond("ok"));
+    assert_eq!(node.request(&ClientRequest::submit("next")).status(), 200);
+    let pool = node.wait_for_pool("w0", |p| p["idle"] == 1);
     assert_eq!((count(&pool, "opened"), &pool["suspect"]), (3, &json!(false)));
     assert_eq!(pool["closed"], json!({"in_use": 1, "suspect": 1}));
 }
 
 #[test]
 fn a_new_start_or_address_or_a_drain_closes_what_is_idle_at_once() {
-    let (one, two) = (Worker::start(Does::Serves("one")), Worker::start(Does::Serves("two")));
+    let (one, two) = (Worker::start(Behaviour::Respond("one")), Worker::start(Behaviour::Respond("two")));
     let (setup, discovery) = setup(&[&one]);
     let node = setup.start();
-    let idle = |n: u64| node.pool("w0", |p| p["idle"] == n);
-    assert_eq!(node.ask(&Ask::new("a")).body, b"one");
+    let idle = |n: u64| node.wait_for_pool("w0", |p| p["idle"] == n);
+    assert_eq!(node.request(&ClientRequest::new("a")).body, b"one");
     idle(1);
-    let mut anew = entry("w0", one.addr, "SERVING");
+    let mut anew = discovery_entry("w0", one.addr, "SERVING");
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a clock");
     anew["started_ms"] = json!(now.as_secs_f64() * 1000.0);
-    discovery.change(anew);
-    one.wait_for(|seen| matches!(seen, Seen::Ended(0)));
+    discovery.upsert(anew);
+    one.wait_for_event(|event| matches!(event, WorkerEvent::ConnectionClosed(0)));
     idle(0);
-    discovery.told(discovery.change(entry("w0", two.addr, "SERVING")));
+    discovery.wait_for_watch_from(discovery.upsert(discovery_entry("w0", two.addr, "SERVING")));
     let start = std::time::Instant::now();
     // Cold as it is, it is not sent much at first.
-    while node.ask(&Ask::new(&format!("b{:?}", start.elapsed()))).body != b"two" {
+    while node.request(&ClientRequest::new(&format!("b{:?}", start.elapsed()))).body != b"two" {
         assert!(start.elapsed() < LIMIT, "it is not used again");
     }
     idle(1);
-    discovery.change(entry("w0", two.addr, "DRAINING"));
-    two.wait_for(|seen| matches!(seen, Seen::Ended(0)));
-    assert_eq!(node.pool("w0", |p| p["wanted"] == false)["closed"], json!({"changed": 1, "unwanted": 1}));
+    discovery.upsert(discovery_entry("w0", two.addr, "DRAINING"));
+    two.wait_for_event(|event| matches!(event, WorkerEvent::ConnectionClosed(0)));
+    assert_eq!(
+        node.wait_for_pool("w0", |p| p["wanted"] == false)["closed"],
+        json!({"changed": 1, "unwanted": 1})
+    );
 }
 
 #[test]
 fn workers_that_exchange_addresses_get_each_what_is_theirs() {
-    let (one, two) = (Worker::start(Does::Serves("one")), Worker::start(Does::Serves("two")));
+    let (one, two) = (Worker::start(Behaviour::Respond("one")), Worker::start(Behaviour::Respond("two")));
     let (setup, discovery) = setup(&[&one, &two]);
     let node = setup.start();
-    (0..8).for_each(|i| assert_eq!(node.ask(&Ask::new(&format!("x{i}"))).status(), 200));
-    discovery.change(entry("w0", two.addr, "SERVING"));
-    discovery.told(discovery.change(entry("w1", one.addr, "SERVING")));
-    assert_eq!(node.pool("w0", |_| true)["addr"], two.addr.to_string());
-    assert_eq!(node.call("POST /control/workers/w1/offline"), 200);
-    (0..3).for_each(|i| assert_eq!(node.ask(&Ask::new(&format!("y{i}"))).body, b"two"));
+    (0..8).for_each(|i| assert_eq!(node.request(&ClientRequest::new(&format!("x{i}"))).status(), 200));
+    discovery.upsert(discovery_entry("w0", two.addr, "SERVING"));
+    discovery.wait_for_watch_from(discovery.upsert(discovery_entry("w1", one.addr, "SERVING")));
+    assert_eq!(node.wait_for_pool("w0", |_| true)["addr"], two.addr.to_string());
+    assert_eq!(node.admin_status("POST /control/workers/w1/offline"), 200);
+    (0..3).for_each(|i| assert_eq!(node.request(&ClientRequest::new(&format!("y{i}"))).body, b"two"));
 }
 
 #[test]
 fn an_unreadable_address_leaves_the_one_that_was_known() {
-    let worker = Worker::start(Does::Serves("ok"));
+    let worker = Worker::start(Behaviour::Respond("ok"));
     let (setup, discovery) = setup(&[&worker]);
     let node = setup.start();
-    let mut broken = entry("w0", worker.addr, "SERVING");
+    let mut broken = discovery_entry("w0", worker.addr, "SERVING");
     broken["addr"] = json!("here:there");
-    discovery.change(broken.clone());
+    discovery.upsert(broken.clone());
     broken["id"] = json!("w9");
-    discovery.told(discovery.change(broken));
+    discovery.wait_for_watch_from(discovery.upsert(broken));
     // One that was never known can't be sent to, which says nothing of the other.
-    (0..6).for_each(|i| drop(node.ask(&Ask::new(&format!("u{i}")))));
-    assert_eq!(node.pool("w0", |p| p["opened"].as_u64() > Some(0))["addr"], worker.addr.to_string());
+    (0..6).for_each(|i| drop(node.request(&ClientRequest::new(&format!("u{i}")))));
+    assert_eq!(node.wait_for_pool("w0", |p| p["opened"].as_u64() > Some(0))["addr"], worker.addr.to_string());
 }
 
 #[test]
 fn a_list_that_replaces_every_worker_is_followed_at_once() {
-    let old: Vec<Worker> = (0..3).map(|_| Worker::start(Does::Serves("old"))).collect();
+    let old: Vec<Worker> = (0..3).map(|_| Worker::start(Behaviour::Respond("old"))).collect();
     let (mut setup, _old) = setup(&old.iter().collect::<Vec<_>>());
-    let new = Worker::start(Does::Serves("new"));
+    let new = Worker::start(Behaviour::Respond("new"));
     let node = setup.start();
-    (0..9).for_each(|i| assert_eq!(node.ask(&Ask::new(&format!("o{i}"))).body, b"old"));
-    let discovery = Discovery::start(&[entry("n0", new.addr, "SERVING")]);
+    (0..9).for_each(|i| assert_eq!(node.request(&ClientRequest::new(&format!("o{i}"))).body, b"old"));
+    let discovery = Discovery::start(&[discovery_entry("n0", new.addr, "SERVING")]);
     setup.discovery = discovery.addr;
     node.reload(&setup.config().to_string());
-    discovery.told(1);
-    (0..9).for_each(|i| assert_eq!(node.ask(&Ask::new(&format!("n{i}"))).body, b"new"));
+    discovery.wait_for_watch_from(1);
+    (0..9).for_each(|i| assert_eq!(node.request(&ClientRequest::new(&format!("n{i}"))).body, b"new"));
     let start = std::time::Instant::now();
     loop {
-        let report: Value = serde_json::from_slice(&node.called("GET /control/pools").body).expect("JSON");
+        let report: Value =
+            serde_json::from_slice(&node.admin_call("GET /control/pools").body).expect("JSON");
         let idle = |p: &Value| p["id"] != "n0" && p["idle"] != 0;
         if !report["workers"].as_array().expect("a list").iter().any(idle) {
             return;
@@ -201,24 +205,24 @@
 
 #[test]
 fn without_a_descriptor_for_a_connect_the_request_was_never_sent() {
-    let worker = Worker::start(Does::Serves("ok"));
+    let worker = Worker::start(Behaviour::Respond("ok"));
     let (setup, _discovery) = setup(&[&worker]);
-    let node = setup.start_within(40);
+    let node = setup.start_with_descriptor_limit(40);
     let mut clients: Vec<Client> = Vec::new();
     let mut refused = 0;
     // Each asks once and stays: at some point none is left for the worker, or for the next client.
     let gate = Arc::new(Gate::default());
-    worker.now(Does::Waits(gate.clone()));
+    worker.set_behaviour(Behaviour::RespondWhenOpened(gate.clone()));
     while clients.len() < 24 {
-        let mut client = node.client();
-        client.send(&Ask::submit(&format!("d{}", clients.len())));
+        let mut client = node.connect();
+        client.send(&ClientRequest::submit(&format!("d{}", clients.len())));
         clients.push(client);
     }
-    worker.request();
+    worker.next_request();
     gate.open();
     for client in &mut clients {
         // One that found no seat in time was closed unread.
-        if let Some(answer) = client.answer() {
+        if let Some(answer) = client.read_response() {
             assert!(matches!(answer.status(), 200 | 429), "{}: never sent, so refused", answer.status());
             refused += u32::from(answer.status() == 429);
         }
@@ -226,54 +230,54 @@
     assert!(refused > 0, "there was one for each");
     drop(clients);
     let start = std::time::Instant::now();
-    while node.ask(&Ask::submit(&format!("after{:?}", start.elapsed()))).status() != 200 {
+    while node.request(&ClientRequest::submit(&format!("after{:?}", start.elapsed()))).status() != 200 {
         assert!(start.elapsed() < LIMIT, "it does not recover");
     }
 }
 
 #[test]
 fn new_limits_hold_at_once_for_what_is_idle_and_senseless_ones_change_nothing() {
-    let worker = Worker::start(Does::Serves("ok"));
+    let worker = Worker::start(Behaviour::Respond("ok"));
     let (mut setup, _discovery) = setup(&[&worker]);
     let node = setup.start();
-    assert_eq!(node.ask(&Ask::new("a")).status(), 200);
+    assert_eq!(node.request(&ClientRequest::new("a")).status(), 200);
     let good = setup.settings.clone();
     for (key, bad) in
         [("ConnIdle", 0.0), ("ConnIdle", 1e-4), ("ConnectTimeout", 0.0), ("ConnectTimeout", -1.0)]
     {
         setup.settings["Limits"][key] = json!(bad);
         node.reload(&setup.config().to_string());
-        node.says("configuration rejected, the present one stays in force");
+        node.wait_for_log("configuration rejected, the present one stays in force");
         setup.settings = good.clone();
     }
-    assert_eq!(count(&node.pool("w0", |p| p["in_use"] == 0), "idle"), 1);
+    assert_eq!(count(&node.wait_for_pool("w0", |p| p["in_use"] == 0), "idle"), 1);
     setup.settings["Limits"]["ConnIdle"] = json!(0.01);
     node.reload(&setup.config().to_string());
-    worker.wait_for(|seen| matches!(seen, Seen::Ended(0)));
-    assert_eq!(node.pool("w0", |p| p["idle"] == 0)["closed"], json!({"idle_limit": 1}));
-    assert_eq!(node.ask(&Ask::new("b")).status(), 200);
+    worker.wait_for_event(|event| matches!(event, WorkerEvent::ConnectionClosed(0)));
+    assert_eq!(node.wait_for_pool("w0", |p| p["idle"] == 0)["closed"], json!({"idle_limit": 1}));
+    assert_eq!(node.request(&ClientRequest::new("b")).status(), 200);
 }
 
 #[test]
 fn after_sigterm_idle_connections_go_first_and_none_in_use() {
     let gate = Arc::new(Gate::default());
-    let worker = Worker::start(Does::Serves("ok"));
+    let worker = Worker::start(Behaviour::Respond("ok"));
     let (setup, _discovery) = setup(&[&worker]);
     let mut node = setup.start();
-    worker.now(Does::Waits(gate.clone()));
-    let mut clients: Vec<Client> = (0..2).map(|_| node.client()).collect();
-    clients.iter_mut().enumerate().for_each(|(i, c)| c.send(&Ask::new(&format!("t{i}"))));
-    node.pool("w0", |p| p["in_use"] == 2);
+    worker.set_behaviour(Behaviour::RespondWhenOpened(gate.clone()));
+    let mut clients: Vec<Client> = (0..2).map(|_| node.connect()).collect();
+    clients.iter_mut().enumerate().for_each(|(i, c)| c.send(&ClientRequest::new(&format!("t{i}"))));
+    node.wait_for_pool("w0", |p| p["in_use"] == 2);
     gate.open();
-    clients.iter_mut().for_each(|c| assert_eq!(c.answer().expect("an answer").status(), 200));
-    node.pool("w0", |p| p["idle"] == 2);
+    clients.iter_mut().for_each(|c| assert_eq!(c.read_response().expect("an answer").status(), 200));
+    node.wait_for_pool("w0", |p| p["idle"] == 2);
     let gate = Arc::new(Gate::default());
-    worker.now(Does::Waits(gate.clone()));
-    clients[0].send(&Ask::new("last"));
-    node.pool("w0", |p| p["in_use"] == 1);
+    worker.set_behaviour(Behaviour::RespondWhenOpened(gate.clone()));
+    clients[0].send(&ClientRequest::new("last"));
+    node.wait_for_pool("w0", |p| p["in_use"] == 1);
     node.terminate();
-    worker.wait_for(|seen| matches!(seen, Seen::Ended(_)));
+    worker.wait_for_event(|event| matches!(event, WorkerEvent::ConnectionClosed(_)));
     gate.open();
-    assert_eq!(clients[0].answer().expect("an answer").body, b"waited");
-    assert!(node.exit().success());
+    assert_eq!(clients[0].read_response().expect("an answer").body, b"waited");
+    assert!(node.wait_for_exit().success());
 }
--- a/crates/gateway/tests/power_loss.rs
+++ b/crates/gateway/tests/power_loss.rs
@@ -8,27 +8,27 @@
 const RATE: f64 = 0.5;
 
 /// Gateway `me` of `n`, with the counter silent.
-fn start(me: u32, n: u32, now: Time) -> Rig {
+fn start(me: u32, n: u32, now: Time) -> Harness {
     let mut s = settings();
     (s.gateway_index, s.gateway_count, s.has_counter, s.max_attempts, s.warm_up) = (me, n, false, 1, 0.0);
     s.plans = vec![plan(RATE, BURST)];
-    let mut rig = Rig::new(s);
+    let mut rig = Harness::new(s);
     rig.now = now;
     rig
 }
 
 /// Asks once and ends what is sent; whether it was.
-fn sent(rig: &mut Rig, job: &str, spread: u32) -> bool {
+fn sent(rig: &mut Harness, job: &str, spread: u32) -> bool {
     let request = Request { spread, ..request(job, rig.now) };
-    let out = rig.event(Event::Request(request));
-    let sends = sends(&out);
+    let out = rig.handle_event(Event::Request(request));
+    let sends = sent_attempts(&out);
     for (job, server) in &sends {
-        rig.outcome(job, 0, server, Status::Ok);
+        rig.attempt_ended(job, 0, server, Status::Ok);
     }
     !sends.is_empty()
 }
 
-fn ledger(rig: &Rig) -> Option<Ledger> {
+fn ledger(rig: &Harness) -> Option<Ledger> {
     Some(rig.gateway.ledger(rig.now, "c", 1.0)?.1)
 }
 
@@ -38,7 +38,7 @@
     let mut rng = fastrand::Rng::with_seed(seed);
     let n = rng.u32(2..6);
     let (begin, mut now, mut granted) = (100.0, 100.0, 0.0);
-    let mut rigs: Vec<Rig> = (0..n).map(|me| start(me, n, begin)).collect();
+    let mut rigs: Vec<Harness> = (0..n).map(|me| start(me, n, begin)).collect();
     let mut disks: Vec<Option<Ledger>> = vec![None; n as usize];
     let (mut written, mut missing) = (vec![begin; n as usize], vec![false; n as usize]);
     for step in 0..400 {
@@ -92,12 +92,12 @@
     // Windows of 16 s: four bursts over the rate, at the customer's own phase.
     let mut s = settings();
     (s.plans, s.warm_up) = (vec![plan(2.0, 8.0)], 0.0);
-    let (mut counter, mut rig) = (Counter::default(), Rig::new(s.clone()));
-    assert_eq!(counter.ask_many(&mut rig, "before", 1), 1);
+    let (mut counter, mut rig) = (InstantCounter::default(), Harness::new(s.clone()));
+    assert_eq!(counter.request_many(&mut rig, "before", 1), 1);
     let (_, mut ledger) = rig.gateway.ledger(rig.now, "c", 0.0).expect("it is known");
     ledger.lease = 3.0;
     let spent = |away: f64, most: Option<f64>| {
-        let mut heir = Rig::new(s.clone());
+        let mut heir = Harness::new(s.clone());
         heir.now = rig.now + away;
         let kept = RecoveredState {
             customers: vec![("c".into(), 0, away, ledger.clone())],
@@ -108,9 +108,9 @@
         heir.gateway.ledger(heir.now, "c", 0.0).expect("it is known").1.lease
     };
     let same = |away: f64| {
-        let mut other = Rig::new(s.clone());
+        let mut other = Harness::new(s.clone());
         other.now = rig.now + away;
-        Counter::default().ask(&mut other, "w");
+        InstantCounter::default().request(&mut other, "w");
         other.gateway.ledger(other.now, "c", 0.0).expect("it is known").1.window == ledger.window
     };
     let end = (1..400).map(|i| f64::from(i) * 0.1).find(|away| !same(*away)).expect("windows turn");
@@ -134,7 +134,7 @@
     (s.has_counter, s.warm_up) = (false, 0.0);
     s.plans = vec![plan(1.0, 4.0)];
     (s.plans[0].ceiling_rate, s.plans[0].ceiling_burst) = (2.0, 8.0);
-    let mut rig = Rig::new(s);
+    let mut rig = Harness::new(s);
     let ledger = Ledger { spread: 2, share: 4.0, ..Ledger::default() };
     rig.gateway.recover(
         100.0,
@@ -157,9 +157,11 @@
     assert_eq!((plan, kept.spread, kept.owed), (0, 2, 2.0));
     assert!(kept.share <= BURST / 2.0, "no more than a fresh share: {}", kept.share);
     let to_a = (0..20).filter(|i| {
-        sends(&rig.event(Event::Request(Request { plan: 0, ..request(&format!("x{i}"), rig.now) })))
-            .iter()
-            .any(|(_, s)| &**s == "a")
+        sent_attempts(
+            &rig.handle_event(Event::Request(Request { plan: 0, ..request(&format!("x{i}"), rig.now) })),
+        )
+        .iter()
+        .any(|(_, s)| &**s == "a")
     });
     assert_eq!(to_a.count(), 0, "it is out by hand");
 }
--- a/crates/gateway/tests/property.rs
+++ b/crates/gateway/tests/property.rs
@@ -28,7 +28,7 @@
     attempts: BTreeMap<JobId, Vec<bool>>,
     /// Attempts in flight, with the time of their time-out.
     in_flight: Vec<(JobId, u32, ServerId, Time)>,
-    /// Counter calls in flight, by name of the count.
+    /// InstantCounter calls in flight, by name of the count.
     calls: Vec<u64>,
     timers: Vec<(Time, u64)>,
     /// Servers that are draining or removed.
@@ -77,28 +77,28 @@
     s.plans[1].max_open_attempts = 2;
     (s.plans[0].ceiling_rate, s.plans[0].ceiling_burst) = (20.0, 40.0);
     s.plans.push(Plan::default());
-    let mut rig = Rig::new(s);
+    let mut harness = Harness::new(s);
     for n in 0..1500 {
-        rig.now += 0.002 * random.below(4) as f64;
-        let due: Vec<u64> = world.timers.iter().filter(|t| t.0 <= rig.now).map(|t| t.1).collect();
-        world.timers.retain(|t| t.0 > rig.now);
+        harness.now += 0.002 * random.below(4) as f64;
+        let due: Vec<u64> = world.timers.iter().filter(|t| t.0 <= harness.now).map(|t| t.1).collect();
+        world.timers.retain(|t| t.0 > harness.now);
         for token in due {
-            let out = rig.event(Event::Timer { token });
-            world.check(rig.now, at_most_once, &out);
+            let out = harness.handle_event(Event::Timer { token });
+            world.check(harness.now, at_most_once, &out);
         }
-        while let Some(i) = world.in_flight.iter().position(|o| o.3 <= rig.now) {
+        while let Some(i) = world.in_flight.iter().position(|o| o.3 <= harness.now) {
             let (job, attempt, server, _) = world.in_flight.remove(i);
-            let out = rig.outcome(&job, attempt, &server, Status::Timeout);
-            world.check(rig.now, at_most_once, &out);
+            let out = harness.attempt_ended(&job, attempt, &server, Status::Timeout);
+            world.check(harness.now, at_most_once, &out);
         }
         let out = match random.below(10) {
             0..4 => {
-                let mut r = request(&format!("j{n}"), rig.now);
+                let mut r = request(&format!("j{n}"), harness.now);
                 (r.plan, r.spread) = (random.below(3) as usize, 1 + random.below(3) as u32);
                 r.customer = format!("c{}", random.below(4)).as_str().into();
-                r.expires = rig.now + 0.01 * random.below(100) as f64;
+                r.expires = harness.now + 0.01 * random.below(100) as f64;
                 world.deadline.insert(r.job.clone(), r.expires);
-                rig.event(Event::Request(r))
+                harness.handle_event(Event::Request(r))
             }
             4..7 if !world.in_flight.is_empty() => {
                 let i = random.below(world.in_flight.len() as u64) as usize;
@@ -111,7 +111,7 @@
                 if status == Status::Ok {
                     world.ended.insert(job.clone());
                 }
-                rig.outcome(&job, attempt, &server, status)
+                harness.attempt_ended(&job, attempt, &server, status)
             }
             7 | 8 if !world.calls.is_empty() => {
                 let name = world.calls.remove(0);
@@ -120,7 +120,7 @@
                 }
                 let ends = [Status::Ok, Status::Ok, Status::Ok, Status::Timeout, Status::Rejected];
                 let total = world.counter.get(&name).copied().unwrap_or(0.0);
-                rig.counted(name, ends[random.below(5) as usize], total)
+                harness.counter_answered(name, ends[random.below(5) as usize], total)
             }
             _ => {
                 let name = ["a", "b", "c"][random.below(3) as usize];
@@ -130,19 +130,22 @@
                     Lifecycle::Running => world.stopped.remove(name),
                     _ => world.stopped.insert(name.into()),
                 };
-                rig.event(Event::List {
+                harness.handle_event(Event::List {
                     kind: ListKind::Changes,
-                    servers: vec![server(name, lifecycle, rig.now)],
+                    servers: vec![server(name, lifecycle, harness.now)],
                 })
             }
         };
-        world.check(rig.now, at_most_once, &out);
+        world.check(harness.now, at_most_once, &out);
     }
     for (job, deadline) in &world.deadline {
         let in_flight = world.in_flight.iter().any(|o| o.0 == *job);
-        assert!(world.ended.contains(job) || in_flight || *deadline > rig.now, "{job} has no final answer");
+        assert!(
+            world.ended.contains(job) || in_flight || *deadline > harness.now,
+            "{job} has no final answer"
+        );
     }
-    rig.actions
+    harness.actions
 }
 
 #[test]
--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -22,9 +22,9 @@
 
 impl Place {
     fn new() -> Self {
-        let folder = folder();
+        let folder = create_temp_folder();
         (0..2).for_each(|i| std::fs::create_dir(folder.join(format!("state-{i}"))).expect("its own folder"));
-        Self { worker: Worker::start(Does::Serves("here")), folder }
+        Self { worker: Worker::start(Behaviour::Respond("here")), folder }
     }
 
     fn state(&self, gateway: usize) -> PathBuf {
@@ -32,11 +32,11 @@
     }
 
     /// Gateway 0 or 1 of two, which keeps its state.
-    fn setup(&self, gateway: usize) -> (Setup, Discovery) {
-        let (mut setup, discovery) = Setup::new(&[&self.worker]);
+    fn setup(&self, gateway: usize) -> (NodeSetup, Discovery) {
+        let (mut setup, discovery) = NodeSetup::new(&[&self.worker]);
         setup.settings["Me"] = json!(gateway);
-        setup.admin = true;
-        setup.state = Some(self.state(gateway));
+        setup.has_admin_api = true;
+        setup.state_folder = Some(self.state(gateway));
         (setup, discovery)
     }
 }
@@ -48,13 +48,13 @@
     }
 }
 
-fn quota(txn: &str) -> Ask {
-    Ask::new(txn).with("X-Plan", "pieni").with("X-Customer", CUSTOMER)
+fn quota(txn: &str) -> ClientRequest {
+    ClientRequest::new(txn).with_header("X-Plan", "pieni").with_header("X-Customer", CUSTOMER)
 }
 
 /// Asks until it is refused; how often it was served.
 fn spend(node: &Node, tag: &str) -> usize {
-    (0..12).filter(|i| node.ask(&quota(&format!("{tag}-{i}"))).status() == 200).count()
+    (0..12).filter(|i| node.request(&quota(&format!("{tag}-{i}"))).status() == 200).count()
 }
 
 fn report(node: &Node) -> Value {
@@ -63,7 +63,7 @@
 
 /// Waits until a gateway's report fits.
 fn until(node: &Node, fits: impl Fn(&Value) -> bool) -> Value {
-    node.until("recovery", fits)
+    node.wait_for_report("recovery", fits)
 }
 
 /// All that was sent is on disk.
@@ -113,7 +113,7 @@
 #[test]
 fn half_of_the_fleet_loses_power_and_the_counter_is_emptied_and_no_burst_comes_anew() {
     let place = Place::new();
-    let counter = Counter::start(Counts::Well);
+    let counter = Counter::start(CounterBehaviour::Answer);
     let setups = [place.setup(0), place.setup(1)].map(|(mut setup, discovery)| {
         setup.counter = Some(counter.addr);
         // A window of four bursts over the rate, and no longer than 25 s: all of this is within two.
@@ -125,7 +125,7 @@
     assert!((7..=9).contains(&before), "{before} of a burst of eight");
     until(&nodes[0], synced);
     kill(&mut nodes[0]);
-    counter.empty();
+    counter.clear();
     nodes[0] = setups[0].0.start();
     let after: usize = nodes.iter().enumerate().map(|(i, n)| spend(n, &format!("after-{i}"))).sum();
     assert!(after <= 1, "{after} more, {before} before");
@@ -151,8 +151,10 @@
     let report = report(&node);
     assert!(report["trusted"]["file"].as_str().is_some_and(|f| f.contains("cut off")), "{report}");
     assert_eq!(report["trusted"]["others_count_as_spent"], json!(true), "{report}");
-    let other = Ask::new("other").with("X-Plan", "pieni").with("X-Customer", "00000000b4d65522");
-    assert_ne!(node.ask(&other).status(), 200, "nobody knows what it has spent");
+    let other = ClientRequest::new("other")
+        .with_header("X-Plan", "pieni")
+        .with_header("X-Customer", "00000000b4d65522");
+    assert_ne!(node.request(&other).status(), 200, "nobody knows what it has spent");
     // It has mended the file.
     assert_eq!(state(&["verify"], &place.state(0)).status.code(), Some(0));
 }
@@ -162,11 +164,11 @@
     let place = Place::new();
     let (mut setup, _discovery) = place.setup(0);
     let mut node = setup.start();
-    let twin = setup.run_text(&setup.config().to_string(), &place.state(0));
+    let twin = setup.run_with_config_text(&setup.config().to_string(), &place.state(0));
     assert!(!twin.status.success());
     let said = String::from_utf8(twin.stderr).expect("text");
     assert!(said.contains("in use by another process"), "{said}");
-    assert_eq!(node.ask(&Ask::new("still")).status(), 200);
+    assert_eq!(node.request(&ClientRequest::new("still")).status(), 200);
     assert_eq!(state(&["compact"], &place.state(0)).status.code(), Some(2), "a gateway uses it");
     until(&node, synced);
     kill(&mut node);
@@ -179,7 +181,7 @@
         "{found}"
     );
     assert_eq!(std::fs::read(place.state(0).join("journal.aside-1")).expect("kept"), theirs);
-    assert_eq!(node.ask(&Ask::new("serves")).status(), 200);
+    assert_eq!(node.request(&ClientRequest::new("serves")).status(), 200);
 }
 
 #[test]
@@ -202,7 +204,7 @@
 #[test]
 fn an_end_in_good_order_leaves_its_leases_to_one_heir() {
     let place = Place::new();
-    let counter = Counter::start(Counts::Well);
+    let counter = Counter::start(CounterBehaviour::Answer);
     let (mut setup, _discovery) = place.setup(0);
     // A burst of 24 at 1 a second: windows of 25 s, and blocks of demand's worth.
     setup.settings["Plans"][1] =
@@ -218,9 +220,9 @@
     let mut left = (false, 0.0);
     for round in 0..40 {
         let mut node = setup.start();
-        (0..4 + round).for_each(|i| drop(node.ask(&quota(&format!("round-{round}-{i}")))));
+        (0..4 + round).for_each(|i| drop(node.request(&quota(&format!("round-{round}-{i}")))));
         node.terminate();
-        assert!(node.exit().success());
+        assert!(node.wait_for_exit().success());
         left = leases();
         assert!(left.0, "it ended in good order");
         if left.1 >= 1.0 {
@@ -242,12 +244,12 @@
 #[test]
 fn workers_out_by_hand_stay_out_and_the_list_of_before_serves_while_discovery_is_silent() {
     let place = Place::new();
-    let other = Worker::start(Does::Serves("there"));
+    let other = Worker::start(Behaviour::Respond("there"));
     let (mut setup, discovery) = place.setup(0);
-    let version = discovery.change(entry("w1", other.addr, "SERVING"));
+    let version = discovery.upsert(discovery_entry("w1", other.addr, "SERVING"));
     let mut node = setup.start();
-    discovery.told(version);
-    assert_eq!(node.call("POST /control/workers/w0/offline"), 200);
+    discovery.wait_for_watch_from(version);
+    assert_eq!(node.admin_status("POST /control/workers/w0/offline"), 200);
     until(&node, synced);
     let told = || {
         let told = state(&["show", "--json"], &place.state(0));
@@ -260,18 +262,18 @@
     assert_eq!(told()["out_by_hand"], json!(["w0"]));
     kill(&mut node);
     // Discovery comes back last, and the configuration lists nobody.
-    discovery.silent(true);
-    setup.known = Vec::new();
+    discovery.set_silent(true);
+    setup.initial_servers = Vec::new();
     let node = setup.start();
     let report = until(&node, |r| step(r, "list of workers").is_some());
     assert!(step(&report, "list of workers").is_some_and(|s| s.contains("earlier list")), "{report}");
     assert_eq!(report["trusted"]["out_by_hand"], json!(["w0"]));
     let asked = Instant::now();
-    while node.ask(&Ask::new("old-list")).status() != 200 {
+    while node.request(&ClientRequest::new("old-list")).status() != 200 {
         assert!(asked.elapsed() < LIMIT, "it has a worker");
     }
-    other.request();
-    assert!(place.worker.rest().is_empty(), "the other one is out by hand");
+    other.next_request();
+    assert!(place.worker.drain_requests().is_empty(), "the other one is out by hand");
 }
 
 #[test]
@@ -279,24 +281,24 @@
     let place = Place::new();
     let (setup, _discovery) = place.setup(0);
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let old = setup.start_on(&listener, &place.folder);
+    let old = setup.start_on_listener(&listener, &place.folder);
     assert_eq!(spend(&old, "before"), 4);
     until(&old, synced);
     // A process that has handed over leaves a moment after its last client, so one is kept waiting for its answer.
     let gate = Arc::new(Gate::default());
-    place.worker.now(Does::Waits(gate.clone()));
-    let mut client = old.client();
-    client.send(&Ask::submit("waits"));
-    while place.worker.request().1.header("x-txn") != "waits" {}
-    place.worker.now(Does::Serves("here"));
-    let mut new = setup.start_on(&listener, &place.folder);
+    place.worker.set_behaviour(Behaviour::RespondWhenOpened(gate.clone()));
+    let mut client = old.connect();
+    client.send(&ClientRequest::submit("waits"));
+    while place.worker.next_request().1.header("x-txn") != "waits" {}
+    place.worker.set_behaviour(Behaviour::Respond("here"));
+    let mut new = setup.start_on_listener(&listener, &place.folder);
     assert_eq!(until(&new, synced)["trusted"]["from"], json!("the process before"));
     assert_eq!(report(&old)["journal"]["holds"], json!(false));
     kill(&mut new);
     until(&old, synced);
     assert_eq!(spend(&old, "again"), 0, "what it had granted before went to the heir, who is gone");
     gate.open();
-    assert_eq!(client.answer().expect("an answer").status(), 200);
+    assert_eq!(client.read_response().expect("an answer").status(), 200);
 }
 
 #[test]
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -27,7 +27,7 @@
 
 #[test]
 fn odd_events_end_the_request_once_and_send_nothing() {
-    let mut rig = Rig::new(settings());
+    let mut rig = Harness::new(settings());
     for (i, change) in [
         (|r: &mut Request| r.class = 9) as fn(&mut Request),
         |r| r.plan = 9,
@@ -39,29 +39,29 @@
     {
         let mut odd = request(&format!("odd{i}"), rig.now);
         change(&mut odd);
-        let out = rig.event(Event::Request(odd));
-        assert_eq!((out.len(), refused(&out)), (1, 1));
+        let out = rig.handle_event(Event::Request(odd));
+        assert_eq!((out.len(), refused_count(&out)), (1, 1));
     }
-    assert!(rig.event(Event::Timer { token: 999 }).is_empty());
-    assert!(rig.counted(5, Status::Ok, 1.0).is_empty());
-    assert!(rig.outcome("never", 0, &"nowhere".into(), Status::Reset).is_empty());
-    assert!(rig.event(Event::ClientDisconnected { job: "never".into() }).is_empty());
+    assert!(rig.handle_event(Event::Timer { token: 999 }).is_empty());
+    assert!(rig.counter_answered(5, Status::Ok, 1.0).is_empty());
+    assert!(rig.attempt_ended("never", 0, &"nowhere".into(), Status::Reset).is_empty());
+    assert!(rig.handle_event(Event::ClientDisconnected { job: "never".into() }).is_empty());
 }
 
 #[test]
 fn a_change_of_settings_is_all_or_nothing() {
-    let mut rig = Rig::new(settings());
+    let mut rig = Harness::new(settings());
     let mut bad = settings();
     (bad.plans[0].rate, bad.max_open_requests) = (f64::NAN, 0);
-    assert_eq!(retune(&mut rig.gateway, bad), Err(SettingsError::InvalidNumber("rate")));
+    assert_eq!(apply_settings(&mut rig.gateway, bad), Err(SettingsError::InvalidNumber("rate")));
     let mut fewer = settings();
     (fewer.plans, fewer.max_open_requests) = (Vec::new(), 0);
-    assert_eq!(retune(&mut rig.gateway, fewer), Err(SettingsError::PlansRemoved));
-    assert_eq!(sends(&rig.ask("still")).len(), 1, "nothing of either is in force");
+    assert_eq!(apply_settings(&mut rig.gateway, fewer), Err(SettingsError::PlansRemoved));
+    assert_eq!(sent_attempts(&rig.request("still")).len(), 1, "nothing of either is in force");
     let mut full = settings();
     full.max_open_requests = 0;
-    assert_eq!(retune(&mut rig.gateway, full), Ok(()));
-    assert_eq!(refused(&rig.ask("now")), 1);
+    assert_eq!(apply_settings(&mut rig.gateway, full), Ok(()));
+    assert_eq!(refused_count(&rig.request("now")), 1);
 }
 
 #[test]
@@ -70,25 +70,25 @@
     old.plans = vec![Plan::default()];
     old.classes = vec![Class::default(), Class::default()];
     (old.classes[0].effect, old.max_attempts) = (Effect::AtMostOnce, 2);
-    let mut rig = Rig::new(old.clone());
-    let open = |rig: &mut Rig, job: &str, class: usize| {
+    let mut rig = Harness::new(old.clone());
+    let open = |rig: &mut Harness, job: &str, class: usize| {
         let mut request = request(job, rig.now);
         request.class = class;
-        sends(&rig.event(Event::Request(request))).remove(0).1
+        sent_attempts(&rig.handle_event(Event::Request(request))).remove(0).1
     };
     let (once, safe) = (open(&mut rig, "once", 0), open(&mut rig, "safe", 1));
     // What was first is gone, what was second stands first, and one attempt is all that there is now.
     let mut new = old;
     (new.classes, new.max_attempts) = (vec![Class::default()], 1);
-    assert_eq!(retune(&mut rig.gateway, new), Ok(()));
-    let out = rig.outcome("once", 0, &once, Status::Reset);
-    assert_eq!((sends(&out).len(), failed(&out)), (0, 1), "it is still one that runs once");
+    assert_eq!(apply_settings(&mut rig.gateway, new), Ok(()));
+    let out = rig.attempt_ended("once", 0, &once, Status::Reset);
+    assert_eq!((sent_attempts(&out).len(), failed_count(&out)), (0, 1), "it is still one that runs once");
     assert_eq!(
-        sends(&rig.outcome("safe", 0, &safe, Status::Reset)).len(),
+        sent_attempts(&rig.attempt_ended("safe", 0, &safe, Status::Reset)).len(),
         1,
         "and this has its second attempt"
     );
     let server = open(&mut rig, "later", 0);
-    let out = rig.outcome("later", 0, &server, Status::Reset);
-    assert_eq!((sends(&out).len(), refused(&out)), (0, 1), "which a later one has not");
+    let out = rig.attempt_ended("later", 0, &server, Status::Reset);
+    assert_eq!((sent_attempts(&out).len(), refused_count(&out)), (0, 1), "which a later one has not");
 }
