--- a/crates/gateway/tests/streams.rs
+++ b/crates/gateway/tests/streams.rs
@@ -21,17 +21,17 @@
 }
 
 /// Adds one more name for the worker that is there.
-fn again(setup: &mut Setup, discovery: &Discovery, id: &str) {
-    let mut other = setup.known[0].clone();
+fn again(setup: &mut NodeSetup, discovery: &Discovery, id: &str) {
+    let mut other = setup.initial_servers[0].clone();
     other["id"] = json!(id);
-    discovery.change(other.clone());
-    setup.known.push(other);
+    discovery.upsert(other.clone());
+    setup.initial_servers.push(other);
 }
 
 /// A worker that does with each connection what `serve` does.
-fn worker(serve: impl Fn(TcpStream) + Send + Sync + 'static) -> (Setup, Discovery) {
+fn worker(serve: impl Fn(TcpStream) + Send + Sync + 'static) -> (NodeSetup, Discovery) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let entry = entry("w0", listener.local_addr().expect("bound"), "SERVING");
+    let entry = discovery_entry("w0", listener.local_addr().expect("bound"), "SERVING");
     let serve = Arc::new(serve);
     thread::spawn(move || {
         for socket in listener.incoming().flatten() {
@@ -39,9 +39,9 @@
             thread::spawn(move || serve(socket));
         }
     });
-    let (mut setup, discovery) = Setup::new(&[]);
-    discovery.change(entry.clone());
-    setup.known.push(entry);
+    let (mut setup, discovery) = NodeSetup::new(&[]);
+    discovery.upsert(entry.clone());
+    setup.initial_servers.push(entry);
     (setup, discovery)
 }
 
@@ -108,15 +108,18 @@
             }
             let _ = reader.read(&mut [0]);
         });
-        (setup.admin, setup.settings["Classes"][0]["Slo"]) = (true, json!(2.0));
+        (setup.has_admin_api, setup.settings["Classes"][0]["Slo"]) = (true, json!(2.0));
         let node = setup.start();
-        let mut client = node.client();
-        client.send(&Ask::new("long").with("X-Remaining", "2.0"));
+        let mut client = node.connect();
+        client.send(&ClientRequest::new("long").with_header("X-Remaining", "2.0"));
         let first = head(&mut client.reader).expect("an answer, before its worker has all of it");
         assert!(first.starts_with("HTTP/1.1 200"), "{first}");
-        assert_eq!(node.call("POST /control/out-of-service"), 200);
+        assert_eq!(node.admin_status("POST /control/out-of-service"), 200);
         // A later one of the same time has its time-out before the first goes on.
-        assert_eq!(node.ask(&Ask::new("silent").with("X-Remaining", "2.0")).status(), 429);
+        assert_eq!(
+            node.request(&ClientRequest::new("silent").with_header("X-Remaining", "2.0")).status(),
+            429
+        );
         gate.open();
         let mut body = vec![0; MIB];
         if chunked {
@@ -125,7 +128,7 @@
             client.reader.read_exact(&mut body).expect("the rest");
         }
         assert!(body == long(MIB), "unchanged");
-        assert!(client.answer().is_none(), "closed after the answer, as clients are sent away");
+        assert!(client.read_response().is_none(), "closed after the answer, as clients are sent away");
     }
 }
 
@@ -137,14 +140,18 @@
         let _ = socket.write_all(&long(0x20000));
     });
     let node = setup.start();
-    let mut client = node.client();
-    client.send(&Ask::new("broken"));
+    let mut client = node.connect();
+    client.send(&ClientRequest::new("broken"));
     assert!(head(&mut client.reader).expect("an answer").starts_with("HTTP/1.1 200"));
     let mut rest = Vec::new();
     // Ended by a close or a reset.
     let _ = client.reader.read_to_end(&mut rest);
     assert!(!rest.ends_with(b"0\r\n\r\n") && rest.len() >= 0x10000, "{} bytes", rest.len());
-    assert_eq!(node.ask(&Ask::new("x").with("X-Remaining", "x")).status(), 400, "it goes on");
+    assert_eq!(
+        node.request(&ClientRequest::new("x").with_header("X-Remaining", "x")).status(),
+        400,
+        "it goes on"
+    );
 }
 
 #[test]
@@ -161,8 +168,8 @@
     // leaves a worker alone that fails often.
     for i in 0..20 {
         let node = setup.start();
-        let mut client = node.client();
-        client.send(&Ask::submit(&format!("b{i}")));
+        let mut client = node.connect();
+        client.send(&ClientRequest::submit(&format!("b{i}")));
         let mut seen = Vec::new();
         // Ended by a close or a reset.
         let _ = client.reader.read_to_end(&mut seen);
@@ -185,11 +192,11 @@
     });
     // The same under another name, as a further attempt goes to another worker.
     again(&mut setup, &discovery, "w1");
-    assert_eq!(setup.start().ask(&Ask::new("a")).body, b"good");
+    assert_eq!(setup.start().request(&ClientRequest::new("a")).body, b"good");
 }
 
 /// A worker that tells the head and then the body of each request as it comes, and answers its end.
-fn taker(chunked: bool, length: usize) -> (Setup, Discovery, Receiver<String>, Receiver<Vec<u8>>) {
+fn taker(chunked: bool, length: usize) -> (NodeSetup, Discovery, Receiver<String>, Receiver<Vec<u8>>) {
     let ((tell_head, heads), (tell_body, bodies)) = (channel(), channel());
     let (setup, discovery) = worker(move |mut socket| {
         let mut reader = BufReader::new(socket.try_clone().expect("a socket"));
@@ -217,11 +224,12 @@
         let (mut setup, _discovery, heads, bodies) = taker(chunked, MIB);
         setup.settings["Classes"][1]["Slo"] = json!(2.0);
         let node = setup.start();
-        let mut client = node.client();
+        let mut client = node.connect();
         let body = long(MIB);
         let framing = if chunked { ("Transfer-Encoding", "chunked") } else { ("Content-Length", "1048576") };
-        let ask = Ask::submit("long").with(framing.0, framing.1).with("X-Remaining", "2.0");
-        client.send(&Ask { body: Vec::new(), ..ask });
+        let ask =
+            ClientRequest::submit("long").with_header(framing.0, framing.1).with_header("X-Remaining", "2.0");
+        client.send(&ClientRequest { body: Vec::new(), ..ask });
         let socket = client.reader.get_mut();
         let piece = |socket: &mut TcpStream, part: &[u8]| {
             if chunked {
@@ -245,8 +253,12 @@
             socket.write_all(b"0\r\nX-Trailer: 1\r\n\r\n").expect("a socket");
         }
         assert!(bodies.recv_timeout(LIMIT).expect("the body") == body, "unchanged");
-        assert_eq!(client.answer().map(|a| (a.status(), a.body)), Some((200, b"taken".to_vec())));
-        assert_eq!(client.ask(&Ask::new("x").without("X-Txn")).status(), 400, "the connection is kept");
+        assert_eq!(client.read_response().map(|a| (a.status(), a.body)), Some((200, b"taken".to_vec())));
+        assert_eq!(
+            client.request(&ClientRequest::new("x").without_header("X-Txn")).status(),
+            400,
+            "the connection is kept"
+        );
     }
 }
 
@@ -267,12 +279,12 @@
     again(&mut setup, &discovery, "w1");
     again(&mut setup, &discovery, "w2"); // One that has turned away is left alone for a while.
     let node = setup.start();
-    let mut ask = Ask::submit("long");
+    let mut ask = ClientRequest::submit("long");
     ask.body = long(MIB);
-    assert_eq!(node.ask(&ask).status(), 429, "it never ran, so its client may send it again");
+    assert_eq!(node.request(&ask).status(), 429, "it never ran, so its client may send it again");
     assert_eq!(tried.try_iter().count(), 1);
     ask.body.truncate(1000);
-    assert_eq!(node.ask(&ask).status(), 429);
+    assert_eq!(node.request(&ask).status(), 429);
     assert_eq!(tried.try_iter().count(), 2, "a short one has its further attempt");
 }
 
@@ -280,31 +292,38 @@
 fn a_request_that_is_refused_early_is_read_to_its_end_so_that_its_client_gets_the_answer() {
     let (setup, _discovery) = worker(|_| {});
     let node = setup.start();
-    let mut client = node.client();
+    let mut client = node.connect();
     // No class of that method: refused by its head. Its body is far more than the sockets hold.
-    let mut ask = Ask::submit("early").with("Idempotency-Key", "5c0f6e1a2b3d4c59");
+    let mut ask = ClientRequest::submit("early").with_header("Idempotency-Key", "5c0f6e1a2b3d4c59");
     ask.body = long(16 * MIB);
-    assert_eq!(client.ask(&ask).status(), 400);
-    ask = Ask::submit("far");
+    assert_eq!(client.request(&ask).status(), 400);
+    ask = ClientRequest::submit("far");
     ask.headers.push(("Content-Length", (33 * MIB).to_string()));
-    assert_eq!(node.ask(&ask).status(), 413);
+    assert_eq!(node.request(&ask).status(), 413);
 }
 
 #[test]
 fn the_rest_of_a_refused_request_is_not_taken_for_a_slow_head() {
     let (setup, _discovery) = worker(drop);
     let node = setup.start();
-    let mut client = node.client();
+    let mut client = node.connect();
     let piece = vec![b'x'; 128 * 1024];
-    client.send(&Ask { body: piece.clone(), ..Ask::submit("slow").with("Content-Length", "4194304") });
+    client.send(&ClientRequest {
+        body: piece.clone(),
+        ..ClientRequest::submit("slow").with_header("Content-Length", "4194304")
+    });
     // Its only worker ends every connection at once, so it is answered long before all of it has come, and a
     // head would have had its time twice.
     for _ in 1..32 {
         thread::sleep(std::time::Duration::from_millis(150));
         client.reader.get_mut().write_all(&piece).expect("the connection is kept");
     }
-    assert!(client.answer().is_some_and(|a| a.status() >= 400));
-    assert_eq!(client.ask(&Ask::new("x").without("X-Txn")).status(), 400, "and serves the next");
+    assert!(client.read_response().is_some_and(|a| a.status() >= 400));
+    assert_eq!(
+        client.request(&ClientRequest::new("x").without_header("X-Txn")).status(),
+        400,
+        "and serves the next"
+    );
 }
 
 #[test]
@@ -323,15 +342,21 @@
         let _ = socket.write_all(&body[MIB / 2..]);
     });
     let node = setup.start();
-    let quota = |ask: Ask| ask.with("X-Plan", "pieni").with("X-Quota", "units=100,spread=2,first=0");
-    assert_eq!(node.ask(&quota(Ask::new("spends"))).status(), 200);
-    let mut client = node.client();
+    let quota = |ask: ClientRequest| {
+        ask.with_header("X-Plan", "pieni").with_header("X-Quota", "units=100,spread=2,first=0")
+    };
+    assert_eq!(node.request(&quota(ClientRequest::new("spends"))).status(), 200);
+    let mut client = node.connect();
     let piece = vec![b'x'; 128 * 1024];
-    let ask = quota(Ask::submit("refused")).with("Content-Length", "262144");
-    client.send(&Ask { body: piece.clone(), ..ask });
-    assert_eq!(client.answer().map(|a| a.status()), Some(429), "before all of it has come");
+    let ask = quota(ClientRequest::submit("refused")).with_header("Content-Length", "262144");
+    client.send(&ClientRequest { body: piece.clone(), ..ask });
+    assert_eq!(client.read_response().map(|a| a.status()), Some(429), "before all of it has come");
     // Its end and the next request come together, so the one ends when the other is in hand already.
-    client.reader.get_mut().write_all(&[piece, Ask::new("next").bytes()].concat()).expect("a socket");
+    client
+        .reader
+        .get_mut()
+        .write_all(&[piece, ClientRequest::new("next").bytes()].concat())
+        .expect("a socket");
     assert!(head(&mut client.reader).expect("an answer").starts_with("HTTP/1.1 200"));
     let mut body = vec![0; MIB];
     assert!(client.reader.read_exact(&mut body).is_ok() && body == long(MIB), "it is not cut off");
@@ -341,10 +366,13 @@
 fn a_client_that_stops_half_way_is_owed_an_end() {
     let (setup, _discovery, heads, bodies) = taker(false, MIB);
     let node = setup.start();
-    let mut client = node.client();
-    client.send(&Ask { body: long(MIB / 2), ..Ask::submit("half").with("Content-Length", "1048576") });
+    let mut client = node.connect();
+    client.send(&ClientRequest {
+        body: long(MIB / 2),
+        ..ClientRequest::submit("half").with_header("Content-Length", "1048576")
+    });
     heads.recv_timeout(LIMIT).expect("it has begun");
-    let status = client.answer().map(|a| a.status());
+    let status = client.read_response().map(|a| a.status());
     assert!(status.is_none_or(|s| s >= 400), "{status:?}");
     assert!(bodies.try_recv().is_err(), "the worker never has it whole");
 }
@@ -354,10 +382,13 @@
     for length in ["60000", "1048576"] {
         let (setup, _discovery, _heads, bodies) = taker(false, MIB);
         let node = setup.start();
-        let mut client = node.client();
-        client.send(&Ask { body: Vec::new(), ..Ask::submit("drops").with("Content-Length", length) });
+        let mut client = node.connect();
+        client.send(&ClientRequest {
+            body: Vec::new(),
+            ..ClientRequest::submit("drops").with_header("Content-Length", length)
+        });
         let mut socket = client.reader.get_ref().try_clone().expect("a socket");
-        let ended = thread::spawn(move || client.answer().map(|a| a.status()));
+        let ended = thread::spawn(move || client.read_response().map(|a| a.status()));
         let start = std::time::Instant::now();
         while !ended.is_finished() && socket.write_all(b"x").is_ok() {
             assert!(start.elapsed() < LIMIT, "it goes on for ever");
@@ -379,9 +410,9 @@
     // The module lets so many be out only where there are many workers.
     (1..12).for_each(|i| again(&mut setup, &discovery, &format!("w{i}")));
     let node = setup.start();
-    let mut clients: Vec<Client> = (0..12).map(|_| node.client()).collect();
+    let mut clients: Vec<Client> = (0..12).map(|_| node.connect()).collect();
     for (i, client) in clients.iter_mut().enumerate() {
-        client.send(&Ask::new(&format!("l{i}")));
+        client.send(&ClientRequest::new(&format!("l{i}")));
         assert!(head(&mut client.reader).is_some_and(|h| h.starts_with("HTTP/1.1 200")), "the answer begins");
     }
     // The last one is read to its end: by then all others stand as far as they get.
@@ -395,8 +426,8 @@
 
 #[test]
 fn every_form_of_a_request_passes() {
-    let worker = Worker::start(Does::Serves("ok"));
-    let (setup, _discovery) = Setup::new(&[&worker]);
+    let worker = Worker::start(Behaviour::Respond("ok"));
+    let (setup, _discovery) = NodeSetup::new(&[&worker]);
     let node = setup.start();
     let common = "x-plan:free\r\nX-CUSTOMER:  00000000b4d65521  \r\nx-remaining: 25\r\nX-Quota: first=0, units=1 ,spread=2\r\n";
     let get =
@@ -414,9 +445,9 @@
         ),
     ];
     let check = |client: &mut Client, form: &str| {
-        let answer = client.answer().expect("an answer");
+        let answer = client.read_response().expect("an answer");
         assert_eq!((answer.status(), answer.body.as_slice()), (200, b"ok".as_slice()), "{form}");
-        let (_, seen) = worker.request();
+        let (_, seen) = worker.next_request();
         let is_get = form.contains("GET");
         assert_eq!(
             seen.line,
@@ -424,7 +455,7 @@
         );
         assert_eq!(seen.body, if is_get { &b""[..] } else { b"answer" });
     };
-    let mut kept = node.client();
+    let mut kept = node.connect();
     for form in &forms {
         // In one piece, byte by byte, and one behind another.
         kept.reader.get_mut().write_all(form.as_bytes()).expect("a socket");
@@ -442,7 +473,7 @@
     kept.reader.get_mut().write_all(b"answer").expect("a socket");
     check(&mut kept, &expects);
     kept.reader.get_mut().write_all(format!("{get}Content-Length: 1\r\n\r\nx").as_bytes()).expect("a socket");
-    assert_eq!(kept.answer().map(|a| a.status()), Some(400), "a body where none may be");
+    assert_eq!(kept.read_response().map(|a| a.status()), Some(400), "a body where none may be");
 }
 
 #[test]
@@ -459,14 +490,14 @@
             head(&mut BufReader::new(&socket)).expect("a request");
             said.as_bytes().iter().for_each(|byte| drop(socket.write_all(&[*byte])));
         });
-        let answer = setup.start().ask(&Ask::submit("a"));
+        let answer = setup.start().request(&ClientRequest::submit("a"));
         assert_eq!((answer.status(), answer.body.as_slice()), (200, b"body".as_slice()), "{said}");
     }
 }
 
 /// A worker that gives the head and a part of a short answer in chunks to what is asked for as `stalls`, and then
 /// neither the rest nor an end; it keeps `waits` waiting.
-fn stalling() -> (Setup, Discovery) {
+fn stalling() -> (NodeSetup, Discovery) {
     worker(|mut socket| {
         let mut reader = BufReader::new(socket.try_clone().expect("a socket"));
         let asked = head(&mut reader).expect("a request");
@@ -482,18 +513,18 @@
 fn a_short_answer_that_stops_half_way_has_its_end_within_its_time() {
     let (setup, _discovery) = stalling();
     let node = setup.start();
-    let (mut stalls, mut waits) = (node.client(), node.client());
-    stalls.send(&Ask::new("stalls").with("X-Remaining", "1.0"));
+    let (mut stalls, mut waits) = (node.connect(), node.connect());
+    stalls.send(&ClientRequest::new("stalls").with_header("X-Remaining", "1.0"));
     assert!(head(&mut stalls.reader).expect("its beginning").starts_with("HTTP/1.1 200"));
     // Taken later, and for a longer time, so its answer comes after that end.
-    waits.send(&Ask::new("waits").with("X-Remaining", "4.0"));
+    waits.send(&ClientRequest::new("waits").with_header("X-Remaining", "4.0"));
     let ended = thread::spawn(move || {
         let mut rest = Vec::new();
         // Ended by a close or a reset.
         let _ = stalls.reader.read_to_end(&mut rest);
         rest
     });
-    assert!(waits.answer().is_some_and(|a| a.status() >= 400));
+    assert!(waits.read_response().is_some_and(|a| a.status() >= 400));
     assert!(ended.is_finished(), "its client still waits for the rest of it");
     let rest = ended.join().expect("no panic");
     assert!(!rest.ends_with(b"0\r\n\r\n"), "its client can tell that it is not whole");
@@ -517,8 +548,8 @@
         let _ = socket.write_all(b"0\r\n\r\n");
     });
     let node = setup.start();
-    let mut client = node.client();
-    client.send(&Ask::new("slow").with("X-Remaining", "0.4"));
+    let mut client = node.connect();
+    client.send(&ClientRequest::new("slow").with_header("X-Remaining", "0.4"));
     assert!(head(&mut client.reader).expect("its beginning").starts_with("HTTP/1.1 200"));
     assert!(chunks(&mut client.reader) == body, "unchanged");
 }
@@ -530,12 +561,15 @@
         let _ = std::io::copy(&mut &socket, &mut std::io::sink());
     });
     let node = setup.start();
-    let (mut full, mut less) = (node.client(), node.client());
-    let ask = |n: usize| Ask { body: long(n), ..Ask::submit(&format!("b{n}")).with("X-Remaining", "0.5") };
+    let (mut full, mut less) = (node.connect(), node.connect());
+    let ask = |n: usize| ClientRequest {
+        body: long(n),
+        ..ClientRequest::submit(&format!("b{n}")).with_header("X-Remaining", "0.5")
+    };
     full.send(&ask(65536));
-    less.send(&ask(65535).with("X-Remaining", "4.0"));
-    let ended = thread::spawn(move || full.answer().map(|a| a.status()));
-    assert_eq!(less.answer().map(|a| a.status()), Some(502));
+    less.send(&ask(65535).with_header("X-Remaining", "4.0"));
+    let ended = thread::spawn(move || full.read_response().map(|a| a.status()));
+    assert_eq!(less.read_response().map(|a| a.status()), Some(502));
     assert!(ended.is_finished(), "one of 64 KiB still waits");
     assert_eq!(ended.join().expect("no panic"), Some(502));
 }
--- a/crates/gateway/tests/upgrade.rs
+++ b/crates/gateway/tests/upgrade.rs
@@ -18,10 +18,13 @@
 
 impl Platform {
     fn new() -> Self {
-        Self { listener: TcpListener::bind("127.0.0.1:0").expect("a free port"), folder: folder() }
+        Self {
+            listener: TcpListener::bind("127.0.0.1:0").expect("a free port"),
+            folder: create_temp_folder(),
+        }
     }
-    fn start(&self, setup: &Setup) -> Node {
-        setup.start_on(&self.listener, &self.folder)
+    fn start(&self, setup: &NodeSetup) -> Node {
+        setup.start_on_listener(&self.listener, &self.folder)
     }
     fn place(&self) -> PathBuf {
         self.folder.join("yardspur-handover.sock")
@@ -34,86 +37,91 @@
     }
 }
 
-fn setup(workers: &[&Worker]) -> (Setup, Discovery) {
-    let (mut setup, discovery) = Setup::new(workers);
-    setup.admin = true;
+fn setup(workers: &[&Worker]) -> (NodeSetup, Discovery) {
+    let (mut setup, discovery) = NodeSetup::new(workers);
+    setup.has_admin_api = true;
     (setup, discovery)
 }
 
 #[test]
 fn what_the_old_process_held_to_the_new_one_holds_to_and_nothing_in_hand_is_lost() {
     let gate = Arc::new(Gate::default());
-    let (one, two) = (Worker::start(Does::Serves("ok")), Worker::start(Does::Serves("ok")));
+    let (one, two) = (Worker::start(Behaviour::Respond("ok")), Worker::start(Behaviour::Respond("ok")));
     let (setup, _discovery) = setup(&[&one, &two]);
     let platform = Platform::new();
     let mut old = platform.start(&setup);
-    assert_eq!(old.call("GET /control/ready"), 200);
-    assert_eq!(old.call("POST /control/workers/w0/offline"), 200);
+    assert_eq!(old.admin_status("GET /control/ready"), 200);
+    assert_eq!(old.admin_status("POST /control/workers/w0/offline"), 200);
     // All of the even share of a burst of 8 that two gateways have.
-    let quota = |txn: &str| Ask::new(txn).with("X-Plan", "pieni");
-    while old.ask(&quota("spends")).status() == 200 {}
-    two.now(Does::Waits(gate.clone()));
-    two.rest();
-    let (mut idle, mut held) = (old.client(), old.client());
-    held.send(&Ask::submit("held"));
-    two.request();
+    let quota = |txn: &str| ClientRequest::new(txn).with_header("X-Plan", "pieni");
+    while old.request(&quota("spends")).status() == 200 {}
+    two.set_behaviour(Behaviour::RespondWhenOpened(gate.clone()));
+    two.drain_requests();
+    let (mut idle, mut held) = (old.connect(), old.connect());
+    held.send(&ClientRequest::submit("held"));
+    two.next_request();
     let new = platform.start(&setup);
-    assert_eq!(new.call("GET /control/ready"), 200);
-    old.says("another process has taken over");
-    assert_eq!(old.call("GET /control/ready"), 503, "one of them takes clients");
+    assert_eq!(new.admin_status("GET /control/ready"), 200);
+    old.wait_for_log("another process has taken over");
+    assert_eq!(old.admin_status("GET /control/ready"), 503, "one of them takes clients");
     gate.open();
-    let answer = held.answer().expect("it is not cut off");
+    let answer = held.read_response().expect("it is not cut off");
     assert_eq!((answer.status(), answer.header("connection")), (200, "close"));
-    assert!(idle.answer().is_none(), "an idle connection is closed");
-    assert!(old.exit().success(), "it leaves once its last client has");
-    new.says("has left");
-    assert_eq!(new.ask(&quota("again")).status(), 429, "what was spent stays spent");
-    let mut client = new.client();
-    (0..8).for_each(|i| assert_eq!(client.ask(&Ask::new(&format!("n{i}"))).status(), 200, "and it is kept"));
-    assert!(one.rest().is_empty(), "the worker is still out");
-    assert_eq!(new.call("POST /control/workers/w0/online"), 200);
-    assert_eq!(platform.start(&setup).call("POST /control/workers/w0/offline"), 200, "and a third");
+    assert!(idle.read_response().is_none(), "an idle connection is closed");
+    assert!(old.wait_for_exit().success(), "it leaves once its last client has");
+    new.wait_for_log("has left");
+    assert_eq!(new.request(&quota("again")).status(), 429, "what was spent stays spent");
+    let mut client = new.connect();
+    (0..8).for_each(|i| {
+        assert_eq!(client.request(&ClientRequest::new(&format!("n{i}"))).status(), 200, "and it is kept")
+    });
+    assert!(one.drain_requests().is_empty(), "the worker is still out");
+    assert_eq!(new.admin_status("POST /control/workers/w0/online"), 200);
+    assert_eq!(platform.start(&setup).admin_status("POST /control/workers/w0/offline"), 200, "and a third");
 }
 
 #[test]
 fn a_worker_taken_out_meanwhile_is_out_for_both() {
-    let (one, two) = (Worker::start(Does::Serves("ok")), Worker::start(Does::Serves("ok")));
+    let (one, two) = (Worker::start(Behaviour::Respond("ok")), Worker::start(Behaviour::Respond("ok")));
     let (setup, _discovery) = setup(&[&one, &two]);
     let platform = Platform::new();
     let old = platform.start(&setup);
     // Each brings its first request to the old process later.
-    let mut kept: Vec<Client> = (0..8).map(|_| old.client()).collect();
-    let mut last = old.client();
-    assert_eq!(last.ask(&Ask::new("accepted after those")).status(), 200);
+    let mut kept: Vec<Client> = (0..8).map(|_| old.connect()).collect();
+    let mut last = old.connect();
+    assert_eq!(last.request(&ClientRequest::new("accepted after those")).status(), 200);
     let new = platform.start(&setup);
-    old.says("another process has taken over");
-    assert_eq!(new.call("POST /control/workers/w0/offline"), 200);
-    old.says("worker \"w0\" offline: done");
-    one.rest();
+    old.wait_for_log("another process has taken over");
+    assert_eq!(new.admin_status("POST /control/workers/w0/offline"), 200);
+    old.wait_for_log("worker \"w0\" offline: done");
+    one.drain_requests();
     for (i, client) in kept.iter_mut().enumerate() {
-        client.send(&Ask::new(&format!("k{i}")));
+        client.send(&ClientRequest::new(&format!("k{i}")));
         // Where the closing crossed the request, a client sends it once more.
-        assert!(client.answer().is_none_or(|a| a.status() == 200));
+        assert!(client.read_response().is_none_or(|a| a.status() == 200));
     }
-    assert!(one.rest().is_empty());
+    assert!(one.drain_requests().is_empty());
 }
 
 #[test]
 fn if_the_new_process_ends_the_old_one_takes_clients_again() {
-    let worker = Worker::start(Does::Serves("ok"));
+    let worker = Worker::start(Behaviour::Respond("ok"));
     let (setup, _discovery) = setup(&[&worker]);
     let platform = Platform::new();
     let old = platform.start(&setup);
     // One that has a client left does not leave.
     let gate = Arc::new(Gate::default());
-    worker.now(Does::Waits(gate));
-    let mut held = old.client();
-    held.send(&Ask::new("held"));
-    worker.request();
-    worker.now(Does::Serves("ok"));
+    worker.set_behaviour(Behaviour::RespondWhenOpened(gate));
+    let mut held = old.connect();
+    held.send(&ClientRequest::new("held"));
+    worker.next_request();
+    worker.set_behaviour(Behaviour::Respond("ok"));
     let back = || {
-        old.says("takes clients again");
-        assert_eq!((old.call("GET /control/ready"), old.ask(&Ask::new("a")).status()), (200, 200));
+        old.wait_for_log("takes clients again");
+        assert_eq!(
+            (old.admin_status("GET /control/ready"), old.request(&ClientRequest::new("a")).status()),
+            (200, 200)
+        );
     };
     drop(platform.start(&setup));
     back();
@@ -136,7 +144,7 @@
 
 #[test]
 fn broken_or_stale_remains_are_no_reason_not_to_start() {
-    let worker = Worker::start(Does::Serves("ok"));
+    let worker = Worker::start(Behaviour::Respond("ok"));
     let (setup, _discovery) = setup(&[&worker]);
     let stale = |place: &Path| drop(UnixListener::bind(place).expect("a place"));
     let file = |place: &Path| std::fs::write(place, "{\"form\":1}").expect("a place");
@@ -168,8 +176,11 @@
         let platform = Platform::new();
         remains(&platform.place());
         let node = platform.start(&setup);
-        assert_eq!((node.call("GET /control/ready"), node.ask(&Ask::new("a")).status()), (200, 200));
+        assert_eq!(
+            (node.admin_status("GET /control/ready"), node.request(&ClientRequest::new("a")).status()),
+            (200, 200)
+        );
         let _new = platform.start(&setup);
-        node.says("another process has taken over");
+        node.wait_for_log("another process has taken over");
     }
 }
--- a/crates/gateway/tests/zones.rs
+++ b/crates/gateway/tests/zones.rs
@@ -406,7 +406,11 @@
     assert!(fleet.share(fleet.now - 1.0, |_| true, |_, zone| zone == 2) > 0.05);
     let mut other = settings(2, 0, 2);
     other.plans = vec![Plan::default()];
-    assert_eq!(common::retune(&mut fleet.gateways[0], other), Ok(()), "the gateway's own zone may change");
+    assert_eq!(
+        common::apply_settings(&mut fleet.gateways[0], other),
+        Ok(()),
+        "the gateway's own zone may change"
+    );
     fleet.run(1.0, 10.0);
     fleet.servers.clear();
     fleet.send_list(0.0);
