--- a/crates/gateway/tests/config.rs
+++ b/crates/gateway/tests/config.rs
@@ -1,4 +1,5 @@
-//! Configurations that change under load: the built program against fakes on loopback sockets.
+//! Configuration reload, rollback, dry run, trial and saved state of the built gateway program, also under load, against
+//! fakes on loopback sockets.
 
 mod fakes;
 use fakes::*;
@@ -18,7 +19,7 @@
     (setup, discovery)
 }
 
-fn json_of(message: &Message) -> Value {
+fn json_body(message: &Message) -> Value {
     serde_json::from_slice(&message.body).expect("JSON")
 }
 
@@ -26,19 +27,21 @@
     node.report("config")
 }
 
-fn number(node: &Node) -> u64 {
+/// Number of the configuration version in force.
+fn version_number(node: &Node) -> u64 {
     report(node)["version"]["number"].as_u64().expect("a number")
 }
 
-/// Takes `setup` and waits until it holds or is refused; the report.
+/// Reloads `setup` and waits until it is applied or rejected; returns the configuration report.
 fn reload(node: &Node, setup: &NodeSetup) -> Value {
     node.reload(&setup.config().to_string());
-    settle(node)
+    wait_for_reload(node)
 }
 
-fn settle(node: &Node) -> Value {
+/// Waits until the log tells the result of a reload; returns the configuration report.
+fn wait_for_reload(node: &Node) -> Value {
     loop {
-        let line = node.log.recv_timeout(LIMIT).expect("an end of the attempt");
+        let line = node.log.recv_timeout(LIMIT).expect("the result of the reload");
         if line.contains("configuration reloaded")
             || line.contains("configuration rejected, the present one stays in force")
         {
@@ -51,89 +54,104 @@
     json!({"Name": name, "Effect": effect, "Group": "all", "Slo": 20.0, "Deadline": 30.0})
 }
 
-fn ask_as(class: &str, txn: &str) -> ClientRequest {
-    let mut ask = ClientRequest::new(txn).with_header("X-Lane", class);
-    ask.line = format!("GET /{class} HTTP/1.1");
-    ask
+/// A GET request of the class.
+fn class_request(class: &str, txn: &str) -> ClientRequest {
+    let mut request = ClientRequest::new(txn).with_header("X-Lane", class);
+    request.line = format!("GET /{class} HTTP/1.1");
+    request
 }
 
 #[test]
-fn versions_are_counted_and_the_way_back_goes_on_from_where_it_came_to() {
+fn each_change_and_rollback_gets_a_new_version_number_and_rollbacks_go_back_step_by_step() {
     let worker = Worker::start(Behaviour::Respond("ok"));
     let (mut setup, _discovery) = setup(&[&worker]);
     let node = setup.start();
     let first = report(&node);
     assert_eq!((&first["version"]["number"], &first["version"]["by"]), (&json!(1), &json!("start")));
     assert_eq!(first["version"]["sha256"].as_str().map(str::len), Some(64));
-    assert_eq!(node.admin_call("POST /control/config/rollback").status(), 409, "there is none before");
+    assert_eq!(node.admin_call("POST /control/config/rollback").status(), 409, "there is no earlier version");
     node.wait_for_log("configuration rejected, the present one stays in force");
-    for most in [2, 3] {
-        setup.settings["Limits"]["SendCap"] = json!(most);
-        let told = reload(&node, &setup);
-        assert_eq!((&told["version"]["number"], &told["version"]["by"]), (&json!(most), &json!("signal")));
+    for max_attempts in [2, 3] {
+        setup.settings["Limits"]["SendCap"] = json!(max_attempts);
+        let result = reload(&node, &setup);
+        assert_eq!(
+            (&result["version"]["number"], &result["version"]["by"]),
+            (&json!(max_attempts), &json!("signal"))
+        );
     }
-    let told = reload(&node, &setup);
-    assert_eq!((number(&node), &told["last_attempt"]["unchanged"]), (3, &json!(true)), "the same file");
-    for (version, leads_to) in [(4, json!(1)), (5, Value::Null)] {
-        let back = node.admin_call("POST /control/config/rollback");
-        assert_eq!(back.status(), 200);
-        let told = json_of(&back);
+    let result = reload(&node, &setup);
+    assert_eq!(
+        (version_number(&node), &result["last_attempt"]["unchanged"]),
+        (3, &json!(true)),
+        "an unchanged file gives no new version"
+    );
+    for (version, next_target) in [(4, json!(1)), (5, Value::Null)] {
+        let rollback = node.admin_call("POST /control/config/rollback");
+        assert_eq!(rollback.status(), 200);
+        let result = json_body(&rollback);
         assert_eq!(
-            (&told["version"]["number"], &told["version"]["by"]),
+            (&result["version"]["number"], &result["version"]["by"]),
             (&json!(version), &json!("way_back"))
         );
-        assert_eq!(told["way_back"], leads_to);
+        assert_eq!(result["way_back"], next_target);
     }
     let last = report(&node);
-    assert_eq!(last["version"]["sha256"], first["version"]["sha256"], "as at the start");
+    assert_eq!(
+        last["version"]["sha256"], first["version"]["sha256"],
+        "the first configuration is in force again"
+    );
     assert_eq!(node.admin_call("POST /control/config/rollback").status(), 409);
     assert_eq!(node.request(&ClientRequest::new("a")).status(), 200);
 }
 
 #[test]
-fn the_way_back_refuses_whole_what_cannot_be_taken_back() {
+fn a_rollback_that_cannot_be_applied_in_full_is_rejected_as_a_whole() {
     let worker = Worker::start(Behaviour::Respond("ok"));
     let (mut setup, first) = setup(&[&worker]);
     let node = setup.start();
-    let refused = |key: &str| {
-        let before = number(&node);
-        let told = node.admin_call("POST /control/config/rollback");
-        assert_eq!(told.status(), 409, "{key}");
-        let told = json_of(&told);
-        let errors = told["last_attempt"]["errors"].as_array().expect("a list").clone();
+    let assert_rejected = |key: &str| {
+        let before = version_number(&node);
+        let result = node.admin_call("POST /control/config/rollback");
+        assert_eq!(result.status(), 409, "{key}");
+        let result = json_body(&result);
+        let errors = result["last_attempt"]["errors"].as_array().expect("a list").clone();
         assert!(errors.iter().any(|e| e["path"].as_str().is_some_and(|p| p.starts_with(key))), "{errors:?}");
-        assert_eq!(number(&node), before, "nothing of it holds");
+        assert_eq!(version_number(&node), before, "no part of the rollback is applied");
         node.wait_for_log("configuration rejected, the present one stays in force");
     };
-    // A class that nobody has used goes back; one that is in use does not.
+    // A class that no request has used can be rolled back; a class in use can't.
     setup.settings["Classes"] =
         json!([setup.settings["Classes"][0], setup.settings["Classes"][1], class("extra", "idempotent")]);
     reload(&node, &setup);
     assert_eq!(node.admin_call("POST /control/config/rollback").status(), 200);
-    assert_eq!(node.request(&ask_as("extra", "x")).status(), 400);
+    assert_eq!(node.request(&class_request("extra", "x")).status(), 400);
     reload(&node, &setup);
-    assert_eq!(node.request(&ask_as("extra", "y")).status(), 200);
-    refused("settings.Classes.extra");
-    assert_eq!(node.request(&ask_as("extra", "z")).status(), 200);
-    // A plan that was added, whether used or not.
+    assert_eq!(node.request(&class_request("extra", "y")).status(), 200);
+    assert_rejected("settings.Classes.extra");
+    assert_eq!(node.request(&class_request("extra", "z")).status(), 200);
+    // An added plan can't be rolled back, whether used or not.
     let plan = json!({"Name": "extra", "QuotaRate": 0.0, "Depth": 0.0});
     setup.settings["Plans"].as_array_mut().expect("a list").push(plan);
     reload(&node, &setup);
     assert_eq!(node.request(&ClientRequest::new("p").with_header("X-Plan", "extra")).status(), 200);
-    refused("settings.Plans");
-    // An address that was given up, and back by a file of its own.
+    assert_rejected("settings.Plans");
+    // A rollback can't restore an address that is no longer used; a reload of a file can.
     let second = Discovery::start(&setup.initial_servers);
     setup.discovery = second.addr;
     reload(&node, &setup);
     second.wait_for_watch_from(1);
-    refused("discovery");
+    assert_rejected("discovery");
     setup.discovery = first.addr;
-    assert_eq!(reload(&node, &setup)["last_attempt"]["errors"], json!([]), "the platform may move it back");
+    assert_eq!(
+        reload(&node, &setup)["last_attempt"]["errors"],
+        json!([]),
+        "a reload may restore the address"
+    );
     assert_eq!(node.request(&ClientRequest::new("q")).status(), 200);
 }
 
 #[test]
-fn a_dry_run_tells_what_would_change_and_changes_nothing() {
+fn a_dry_run_reports_the_changes_and_applies_none() {
     let worker = Worker::start(Behaviour::Respond("ok"));
     let (mut setup, _discovery) = setup(&[&worker]);
     let node = setup.start();
@@ -141,11 +159,11 @@
     setup.settings["Limits"]["SendCap"] = json!(2);
     setup.max_sockets = 300;
     node.replace_config(&setup.config().to_string());
-    let told = node.admin_call("POST /control/config/check");
-    assert_eq!(told.status(), 200);
-    let told = json_of(&told);
-    assert_eq!(told["plan"]["waits"], json!(["limits"]));
-    let paths: Vec<&str> = told["plan"]["changes"]
+    let result = node.admin_call("POST /control/config/check");
+    assert_eq!(result.status(), 200);
+    let result = json_body(&result);
+    assert_eq!(result["plan"]["waits"], json!(["limits"]));
+    let paths: Vec<&str> = result["plan"]["changes"]
         .as_array()
         .expect("a list")
         .iter()
@@ -153,20 +171,26 @@
         .collect();
     assert_eq!(paths, ["limits.sockets", "settings.Limits.SendCap"]);
     node.replace_config("{\"name\": 5, \"name\": 6}");
-    let told = node.admin_call("POST /control/config/check");
-    assert_eq!((told.status(), &json_of(&told)["ok"]), (409, &json!(false)));
-    assert_eq!((number(&node), &report(&node)["last_attempt"]), (1, &Value::Null), "neither was taken");
+    let result = node.admin_call("POST /control/config/check");
+    assert_eq!((result.status(), &json_body(&result)["ok"]), (409, &json!(false)));
+    assert_eq!(
+        (version_number(&node), &report(&node)["last_attempt"]),
+        (1, &Value::Null),
+        "neither file was applied"
+    );
     assert_eq!(node.admin_status("GET /control/config/check"), 405);
     assert_eq!(node.admin_status("POST /control/config"), 405);
-    // The same without a process.
+    // The same checks on the command line, without a running gateway.
     let folder = create_temp_folder();
     let (a, b) = (folder.join("a.json"), folder.join("b.json"));
     std::fs::write(&a, old).expect("a file");
     std::fs::write(&b, setup.config().to_string()).expect("a file");
     let run = |arguments: &[&std::ffi::OsStr]| {
-        let done =
-            Command::new(env!("CARGO_BIN_EXE_opalrun-gateway")).args(arguments).output().expect("it runs");
-        (done.status.code(), String::from_utf8(done.stdout).expect("text"))
+        let output = Command::new(env!("CARGO_BIN_EXE_opalrun-gateway"))
+            .args(arguments)
+            .output()
+            .expect("the program runs");
+        (output.status.code(), String::from_utf8(output.stdout).expect("text"))
     };
     let (check, against) = ("--check".as_ref(), "--against".as_ref());
     let (code, text) = run(&[check, b.as_os_str(), against, a.as_os_str()]);
@@ -176,28 +200,28 @@
     std::fs::write(&b, "{").expect("a file");
     assert_eq!(run(&[check, b.as_os_str()]).0, Some(1));
     assert_eq!(run(&[check, folder.as_os_str()]).0, Some(1));
-    for wrong in [&[check][..], &["--what".as_ref()], &[check, a.as_os_str(), against]] {
-        assert_eq!(run(wrong).0, Some(2));
+    for invalid in [&[check][..], &["--what".as_ref()], &[check, a.as_os_str(), against]] {
+        assert_eq!(run(invalid).0, Some(2));
     }
-    std::fs::remove_dir_all(folder).expect("its own folder");
+    std::fs::remove_dir_all(folder).expect("the test's folder");
 }
 
 #[test]
-fn whatever_stands_in_its_place_the_old_one_holds() {
+fn an_invalid_or_unreadable_file_leaves_the_old_configuration_in_force() {
     let worker = Worker::start(Behaviour::Respond("ok"));
     let (setup, _discovery) = setup(&[&worker]);
     let node = setup.start();
     let good = setup.config().to_string();
     let path = node.config_path().to_owned();
-    let bad = |what: &str, place: &dyn Fn()| {
-        place();
+    let assert_rejected = |case: &str, replace_file: &dyn Fn()| {
+        replace_file();
         node.send_sighup();
-        let told = settle(&node);
-        assert_ne!(told["last_attempt"]["errors"], json!([]), "{what}");
+        let result = wait_for_reload(&node);
+        assert_ne!(result["last_attempt"]["errors"], json!([]), "{case}");
         assert_eq!(
-            (number(&node), node.request(&ClientRequest::new(&format!("b{what}"))).status()),
+            (version_number(&node), node.request(&ClientRequest::new(&format!("b{case}"))).status()),
             (1, 200),
-            "{what}"
+            "{case}"
         );
     };
     let replace = |text: &str| std::fs::write(&path, text).expect("a file");
@@ -206,33 +230,37 @@
         *config.pointer_mut(at).expect("a key") = value;
         config.to_string()
     };
-    bad("empty", &|| replace(""));
-    bad("cut", &|| replace(&good[..good.len() / 2]));
-    bad("no JSON", &|| replace("deadline = 5"));
-    bad("NaN", &|| replace(&good.replacen("0.05", "NaN", 1)));
-    bad("doubled", &|| replace(&good.replacen("\"listen\"", "\"name\":\"n0\",\"listen\"", 1)));
-    bad("deadline 0", &|| replace(&with("/settings/Classes/0/Deadline", json!(0))));
-    bad("deadline below 0", &|| replace(&with("/settings/Classes/0/Deadline", json!(-1))));
-    bad("deadline 1e308", &|| replace(&with("/settings/Classes/0/Deadline", json!(1e308))));
-    bad("attempts 0", &|| replace(&with("/settings/Limits/SendCap", json!(0))));
-    bad("another kind", &|| replace(&with("/settings/Limits", json!([]))));
-    bad("long", &|| {
+    assert_rejected("empty", &|| replace(""));
+    assert_rejected("truncated", &|| replace(&good[..good.len() / 2]));
+    assert_rejected("not JSON", &|| replace("deadline = 5"));
+    assert_rejected("NaN", &|| replace(&good.replacen("0.05", "NaN", 1)));
+    assert_rejected("duplicate key", &|| {
+        replace(&good.replacen("\"listen\"", "\"name\":\"n0\",\"listen\"", 1))
+    });
+    assert_rejected("deadline 0", &|| replace(&with("/settings/Classes/0/Deadline", json!(0))));
+    assert_rejected("deadline below 0", &|| replace(&with("/settings/Classes/0/Deadline", json!(-1))));
+    assert_rejected("deadline 1e308", &|| replace(&with("/settings/Classes/0/Deadline", json!(1e308))));
+    assert_rejected("attempts 0", &|| replace(&with("/settings/Limits/SendCap", json!(0))));
+    assert_rejected("wrong type", &|| replace(&with("/settings/Limits", json!([]))));
+    assert_rejected("too long", &|| {
         std::fs::File::create(&path).and_then(|f| f.set_len(100 << 20)).expect("a sparse file");
     });
-    bad("gone", &|| std::fs::remove_file(&path).expect("a file"));
-    bad("folder", &|| std::fs::create_dir(&path).expect("a folder"));
+    assert_rejected("missing", &|| std::fs::remove_file(&path).expect("a file"));
+    assert_rejected("folder", &|| std::fs::create_dir(&path).expect("a folder"));
     std::fs::remove_dir(&path).expect("a folder");
-    bad("pipe", &|| assert!(Command::new("mkfifo").arg(&path).status().expect("mkfifo runs").success()));
+    assert_rejected("pipe", &|| {
+        assert!(Command::new("mkfifo").arg(&path).status().expect("mkfifo runs").success())
+    });
     std::fs::remove_file(&path).expect("a pipe");
-    bad("link to itself", &|| std::os::unix::fs::symlink(&path, &path).expect("a link"));
+    assert_rejected("link to itself", &|| std::os::unix::fs::symlink(&path, &path).expect("a link"));
     std::fs::remove_file(&path).expect("a link");
     replace(&good);
     node.send_sighup();
-    assert_eq!(settle(&node)["last_attempt"]["unchanged"], json!(true));
+    assert_eq!(wait_for_reload(&node)["last_attempt"]["unchanged"], json!(true));
 }
 
 #[test]
-fn of_many_signals_in_a_row_the_last_file_holds() {
+fn after_many_reload_signals_in_a_row_the_last_file_is_in_force() {
     let worker = Worker::start(Behaviour::Respond("ok"));
     let (mut setup, _discovery) = setup(&[&worker]);
     let node = setup.start();
@@ -242,15 +270,15 @@
     }
     node.replace_config(&setup.config().to_string());
     let start = std::time::Instant::now();
-    // What is read last is what stands there last.
-    while json_of(&node.admin_call("POST /control/config/check"))["plan"]["changes"] != json!([]) {
-        assert!(start.elapsed() < LIMIT, "another one holds");
+    // The last file read must be the last one written.
+    while json_body(&node.admin_call("POST /control/config/check"))["plan"]["changes"] != json!([]) {
+        assert!(start.elapsed() < LIMIT, "an earlier file is in force");
     }
-    assert!(number(&node) > 1);
+    assert!(version_number(&node) > 1);
 }
 
 #[test]
-fn under_steady_requests_each_is_answered_once_and_under_one_versions_rules() {
+fn during_reloads_each_request_is_answered_once_and_by_the_rules_of_one_version() {
     let worker = Worker::start(Behaviour::Respond("ok"));
     let (mut setup, _discovery) = setup(&[&worker]);
     let node = setup.start();
@@ -259,59 +287,61 @@
         .map(|c| {
             let (addr, stop) = (node.addr, stop.clone());
             thread::spawn(move || {
-                let (mut client, mut asked) = (Client::connect(addr), 0);
+                let (mut client, mut sent) = (Client::connect(addr), 0);
                 while !stop.load(Ordering::Relaxed) {
-                    let (safe, txn) = (asked % 2 == 0, format!("s{c}-{asked}"));
-                    // Safe under one version's rules, unsafe under the other's: never in between.
-                    let mut ask = if safe {
-                        ask_as("turns", &txn)
+                    let (idempotent, txn) = (sent % 2 == 0, format!("s{c}-{sent}"));
+                    // The class alternates between idempotent (GET) and at-most-once (POST): each request is valid
+                    // under one version and rejected under the other.
+                    let mut request = if idempotent {
+                        class_request("turns", &txn)
                     } else {
                         ClientRequest::submit(&txn).with_header("X-Lane", "turns")
                     };
-                    if !safe {
-                        ask.line = "POST /turns HTTP/1.1".into();
+                    if !idempotent {
+                        request.line = "POST /turns HTTP/1.1".into();
                     }
-                    let answer = client.request(&ask);
+                    let answer = client.request(&request);
                     assert!(matches!(answer.status(), 200 | 400), "{}", answer.status());
-                    asked += 1;
+                    sent += 1;
                     if answer.header("connection") == "close" {
                         client = Client::connect(addr);
                     }
-                    // And what never changes is never refused.
-                    assert_eq!(client.request(&ClientRequest::new(&format!("k{c}-{asked}"))).status(), 200);
+                    // A request of an unchanged class is never refused.
+                    assert_eq!(client.request(&ClientRequest::new(&format!("k{c}-{sent}"))).status(), 200);
                 }
-                asked
+                sent
             })
         })
         .collect();
     setup.settings["Classes"].as_array_mut().expect("a list").push(class("turns", "idempotent"));
-    let mut backs = 0;
+    let mut rollbacks = 0;
     for i in 0..30 {
         let effect = if i % 2 == 0 { "idempotent" } else { "at_most_once" };
-        // Its place moves, too.
+        // The class's position in the list changes, too.
         let classes = setup.settings["Classes"].as_array_mut().expect("a list");
         classes.retain(|c| c["Name"] != "turns");
         classes.insert(i % 3, class("turns", effect));
         assert_eq!(reload(&node, &setup)["last_attempt"]["errors"], json!([]));
         if i % 5 == 4 {
-            // Refused where clients use the class as it is now.
-            let back = node.admin_call("POST /control/config/rollback").status() == 200;
-            node.wait_for_log(if back {
+            // The rollback is rejected if clients have used the class with its present effect.
+            let rolled_back = node.admin_call("POST /control/config/rollback").status() == 200;
+            node.wait_for_log(if rolled_back {
                 "configuration rolled back"
             } else {
                 "configuration rejected, the present one stays in force"
             });
-            backs += u32::from(back);
+            rollbacks += u32::from(rolled_back);
         }
     }
     stop.store(true, Ordering::Relaxed);
-    let asked: u64 = clients.into_iter().map(|c| c.join().expect("no client saw anything else")).sum();
-    assert!(asked > 0);
-    assert_eq!(number(&node), 31 + u64::from(backs));
+    let sent: u64 =
+        clients.into_iter().map(|c| c.join().expect("no client got an unexpected response")).sum();
+    assert!(sent > 0);
+    assert_eq!(version_number(&node), 31 + u64::from(rollbacks));
 }
 
 #[test]
-fn a_change_is_taken_while_clients_are_sent_away_and_while_it_drains() {
+fn a_change_is_applied_while_out_of_service_and_while_shutting_down() {
     let gate = Arc::new(Gate::default());
     let worker = Worker::start(Behaviour::RespondWhenOpened(gate.clone()));
     let (mut setup, _discovery) = setup(&[&worker]);
@@ -334,38 +364,42 @@
 }
 
 #[test]
-fn a_version_that_does_worse_goes_back_once_and_is_not_taken_again() {
+fn a_version_that_fails_its_trial_is_rolled_back_once_and_not_applied_again() {
     let worker = Worker::start(Behaviour::Respond("ok"));
     let (mut setup, _discovery) = setup(&[&worker]);
     setup.trial = Some(json!({"length_s": 600, "worse_by": 0.2, "least": 20}));
     let node = setup.start();
-    // The looks at it come once a second: the time before is counted by then.
-    let ask = |name: &str, n: usize| {
+    // Results are sampled once per second; these requests give the rate before the change.
+    let send = |name: &str, n: usize| {
         (0..n).for_each(|i| drop(node.request(&ClientRequest::submit(&format!("{name}{i}")))))
     };
-    ask("before", 60);
+    send("before", 60);
     setup.settings["Limits"]["SendCap"] = json!(2);
     assert_eq!(reload(&node, &setup)["trial"]["version"], 2);
     worker.set_behaviour(Behaviour::NeverRespond);
     for i in 0..40 {
-        // It may have run, so it fails and is not refused.
+        // The request may have run, so it fails instead of being refused.
         node.request(&ClientRequest::submit(&format!("worse{i}")).with_header("X-Remaining", "0.08"));
     }
     node.wait_for_log("version 2 has failed its trial and is rolled back");
     node.wait_for_log("configuration rolled back: version 3");
-    let told = report(&node);
-    assert_eq!((&told["version"]["by"], &told["trial"]), (&json!("trial"), &Value::Null));
+    let result = report(&node);
+    assert_eq!((&result["version"]["by"], &result["trial"]), (&json!("trial"), &Value::Null));
     node.send_sighup();
-    let told = settle(&node);
-    assert_eq!(told["version"]["number"], 3, "the file has not changed");
-    assert!(told["last_attempt"]["errors"][0]["reason"].as_str().is_some_and(|r| r.contains("trial")));
+    let result = wait_for_reload(&node);
+    assert_eq!(result["version"]["number"], 3, "the file that failed the trial is not applied again");
+    assert!(result["last_attempt"]["errors"][0]["reason"].as_str().is_some_and(|r| r.contains("trial")));
     setup.settings["Limits"]["SendCap"] = json!(3);
-    let told = reload(&node, &setup);
-    assert_eq!((&told["version"]["number"], &told["trial"]["version"]), (&json!(4), &json!(4)), "it has");
+    let result = reload(&node, &setup);
+    assert_eq!(
+        (&result["version"]["number"], &result["trial"]["version"]),
+        (&json!(4), &json!(4)),
+        "a changed file is applied"
+    );
 }
 
 #[test]
-fn a_start_whose_file_is_broken_uses_the_last_good_one_where_a_folder_is_named() {
+fn a_start_with_a_broken_file_uses_the_saved_configuration_if_a_state_folder_is_given() {
     let worker = Worker::start(Behaviour::Respond("ok"));
     let (mut setup, _discovery) = setup(&[&worker]);
     let folder = create_temp_folder();
@@ -378,40 +412,40 @@
     assert_eq!(report(&node)["state"], folder.to_str().expect("text"));
     drop(node);
     let node = setup.start_with_config_text("{", &folder);
-    let told = report(&node);
+    let result = report(&node);
     assert_eq!(
-        (&told["version"]["by"], node.request(&ClientRequest::new("a")).status()),
+        (&result["version"]["by"], node.request(&ClientRequest::new("a")).status()),
         (&json!("last_good"), 200)
     );
     drop(node);
-    // Kept, but not whole any more: an error, as without a folder.
-    let kept = folder.join("last-good.config");
-    let mut text = std::fs::read(&kept).expect("kept");
+    // A damaged saved configuration is an error, as without a state folder.
+    let saved = folder.join("last-good.config");
+    let mut text = std::fs::read(&saved).expect("the saved configuration");
     let at = text.len() - 9;
     text[at] ^= 1;
-    std::fs::write(&kept, text).expect("a file");
+    std::fs::write(&saved, text).expect("a file");
     let output = setup.run_with_config_text("{", &folder);
     assert!(!output.status.success());
-    let said = String::from_utf8(output.stderr).expect("text");
-    assert!(said.contains("it is damaged") && !said.contains("panicked"), "{said}");
-    // A folder that can't be written to is no reason not to serve.
+    let error = String::from_utf8(output.stderr).expect("text");
+    assert!(error.contains("it is damaged") && !error.contains("panicked"), "{error}");
+    // The gateway serves even if it can't write to the state folder.
     setup.state_folder = Some(folder.join("nowhere"));
     let node = setup.start();
     node.wait_for_log("version 1 can't be saved in");
     assert_eq!(node.request(&ClientRequest::new("b")).status(), 200);
     drop(node);
-    std::fs::remove_dir_all(folder).expect("its own folder");
+    std::fs::remove_dir_all(folder).expect("the test's folder");
 }
 
 #[test]
-fn discovery_and_the_counter_may_move_and_move_back_with_lists_and_counts_under_way() {
+fn discovery_and_counter_addresses_may_change_back_and_forth_with_calls_in_flight() {
     let worker = Worker::start(Behaviour::Respond("ok"));
     let (mut setup, first) = setup(&[&worker]);
     let second = Discovery::start(&setup.initial_servers);
     let counters = [Counter::start(CounterBehaviour::Answer), Counter::start(CounterBehaviour::Answer)];
     setup.counter = Some(counters[0].addr);
     let node = setup.start();
-    let ask = |i: usize| {
+    let request = |i: usize| {
         ClientRequest::new(&format!("m{i}"))
             .with_header("X-Plan", "pieni")
             .with_header("X-Customer", &format!("{i:016x}"))
@@ -419,17 +453,17 @@
     for i in 0..6 {
         let (discovery, counter) = if i % 2 == 0 { (&second, &counters[1]) } else { (&first, &counters[0]) };
         (setup.discovery, setup.counter) = (discovery.addr, Some(counter.addr));
-        assert_eq!(node.request(&ask(2 * i)).status(), 200);
+        assert_eq!(node.request(&request(2 * i)).status(), 200);
         assert_eq!(reload(&node, &setup)["last_attempt"]["errors"], json!([]));
         discovery.next_watch();
-        assert_eq!(node.request(&ask(2 * i + 1)).status(), 200);
+        assert_eq!(node.request(&request(2 * i + 1)).status(), 200);
         counter.next_call();
     }
-    assert_eq!(number(&node), 7);
+    assert_eq!(version_number(&node), 7);
 }
 
 #[test]
-fn an_upgrade_goes_on_counting_and_either_side_takes_a_change() {
+fn an_upgrade_continues_the_version_numbers_and_both_processes_accept_changes() {
     let worker = Worker::start(Behaviour::Respond("ok"));
     let (mut setup, _discovery) = setup(&[&worker]);
     let (listener, folder) =
@@ -444,21 +478,25 @@
     idle.send(&ClientRequest::new("open"));
     worker.next_request();
     let new = setup.start_on_listener(&listener, &folder);
-    let told = report(&new);
-    assert_eq!((&told["version"]["number"], &told["version"]["by"]), (&json!(3), &json!("upgrade")));
+    let result = report(&new);
+    assert_eq!((&result["version"]["number"], &result["version"]["by"]), (&json!(3), &json!("upgrade")));
     old.wait_for_log("another process has taken over");
     setup.settings["Limits"]["SendCap"] = json!(3);
     assert_eq!(reload(&old, &setup)["version"]["number"], 3);
-    assert_eq!(old.admin_call("POST /control/config/rollback").status(), 409, "it is the other one's to say");
+    assert_eq!(
+        old.admin_call("POST /control/config/rollback").status(),
+        409,
+        "only the new process may roll back"
+    );
     assert_eq!(reload(&new, &setup)["version"]["number"], 4);
     assert_eq!(new.admin_call("POST /control/config/rollback").status(), 200);
     gate.open();
     assert_eq!(idle.read_response().map(|a| a.status()), Some(200));
-    std::fs::remove_dir_all(folder).expect("its own folder");
+    std::fs::remove_dir_all(folder).expect("the test's folder");
 }
 
 #[test]
-fn a_class_removed_and_brought_back_with_another_effect_leaves_open_requests_their_rules() {
+fn open_requests_keep_the_effect_of_a_class_that_is_removed_and_added_again() {
     let gate = Arc::new(Gate::default());
     let worker = Worker::start(Behaviour::CloseWhenOpened(gate.clone()));
     let (mut setup, _discovery) = setup(&[&worker]);
@@ -473,10 +511,14 @@
     setup.settings["Classes"] = json!([class("submit", "idempotent"), all[0]]);
     assert_eq!(reload(&node, &setup)["version"]["number"], 3);
     gate.open();
-    assert_eq!(client.read_response().map(|a| a.status()), Some(502), "unsafe when it came: it may have run");
-    assert_eq!(worker.drain_requests().len(), 0, "and is not sent again");
+    assert_eq!(
+        client.read_response().map(|a| a.status()),
+        Some(502),
+        "at most once when received, and it may have run"
+    );
+    assert_eq!(worker.drain_requests().len(), 0, "the request is not retried");
     worker.set_behaviour(Behaviour::Respond("ok"));
-    assert_eq!(node.request(&ask_as("submit", "safe")).status(), 200);
-    // It was not used under its first effect since, so that one may come back, and this one may not go.
+    assert_eq!(node.request(&class_request("submit", "safe")).status(), 200);
+    // The class is in use with its new effect, so a rollback that would change it is rejected.
     assert_eq!(node.admin_call("POST /control/config/rollback").status(), 409);
 }
--- a/crates/gateway/tests/fakes/mod.rs
+++ b/crates/gateway/tests/fakes/mod.rs
@@ -665,10 +665,8 @@
     /// Waits until the process logs the addresses it listens on.
     fn node(&self, mut child: Child, config: PathBuf) -> Node {
         let stderr = BufReader::new(child.stderr.take().expect("piped"));
-        let (line_sender, log) = channel();
-        thread::spawn(move || {
-            stderr.lines().map_while(Result::ok).for_each(|line| drop(line_sender.send(line)));
-        });
+        let (lines, log) = channel();
+        thread::spawn(move || stderr.lines().map_while(Result::ok).for_each(|line| drop(lines.send(line))));
         let unset = "127.0.0.1:0".parse().expect("an address");
         let mut node = Node { addr: unset, admin_addr: unset, child, log, config };
         // The address is the last word of the message, which a JSON log ends with a quote and a brace.
--- a/crates/gateway/tests/fleetlab.rs
+++ b/crates/gateway/tests/fleetlab.rs
@@ -1,4 +1,5 @@
-//! Several real gateways among stand-ins, with faults between them: short plays of the lab, judged by rules and counts.
+//! Short lab runs of several gateway processes among simulated workers and clients, with injected faults; each run must
+//! break no rule of the lab's judge and reach minimum counts.
 
 use fleetlab::{
     judge::{Verdict, judge},
@@ -9,52 +10,55 @@
 use std::path::PathBuf;
 use tokio::sync::watch;
 
+/// Parses a scenario of six gateways and eight workers.
 fn scenario(text: &str) -> Scenario {
-    // Little load, so that a slow machine runs it in time; what it shows are rules, not figures.
+    // The load is low, so that a slow machine keeps up: these tests check rules, not performance.
     let world = "[world]\ngatekeepers = 6\nworkers = 8\ncold_s = 3.0\nfleet = true\n[load]\nuse = 0.3\n";
     Scenario::parse(&format!("{text}\n{world}")).unwrap_or_else(|e| panic!("{e}"))
 }
 
-fn play(text: &str) -> (Recording, Verdict) {
-    play_of(scenario(text))
+/// Runs the scenario in `text` and checks that no rule is broken.
+fn run_text(text: &str) -> (Recording, Verdict) {
+    run_scenario(scenario(text))
 }
 
-fn play_of(scenario: Scenario) -> (Recording, Verdict) {
+fn run_scenario(scenario: Scenario) -> (Recording, Verdict) {
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
     let program = PathBuf::from(env!("CARGO_BIN_EXE_opalrun-gateway"));
     let (progress, stop) = (watch::channel(Progress::default()).0, watch::channel(false));
     let mut recording = runtime
         .block_on(Play { scenario, seed: 1, program, root: std::env::temp_dir() }.run(progress, stop.1))
-        .expect("a play");
-    // How late a busy machine made it run is no matter of these tests: rules hold at any speed.
+        .expect("a complete run");
+    // Ignores whether the machine was too slow for valid measurements: the rules hold at any speed.
     recording.meter.void = None;
     let verdict = judge(&recording);
     assert!(verdict.passed(), "{}\n{:#?}", verdict.line(), verdict.broken);
     (recording, verdict)
 }
 
-fn exits(recording: &Recording) -> usize {
-    let exit = |e: &Event| matches!(e, Event::Gate { state: GateState::Exited { wanted: true, .. }, .. });
-    recording.seen.iter().filter(|s| exit(&s.event)).count()
+/// Number of gateway processes that exited as the scenario intended.
+fn intended_exits(recording: &Recording) -> usize {
+    let is_exit = |e: &Event| matches!(e, Event::Gate { state: GateState::Exited { wanted: true, .. }, .. });
+    recording.seen.iter().filter(|s| is_exit(&s.event)).count()
 }
 
 #[test]
-fn a_fleet_keeps_the_rules_while_gateways_are_killed_paused_and_rolled() {
-    let (recording, verdict) = play(
+fn no_rule_is_broken_while_gateways_are_killed_paused_and_restarted_in_turn() {
+    let (recording, verdict) = run_text(
         "name = 'herd'\nlength_s = 10\n
         [[fault]]\nwhat = 'kill'\ngates = '0..3'\nat_s = 2\nfor_s = 0.5\nover_s = 0.5
         [[fault]]\nwhat = 'pause'\ngates = '3'\nat_s = 3\nfor_s = 2
         [[fault]]\nwhat = 'roll'\ngates = '4..6'\nat_s = 4\nfor_s = 3\nstep = 0.5",
     );
     assert!(verdict.requests > 300, "{}", verdict.requests);
-    // Three kills, two restarts, and all six at the end.
-    assert_eq!(exits(&recording), 11);
+    // Three kills, two rolling restarts, and all six processes at the end.
+    assert_eq!(intended_exits(&recording), 11);
     assert!(verdict.goodput > 0.3, "{}", verdict.goodput);
 }
 
 #[test]
-fn a_fleet_keeps_the_rules_while_links_are_cut_and_the_counter_is_down() {
-    let (_, verdict) = play(
+fn no_rule_is_broken_while_links_are_cut_and_the_counter_is_unavailable() {
+    let (_, verdict) = run_text(
         "name = 'cuts'\nlength_s = 10\n
         [[fault]]\nwhat = 'cut'\npeers = 'workers:zone=hall-b'\nat_s = 2\nfor_s = 2
         [[fault]]\nwhat = 'cut'\nway = 'in'\ngates = '0..2'\npeers = 'workers:0..2'\nat_s = 3\nfor_s = 2
@@ -63,13 +67,16 @@
         [[fault]]\nwhat = 'reset'\npeers = 'workers'\nat_s = 7.5
         [[fault]]\nwhat = 'half-open'\ngates = '1'\npeers = 'workers'\nat_s = 8",
     );
-    assert!(verdict.seconds.iter().any(|s| s.calls == 0 && s.tries > 0), "the counter was down");
+    assert!(
+        verdict.seconds.iter().any(|s| s.calls == 0 && s.tries > 0),
+        "the counter was unavailable for at least one second"
+    );
     assert!(verdict.goodput > 0.3, "{}", verdict.goodput);
 }
 
 #[test]
-fn a_fleet_keeps_the_rules_while_workers_are_replaced_crash_and_spoil_answers() {
-    let (recording, verdict) = play(
+fn no_rule_is_broken_while_workers_are_replaced_crash_and_corrupt_responses() {
+    let (recording, verdict) = run_text(
         "name = 'workers'\nlength_s = 12\n
         [[fault]]\nwhat = 'discovery-move'\nat_s = 0.5\nfor_s = 6
         [[fault]]\nwhat = 'replace'\nworkers = '0..2'\nat_s = 1.5\nfor_s = 1
@@ -78,13 +85,14 @@
         [[fault]]\nwhat = 'spoil'\nshare = 0.2\nworkers = '5'\nat_s = 4\nfor_s = 3
         [[fault]]\nwhat = 'silent'\nworkers = '6'\nat_s = 5\nfor_s = 2",
     );
-    let told = recording.seen.iter().filter(|s| matches!(s.event, Event::Told { wanted: false, .. })).count();
-    assert!(told >= 2 * 6, "each gateway heard of both drains: {told}");
+    let updates =
+        recording.seen.iter().filter(|s| matches!(s.event, Event::Told { wanted: false, .. })).count();
+    assert!(updates >= 2 * 6, "each gateway received both drain updates: {updates}");
     assert!(verdict.goodput > 0.3, "{}", verdict.goodput);
 }
 
 #[test]
-fn a_fleet_keeps_the_rules_while_answers_stop_and_break_off_half_way_and_lists_are_late() {
+fn no_rule_is_broken_while_responses_stall_or_are_truncated_and_lists_are_late() {
     let mut scenario = scenario(
         "name = 'wide-reset-stale'\nlength_s = 10\n
         [[fault]]\nwhat = 'stall'\nshare = 0.1\nat_s = 1\nfor_s = 7
@@ -96,17 +104,20 @@
         [[fault]]\nwhat = 'reset'\npeers = 'counter'\nat_s = 6",
     );
     scenario.world.answer_bytes = 40_000;
-    let (recording, verdict) = play_of(scenario);
+    let (recording, verdict) = run_scenario(scenario);
     let count = |of: fn(&Event) -> bool| recording.seen.iter().filter(|s| of(&s.event)).count();
-    let half = count(|e| matches!(e, Event::Ended { how: Ending::HalfWay, .. }));
-    assert!(half > 20, "{half} answers stopped or broke off");
-    assert!(count(|e| matches!(e, Event::Answer { outcome: Outcome::CutOff, .. })) > 0, "some had begun");
+    let incomplete = count(|e| matches!(e, Event::Ended { how: Ending::HalfWay, .. }));
+    assert!(incomplete > 20, "{incomplete} responses stalled or were truncated");
+    assert!(
+        count(|e| matches!(e, Event::Answer { outcome: Outcome::CutOff, .. })) > 0,
+        "some were truncated after the client had received a part"
+    );
     assert!(verdict.goodput > 0.3, "{}", verdict.goodput);
 }
 
 #[test]
-fn a_fleet_sends_nothing_on_for_clients_that_left_in_a_burst_while_their_requests_waited() {
-    let (recording, verdict) = play(
+fn waiting_requests_of_clients_that_disconnect_together_are_not_sent() {
+    let (recording, verdict) = run_text(
         "name = 'leave'\nlength_s = 8\n
         [[fault]]\nwhat = 'reset'\npeers = 'workers:0..6'\nat_s = 1.99
         [[fault]]\nwhat = 'cut'\npeers = 'workers:0..6'\nat_s = 2\nfor_s = 4
@@ -116,15 +127,15 @@
         [[fault]]\nwhat = 'leave'\nat_s = 4
         [[fault]]\nwhat = 'leave'\nat_s = 5",
     );
-    let left = |s: &Seen| matches!(s.event, Event::Answer { outcome: Outcome::Left, .. });
-    assert!(recording.seen.iter().any(left), "some have left");
-    // How many waited is chance; that none is sent on is not.
-    assert_eq!(verdict.gone[1], 0, "of {} that waited", verdict.gone[0]);
+    let disconnected = |s: &Seen| matches!(s.event, Event::Answer { outcome: Outcome::Left, .. });
+    assert!(recording.seen.iter().any(disconnected), "at least one client disconnected");
+    // The number of waiting requests varies from run to run; none of them may be sent.
+    assert_eq!(verdict.gone[1], 0, "requests sent, of {} that were waiting", verdict.gone[0]);
 }
 
 #[test]
-fn a_fleet_keeps_the_rules_while_it_is_parted_and_datagrams_are_lost_doubled_and_late() {
-    let (recording, verdict) = play(
+fn no_rule_is_broken_while_the_fleet_is_partitioned_and_datagrams_are_lost_duplicated_and_reordered() {
+    let (recording, verdict) = run_text(
         "name = 'parted'\nlength_s = 12\n
         [[fault]]\nwhat = 'cut'\ngates = '0..2'\npeers = 'gates'\nat_s = 2\nfor_s = 5
         [[fault]]\nwhat = 'cut'\ngates = '2'\npeers = 'gates'\nway = 'out'\nat_s = 3\nfor_s = 4
@@ -134,16 +145,16 @@
         [[fault]]\nwhat = 'reorder'\nshare = 0.5\npeers = 'gates'\nat_s = 5\nfor_s = 4
         [[fault]]\nwhat = 'kill'\ngates = '5'\nat_s = 4\nfor_s = 1",
     );
-    let views = recording.seen.iter().filter(|s| match &s.event {
+    let by_peer_views = recording.seen.iter().filter(|s| match &s.event {
         Event::Reason { why, .. } => why == "left by the fleet's views",
         _ => false,
     });
-    assert!(views.count() > 0, "while the counter was down, views decided");
+    assert!(by_peer_views.count() > 0, "without the counter, peers' views decide");
     assert!(verdict.goodput > 0.3, "{}", verdict.goodput);
 }
 
 #[test]
-fn a_gateway_that_dies_at_its_start_is_told_with_the_last_lines_of_its_log() {
+fn the_error_of_a_gateway_that_exits_at_start_quotes_its_last_log_lines() {
     let folder = tempfile::tempdir().expect("a folder");
     let program = folder.path().join("broken");
     std::fs::write(&program, "#!/bin/sh\necho 'opalrun-gateway: no luck today' >&2\nexit 1\n")
@@ -154,14 +165,14 @@
     let (progress, stop) = (watch::channel(Progress::default()).0, watch::channel(false));
     let root = folder.path().to_owned();
     let play = Play { scenario: scenario("name = 'x'\nlength_s = 5"), seed: 1, program, root };
-    let error = runtime.block_on(play.run(progress, stop.1)).expect_err("no play");
+    let error = runtime.block_on(play.run(progress, stop.1)).expect_err("the run fails");
     assert!(error.to_string().contains("no luck today"), "{error}");
 }
 
 #[test]
-fn a_play_that_is_stopped_leaves_no_process_and_no_folder() {
+fn a_stopped_run_leaves_no_process_and_no_folder() {
     let folder = tempfile::tempdir().expect("a folder");
-    // A copy of its own, so that its processes can be told from others'.
+    // A copy of the program, so that this run's processes can be told from those of other tests.
     let program = folder.path().join("opalrun-gateway");
     std::fs::copy(env!("CARGO_BIN_EXE_opalrun-gateway"), &program).expect("a copy");
     let running = || {
@@ -169,26 +180,26 @@
         entries.filter(|e| std::fs::read_link(e.path().join("exe")).is_ok_and(|exe| exe == program)).count()
     };
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
-    let (progress, mut told) = watch::channel(Progress::default());
-    let (tell, stop) = watch::channel(false);
+    let (progress, mut progress_updates) = watch::channel(Progress::default());
+    let (stop_sender, stop) = watch::channel(false);
     let (scenario, root) = (scenario("name = 'x'\nlength_s = 600"), folder.path().to_owned());
     let play = Play { scenario, seed: 1, program: program.clone(), root };
     let ended = runtime.block_on(async {
         let play = tokio::spawn(play.run(progress, stop));
-        told.wait_for(|p| p.sent > 20).await.expect("it plays");
+        progress_updates.wait_for(|p| p.sent > 20).await.expect("the run progresses");
         assert_eq!(running(), 6);
-        tell.send_replace(true);
-        play.await.expect("it ends")
+        stop_sender.send_replace(true);
+        play.await.expect("the run ends")
     });
     assert!(matches!(ended, Err(WorldError::Stopped)));
-    // Killed by then; each is gone once it has been waited for.
+    // The processes have been killed; each disappears once its exit status has been collected.
     drop(runtime);
-    let gone = std::time::Instant::now();
+    let start = std::time::Instant::now();
     while running() > 0 {
-        assert!(gone.elapsed().as_secs() < 30, "{} still run", running());
+        assert!(start.elapsed().as_secs() < 30, "{} processes still run", running());
         std::thread::yield_now();
     }
-    let left: Vec<_> =
+    let remaining: Vec<_> =
         std::fs::read_dir(folder.path()).expect("a folder").flatten().map(|e| e.path()).collect();
-    assert_eq!(left, [program], "the play's own folder is gone");
+    assert_eq!(remaining, [program], "the run's folder has been removed");
 }
--- a/crates/gateway/tests/node.rs
+++ b/crates/gateway/tests/node.rs
@@ -1,4 +1,5 @@
-//! The built program against fakes on loopback sockets: each test guards against one failure.
+//! End-to-end tests of the built gateway program against fake workers, counter and discovery on loopback sockets:
+//! forwarding, retries, quotas, malformed input, configuration reload and shutdown.
 
 mod fakes;
 use fakes::*;
@@ -9,12 +10,15 @@
     sync::Arc,
 };
 
-const TURNED_AWAY: &str = "HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
-const ERROR: &str = "HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n";
-const UNMARKED: &str = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
+/// Refusal by a worker that has not run the request, marked as such.
+const MARKED_REFUSAL: &str = "HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
+/// Error of a worker that may have run the request.
+const SERVER_ERROR: &str = "HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n";
+/// Status 503 without the mark that the request has not run.
+const UNMARKED_REFUSAL: &str = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
 
 #[test]
-fn a_request_goes_on_unchanged_and_connections_are_kept() {
+fn requests_are_forwarded_unchanged_and_worker_connections_are_reused() {
     let worker = Worker::start(Behaviour::Respond("marked: 7"));
     let (mut setup, _discovery) = NodeSetup::new(&[&worker]);
     setup.has_admin_api = true;
@@ -22,41 +26,41 @@
     let mut client = node.connect();
     let mut up = ClientRequest::new("up");
     up.line = "GET /up HTTP/1.1".into();
-    assert_eq!(client.request(&up).status(), 200, "the front takes it in");
-    let mut ask = ClientRequest::new("9b1f03aa5c7e2d41");
-    ask.line = "GET /check-answer/5?pupil=3 HTTP/1.1".into();
-    let answer = client.request(&ask);
+    assert_eq!(client.request(&up).status(), 200, "liveness check of the load balancer");
+    let mut request = ClientRequest::new("9b1f03aa5c7e2d41");
+    request.line = "GET /check-answer/5?pupil=3 HTTP/1.1".into();
+    let answer = client.request(&request);
     assert_eq!((answer.status(), answer.body.as_slice()), (200, b"marked: 7".as_slice()));
     let (first, seen) = worker.next_request();
-    assert_eq!(seen.line, ask.line);
+    assert_eq!(seen.line, request.line);
     assert_eq!(seen.header("x-txn"), "9b1f03aa5c7e2d41");
-    let wait: f64 = seen.header("x-remaining").parse().expect("how long the gateway waits");
-    assert!(wait > 0.0 && wait <= 25.0, "{wait}");
-    // After its answer a connection rests before another request may have it.
+    let timeout: f64 = seen.header("x-remaining").parse().expect("the gateway's time-out in seconds");
+    assert!(timeout > 0.0 && timeout <= 25.0, "{timeout}");
+    // A connection becomes idle, and so reusable, a moment after its response.
     node.wait_for_pool("w0", |p| p["idle"] == 1);
     assert_eq!(client.request(&ClientRequest::submit("b")).status(), 200);
     let (second, seen) = worker.next_request();
     assert_eq!((seen.line.as_str(), seen.body.as_slice()), ("POST /submit HTTP/1.1", b"answer".as_slice()));
-    assert_eq!(first, second, "on the connection that was kept");
+    assert_eq!(first, second, "the second request reuses the connection");
 }
 
-/// A client has gone as soon as its time is up, so an answer at that moment comes too late. What the worker is told is
-/// how long the gateway waits, which shows this whatever the test's machine is busy with.
+/// A client disconnects as soon as its time-out expires, so a response at that moment comes too late. Checks the time-out
+/// that the gateway sends to the worker, which does not depend on the load of the test machine.
 #[test]
-fn a_request_ends_before_its_client_has_gone() {
+fn a_request_times_out_before_its_client_does() {
     let worker = Worker::start(Behaviour::NeverRespond);
     let (setup, _discovery) = NodeSetup::new(&[&worker]);
     let node = setup.start();
     for remaining in [0.4, 2.0] {
-        let ask = ClientRequest::new("held").with_header("X-Remaining", &remaining.to_string());
-        assert_eq!(node.request(&ask).status(), 429);
-        let told: f64 = worker.next_request().1.header("x-remaining").parse().expect("seconds");
-        assert!(told < remaining - 0.004, "{told} of {remaining}");
+        let request = ClientRequest::new("held").with_header("X-Remaining", &remaining.to_string());
+        assert_eq!(node.request(&request).status(), 429);
+        let timeout: f64 = worker.next_request().1.header("x-remaining").parse().expect("seconds");
+        assert!(timeout < remaining - 0.004, "{timeout} of {remaining}");
     }
 }
 
 #[test]
-fn the_key_of_a_keyed_request_goes_on() {
+fn the_idempotency_key_is_forwarded() {
     let worker = Worker::start(Behaviour::Respond("ok"));
     let (mut setup, _discovery) = NodeSetup::new(&[&worker]);
     setup.settings["Classes"][1]["Effect"] = json!("deduplicated");
@@ -67,7 +71,7 @@
 }
 
 #[test]
-fn two_gateways_hold_one_quota_and_refuse_with_advice() {
+fn two_gateways_share_one_quota_and_refuse_with_retry_after() {
     let worker = Worker::start(Behaviour::Respond("ok"));
     let counter = Counter::start(CounterBehaviour::Answer);
     let (mut setup, _discovery) = NodeSetup::new(&[&worker]);
@@ -86,77 +90,77 @@
             }
         }
     }
-    // A burst of eight, and at most a share of four that the count hears of late; kept apart, as with clocks
-    // or names that differ, they would serve sixteen.
+    // The burst is 8, plus a share of at most 4 that is counted late. Gateways that count separately, for example
+    // because their clocks or counter names differ, would serve 16.
     assert!((6..=12).contains(&served), "{served} served of a burst of 8");
-    assert!(counter.total() >= 5.0, "the count knows: {}", counter.total());
+    assert!(counter.total() >= 5.0, "total at the counter: {}", counter.total());
 }
 
 #[test]
-fn what_may_have_run_is_not_sent_again_where_a_repeat_would_do_harm() {
-    for does in [
+fn an_at_most_once_request_that_may_have_run_is_not_retried() {
+    for behaviour in [
         Behaviour::Close,
-        Behaviour::SendRaw(ERROR),
-        Behaviour::SendRaw(UNMARKED),
+        Behaviour::SendRaw(SERVER_ERROR),
+        Behaviour::SendRaw(UNMARKED_REFUSAL),
         Behaviour::SendRaw("nonsense\r\n\r\n"),
     ] {
-        let (one, two) = (Worker::start(does.clone()), Worker::start(does));
+        let (one, two) = (Worker::start(behaviour.clone()), Worker::start(behaviour));
         let (setup, _discovery) = NodeSetup::new(&[&one, &two]);
         let node = setup.start();
-        // Neither served nor refused: a refusal would promise that it has not run.
+        // Neither a success nor a refusal: a refusal would promise that the request has not run.
         assert_eq!(node.request(&ClientRequest::submit("once")).status(), 502);
-        assert_eq!(one.drain_requests().len() + two.drain_requests().len(), 1, "one attempt");
+        assert_eq!(one.drain_requests().len() + two.drain_requests().len(), 1, "exactly one attempt");
     }
 }
 
 #[test]
-fn what_never_ran_is_sent_again_even_then() {
-    let (full, well) =
-        (Worker::start(Behaviour::SendRaw(TURNED_AWAY)), Worker::start(Behaviour::Respond("ok")));
-    let (mut setup, discovery) = NodeSetup::new(&[&full, &well]);
-    // A port that was free a moment ago and that nobody listens on.
-    let nobody = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port");
-    let refused = discovery_entry("w2", nobody, "SERVING");
-    discovery.upsert(refused.clone());
-    setup.initial_servers.push(refused);
+fn an_at_most_once_request_that_has_not_run_is_retried() {
+    let (refusing, serving) =
+        (Worker::start(Behaviour::SendRaw(MARKED_REFUSAL)), Worker::start(Behaviour::Respond("ok")));
+    let (mut setup, discovery) = NodeSetup::new(&[&refusing, &serving]);
+    // A port without a listener, so that connecting to it is refused.
+    let unused_addr = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port");
+    let unreachable = discovery_entry("w2", unused_addr, "SERVING");
+    discovery.upsert(unreachable.clone());
+    setup.initial_servers.push(unreachable);
     let node = setup.start();
-    // Who comes first is chance, and the module saves up only so many further attempts: until it was full.
+    // The worker of the first attempt is random and the retry budget limited: repeats until the refusing worker was attempted.
     for i in 0.. {
         assert_eq!(node.request(&ClientRequest::submit(&format!("r{i}"))).status(), 200);
-        assert_eq!(well.drain_requests().len(), 1);
-        if !full.drain_requests().is_empty() {
+        assert_eq!(serving.drain_requests().len(), 1);
+        if !refusing.drain_requests().is_empty() {
             break;
         }
     }
 }
 
 #[test]
-fn a_reset_of_a_safe_request_is_made_good_elsewhere() {
-    let (breaks, well) = (Worker::start(Behaviour::Close), Worker::start(Behaviour::Respond("ok")));
-    let (setup, _discovery) = NodeSetup::new(&[&breaks, &well]);
+fn an_idempotent_request_is_retried_on_another_worker_after_a_closed_connection() {
+    let (closing, serving) = (Worker::start(Behaviour::Close), Worker::start(Behaviour::Respond("ok")));
+    let (setup, _discovery) = NodeSetup::new(&[&closing, &serving]);
     let node = setup.start();
     for i in 0.. {
         assert_eq!(node.request(&ClientRequest::new(&format!("s{i}"))).status(), 200);
-        if !breaks.drain_requests().is_empty() {
+        if !closing.drain_requests().is_empty() {
             break;
         }
     }
 }
 
 #[test]
-fn when_every_attempt_ends_badly_a_safe_request_is_refused() {
-    let worker = Worker::start(Behaviour::SendRaw(ERROR));
+fn an_idempotent_request_is_refused_when_every_attempt_fails() {
+    let worker = Worker::start(Behaviour::SendRaw(SERVER_ERROR));
     let (setup, _discovery) = NodeSetup::new(&[&worker]);
     assert_eq!(setup.start().request(&ClientRequest::new("e")).status(), 429);
 }
 
 #[test]
-fn a_kept_connection_that_is_dead_is_replaced_not_reported() {
+fn a_dead_idle_connection_is_replaced_and_causes_no_error() {
     let worker = Worker::start(Behaviour::RespondThenShutDownWrite);
     let (setup, _discovery) = NodeSetup::new(&[&worker]);
     let node = setup.start();
     let mut client = node.connect();
-    // Unsafe, so that an attempt on the dead connection would show as a failure.
+    // At-most-once requests are not retried, so an attempt on the dead connection would fail.
     for i in 0..4 {
         assert_eq!(client.request(&ClientRequest::submit(&format!("d{i}"))).status(), 200);
         worker.wait_for_event(|event| matches!(event, WorkerEvent::WriteShutDown));
@@ -164,7 +168,7 @@
 }
 
 #[test]
-fn an_idle_connection_is_closed_before_the_workers_limit() {
+fn an_idle_connection_is_closed_after_the_configured_time() {
     let worker = Worker::start(Behaviour::Respond("ok"));
     let (mut setup, _discovery) = NodeSetup::new(&[&worker]);
     setup.settings["Limits"]["ConnIdle"] = json!(2.0);
@@ -172,11 +176,15 @@
     let mut client = node.connect();
     assert_eq!(client.request(&ClientRequest::submit("i")).status(), 200);
     worker.wait_for_event(|event| matches!(event, WorkerEvent::ConnectionClosed(0)));
-    assert_eq!(client.request(&ClientRequest::submit("j")).status(), 200, "the next has a new one");
+    assert_eq!(
+        client.request(&ClientRequest::submit("j")).status(),
+        200,
+        "the next request opens a new connection"
+    );
 }
 
 #[test]
-fn a_silent_worker_times_out_and_the_connection_is_closed() {
+fn a_request_to_a_silent_worker_times_out_and_its_connection_is_closed() {
     let worker = Worker::start(Behaviour::NeverRespond);
     let (setup, _discovery) = NodeSetup::new(&[&worker]);
     let node = setup.start();
@@ -185,12 +193,12 @@
     assert_eq!(
         node.request(&ClientRequest::submit("u").with_header("X-Remaining", "0.3")).status(),
         502,
-        "it may have run"
+        "the request may have run"
     );
 }
 
 #[test]
-fn a_client_that_leaves_is_owed_nothing_more() {
+fn a_request_is_not_retried_after_its_client_has_disconnected() {
     let gate = Arc::new(Gate::default());
     let worker = Worker::start(Behaviour::CloseWhenOpened(gate.clone()));
     let other = Worker::start(Behaviour::CloseWhenOpened(gate.clone()));
@@ -198,17 +206,17 @@
     let node = setup.start();
     let mut client = node.connect();
     client.send(&ClientRequest::new("gone"));
-    let tried = loop {
+    let attempted = loop {
         match [&worker, &other].into_iter().find(|w| !w.drain_requests().is_empty()) {
             Some(worker) => break worker,
             None => std::thread::yield_now(),
         }
     };
     client.reader.get_ref().shutdown(Shutdown::Write).expect("a socket");
-    assert!(client.read_response().is_none(), "it closes too, without an answer");
-    // A safe request whose attempt breaks would be tried again, were the client still there.
+    assert!(client.read_response().is_none(), "the gateway closes the connection without a response");
+    // With its client still connected, an idempotent request would be retried after the failed attempt.
     gate.open();
-    tried.wait_for_event(|event| matches!(event, WorkerEvent::ConnectionClosed(_)));
+    attempted.wait_for_event(|event| matches!(event, WorkerEvent::ConnectionClosed(_)));
     [&worker, &other].into_iter().for_each(|w| w.set_behaviour(Behaviour::Respond("ok")));
     assert_eq!(node.request(&ClientRequest::new("next")).status(), 200);
     let txns: Vec<String> = [worker.drain_requests(), other.drain_requests()]
@@ -220,7 +228,7 @@
 }
 
 #[test]
-fn bad_input_is_answered_and_never_reaches_a_worker() {
+fn malformed_requests_are_rejected_and_never_reach_a_worker() {
     let worker = Worker::start(Behaviour::Respond("ok"));
     let (setup, _discovery) = NodeSetup::new(&[&worker]);
     let node = setup.start();
@@ -252,8 +260,8 @@
         ["X-Txn", "X-Lane", "X-Plan", "X-Customer", "X-Remaining", "X-Quota"]
             .map(|h| good().without_header(h)),
     );
-    for ask in &bad {
-        assert_eq!(node.request(ask).status(), 400, "{} {:?}", ask.line, ask.headers);
+    for request in &bad {
+        assert_eq!(node.request(request).status(), 400, "{} {:?}", request.line, request.headers);
     }
     let mut client = node.connect();
     client.reader.get_mut().write_all(b"\x16\x03 nonsense\r\n\r\n").expect("a socket");
@@ -263,74 +271,81 @@
     assert_eq!(
         node.request(&good().with_header("X-Remaining", "1e300")).status(),
         200,
-        "however long it would wait"
+        "any positive time-out is valid"
     );
 }
 
 #[test]
-fn a_peer_that_brings_no_whole_request_is_not_waited_for() {
+fn a_client_that_does_not_complete_its_request_is_disconnected() {
     let worker = Worker::start(Behaviour::Respond("ok"));
     let (setup, _discovery) = NodeSetup::new(&[&worker]);
     let node = setup.start();
     let part = "POST /submit HTTP/1.1\r\nX-Lane: sub";
-    // One sends nothing, one half a head, one a head without its body.
-    let mut peers: Vec<Client> = (0..3).map(|_| node.connect()).collect();
-    peers[1].reader.get_mut().write_all(part.as_bytes()).expect("a socket");
-    peers[2].send(&ClientRequest {
+    // One client sends nothing, one an incomplete head, one a head without its body.
+    let mut clients: Vec<Client> = (0..3).map(|_| node.connect()).collect();
+    clients[1].reader.get_mut().write_all(part.as_bytes()).expect("a socket");
+    clients[2].send(&ClientRequest {
         body: Vec::new(),
         ..ClientRequest::submit("x").with_header("Content-Length", "9")
     });
-    for peer in &mut peers {
-        let mut said = String::new();
-        peer.reader.read_to_string(&mut said).expect("closed before this test's own limit");
-        assert!(said.is_empty() || said.starts_with("HTTP/1.1 4"), "{said}");
+    for client in &mut clients {
+        let mut response = String::new();
+        client
+            .reader
+            .read_to_string(&mut response)
+            .expect("closed by the gateway before the test's time-out");
+        assert!(response.is_empty() || response.starts_with("HTTP/1.1 4"), "{response}");
     }
     assert!(worker.drain_requests().is_empty());
 }
 
 #[test]
-fn a_counter_that_is_silent_busy_or_mad_leaves_the_even_share() {
-    for how in [CounterBehaviour::Silent, CounterBehaviour::Busy, CounterBehaviour::Garbage] {
+fn without_usable_counter_answers_a_gateway_serves_its_even_share() {
+    for behaviour in [CounterBehaviour::Silent, CounterBehaviour::Busy, CounterBehaviour::Garbage] {
         let worker = Worker::start(Behaviour::Respond("ok"));
-        let counter = Counter::start(how);
+        let counter = Counter::start(behaviour);
         let (mut setup, _discovery) = NodeSetup::new(&[&worker]);
         setup.counter = Some(counter.addr);
         let node = setup.start();
         let mut client = node.connect();
-        let ask = |i: usize| ClientRequest::new(&format!("c{i}")).with_header("X-Plan", "pieni");
-        let served = (0..12).filter(|i| client.request(&ask(*i)).status() == 200).count();
+        let request = |i: usize| ClientRequest::new(&format!("c{i}")).with_header("X-Plan", "pieni");
+        let served = (0..12).filter(|i| client.request(&request(*i)).status() == 200).count();
         counter.next_call();
-        assert!((3..=5).contains(&served), "{served} served; half of a burst of 8");
+        assert!((3..=5).contains(&served), "{served} served; half of the burst of 8 expected");
     }
 }
 
 #[test]
-fn a_late_answer_of_the_counter_is_not_taken_for_another_calls() {
+fn a_late_counter_answer_is_matched_to_its_own_call() {
     let worker = Worker::start(Behaviour::Respond("ok"));
-    // The first customer's count stands far beyond its quota; the second's is new.
+    // The total of the first customer is far above its quota; the second customer's is 0.
     let counter = Counter::starting_at(CounterBehaviour::HoldFirstUntilSecond, 1000.0);
     let (mut setup, _discovery) = NodeSetup::new(&[&worker]);
     setup.counter = Some(counter.addr);
     let node = setup.start();
-    let ask = |n: usize, txn: &str| {
+    let request = |n: usize, txn: &str| {
         ClientRequest::new(txn).with_header("X-Plan", "pieni").with_header("X-Customer", &format!("{n:016x}"))
     };
-    assert_eq!(node.request(&ask(1, "a")).status(), 200, "unseen: the share serves while the count is asked");
+    assert_eq!(
+        node.request(&request(1, "a")).status(),
+        200,
+        "unknown customer: served from the even share while the counter is called"
+    );
     counter.next_call();
-    // Six of the second's eight are more than its share, so its count must have been read. One refused while
-    // an answer is still on its way asks again; with the first's total in hand it would ask for ever.
+    // 6 of the second customer's burst of 8 exceed its even share, so its own total must have been read. A request
+    // refused while the answer is in flight is repeated; with the first customer's total it would be refused for ever.
     for i in 0..6 {
         let start = std::time::Instant::now();
-        while node.request(&ask(2, &format!("b{i}"))).status() != 200 {
-            assert!(start.elapsed() < LIMIT, "refused by another's count");
+        while node.request(&request(2, &format!("b{i}"))).status() != 200 {
+            assert!(start.elapsed() < LIMIT, "refused by the total of another customer");
             std::thread::sleep(std::time::Duration::from_millis(20));
         }
     }
-    assert_eq!(node.request(&ask(1, "c")).status(), 429, "the first has had its own late answer");
+    assert_eq!(node.request(&request(1, "c")).status(), 429, "the late answer applies to the first customer");
 }
 
 #[test]
-fn one_stuck_connection_to_the_counter_does_not_stall_the_rest() {
+fn a_stuck_counter_connection_does_not_stall_later_calls() {
     let worker = Worker::start(Behaviour::Respond("ok"));
     let counter = Counter::start(CounterBehaviour::FirstConnectionSilent);
     let (mut setup, _discovery) = NodeSetup::new(&[&worker]);
@@ -340,15 +355,15 @@
     let (mut served, mut connections) = (0, std::collections::BTreeSet::new());
     for i in 0..200 {
         let customer = format!("{i:016x}");
-        let ask = ClientRequest::new(&format!("k{i}"))
+        let request = ClientRequest::new(&format!("k{i}"))
             .with_header("X-Plan", "pieni")
             .with_header("X-Customer", &customer);
-        served += usize::from(client.request(&ask).status() == 200);
+        served += usize::from(client.request(&request).status() == 200);
         connections.extend(counter.calls.try_iter().filter(|c| c.1 != "ping").map(|c| c.0));
         if connections.len() > 1 {
             break;
         }
-        // Until a call on the first has waited for its 50 ms.
+        // Continues until a call on the first connection has timed out after 50 ms.
         std::thread::sleep(std::time::Duration::from_millis(5));
     }
     assert!(served > 0 && connections.len() > 1, "{served} served, calls on {connections:?}");
@@ -363,12 +378,12 @@
     let _node = setup.start();
     let next = || counter.calls.recv_timeout(LIMIT).expect("a ping");
     assert_eq!(next(), (0, "ping".to_owned()));
-    // A line that owes an answer sends no more pings: the next is its replacement's.
+    // A connection with an outstanding answer sends no further ping: the next one is sent on its replacement.
     assert_eq!(next(), (1, "ping".to_owned()));
 }
 
 #[test]
-fn the_line_to_the_counter_is_kept_from_idling_out() {
+fn pings_keep_the_counter_connection_alive() {
     let worker = Worker::start(Behaviour::Respond("ok"));
     let counter = Counter::start(CounterBehaviour::Answer);
     let (mut setup, _discovery) = NodeSetup::new(&[&worker]);
@@ -381,13 +396,13 @@
 }
 
 #[test]
-fn nothing_goes_to_a_worker_that_drains_or_is_gone() {
+fn no_request_is_sent_to_a_draining_or_deleted_worker() {
     for state in ["DRAINING", "DELETED"] {
         let (one, two) = (Worker::start(Behaviour::Respond("ok")), Worker::start(Behaviour::Respond("ok")));
         let (setup, discovery) = NodeSetup::new(&[&one, &two]);
         let node = setup.start();
         discovery.wait_for_watch_from(2);
-        // Unhindered, both would be used.
+        // While both are in service, both receive requests.
         let (mut first, mut second) = (0, 0);
         for i in 0.. {
             assert_eq!(node.request(&ClientRequest::new(&format!("p{i}"))).status(), 200);
@@ -403,13 +418,13 @@
 }
 
 #[test]
-fn discovery_may_be_silent_or_mad_and_is_followed_when_it_is_back() {
+fn the_gateway_serves_through_a_discovery_outage_and_follows_the_list_afterwards() {
     let (old, new) = (Worker::start(Behaviour::Respond("old")), Worker::start(Behaviour::Respond("new")));
     let (setup, discovery) = NodeSetup::new(&[&old]);
     discovery.set_silent(true);
     let node = setup.start();
     discovery.next_watch();
-    assert_eq!(node.request(&ClientRequest::new("a")).body, b"old", "what was known at the start serves");
+    assert_eq!(node.request(&ClientRequest::new("a")).body, b"old", "the configured server list is used");
     node.wait_for_log("no answer");
     discovery.set_silent(false);
     discovery.set_malformed(true);
@@ -421,7 +436,7 @@
 }
 
 #[test]
-fn an_overbooked_discovery_is_asked_for_changes_only() {
+fn discovery_is_asked_for_changes_only_after_status_503() {
     let worker = Worker::start(Behaviour::Respond("old"));
     let (mut setup, discovery) = NodeSetup::new(&[&worker]);
     setup.initial_version = 1;
@@ -431,19 +446,23 @@
     assert_eq!(
         (discovery.next_watch(), discovery.next_watch()),
         (1, 1),
-        "from the list that is held, also after an error"
+        "from the version of the current list, also after an error"
     );
-    assert_eq!(node.request(&ClientRequest::new("a")).body, b"old", "what was known at the start serves");
+    assert_eq!(node.request(&ClientRequest::new("a")).body, b"old", "the configured server list is used");
     discovery.set_unavailable(false);
     let drained = discovery.upsert(discovery_entry("w0", worker.addr, "DRAINING"));
     discovery.wait_for_watch_from(drained);
-    assert_eq!(node.request(&ClientRequest::new("b")).status(), 429, "followed again");
+    assert_eq!(
+        node.request(&ClientRequest::new("b")).status(),
+        429,
+        "the update is applied once discovery answers"
+    );
 }
 
 #[test]
-fn after_sighup_discovery_and_the_counter_are_where_the_new_configuration_says() {
+fn a_reload_switches_to_the_new_discovery_and_counter_addresses() {
     let (old, new) = (Worker::start(Behaviour::Respond("old")), Worker::start(Behaviour::Respond("new")));
-    let (counter, moved) =
+    let (counter, new_counter) =
         (Counter::start(CounterBehaviour::Answer), Counter::start(CounterBehaviour::Answer));
     let (mut setup, _discovery) = NodeSetup::new(&[&old]);
     setup.counter = Some(counter.addr);
@@ -452,28 +471,28 @@
     counter.next_call();
     let (next, discovery) = NodeSetup::new(&[&new]);
     node.reload("{");
-    // Ended by the signal, it never says so.
+    // A process that dies on SIGHUP logs no such line.
     node.wait_for_log("configuration rejected, the present one stays in force");
     assert_eq!(node.request(&ClientRequest::new("b")).body, b"old");
     setup.discovery = next.discovery;
-    setup.counter = Some(moved.addr);
+    setup.counter = Some(new_counter.addr);
     node.reload(&setup.config().to_string());
     node.wait_for_log("configuration reloaded");
     discovery.wait_for_watch_from(1);
     let customer = "00000000000000c5";
-    let ask = ClientRequest::new("c").with_header("X-Plan", "pieni").with_header("X-Customer", customer);
-    assert_eq!(node.request(&ask).body, b"new", "the new list is followed");
-    moved.next_call();
-    assert!(node.child.try_wait().expect("a child").is_none(), "it goes on");
+    let request = ClientRequest::new("c").with_header("X-Plan", "pieni").with_header("X-Customer", customer);
+    assert_eq!(node.request(&request).body, b"new", "the list of the new discovery is used");
+    new_counter.next_call();
+    assert!(node.child.try_wait().expect("a child").is_none(), "the process is still running");
 }
 
 #[test]
-fn a_bad_configuration_at_sighup_changes_nothing_at_all() {
+fn an_invalid_configuration_at_reload_changes_nothing() {
     let worker = Worker::start(Behaviour::Respond("ok"));
     let (mut setup, _discovery) = NodeSetup::new(&[&worker]);
     let node = setup.start();
     let good = setup.config().to_string();
-    // Whatever else a bad file says, such as other classes and another discovery, must not be taken in.
+    // The valid changes in an invalid file, here a class name and the discovery address, must not be applied either.
     setup.settings["Classes"][0]["Name"] = json!("other");
     setup.discovery = worker.addr;
     let changed = |change: &dyn Fn(&mut serde_json::Value)| {
@@ -511,7 +530,7 @@
 }
 
 #[test]
-fn new_settings_hold_from_sighup_on_and_open_requests_keep_the_old_rules() {
+fn reloaded_settings_apply_to_new_requests_and_open_requests_keep_the_old_settings() {
     let gate = Arc::new(Gate::default());
     let worker = Worker::start(Behaviour::CloseWhenOpened(gate.clone()));
     let (mut setup, _discovery) = NodeSetup::new(&[&worker]);
@@ -521,7 +540,7 @@
     worker.next_request();
     let mut new = setup.settings["Classes"][0].clone();
     new["Name"] = json!("submit_new");
-    // The unsafe class is gone, and a safe one stands in its place.
+    // An idempotent class replaces the at-most-once class.
     setup.settings["Classes"][1] = new;
     node.reload(&setup.config().to_string());
     node.wait_for_log("configuration reloaded");
@@ -529,17 +548,17 @@
     assert_eq!(
         client.read_response().map(|a| a.status()),
         Some(502),
-        "it may have run, so it is not refused"
+        "the request may have run, so it fails instead of being refused"
     );
     worker.set_behaviour(Behaviour::Respond("ok"));
-    let mut ask = ClientRequest::new("new").with_header("X-Lane", "submit_new");
-    ask.line = "GET /submit_new HTTP/1.1".into();
-    assert_eq!(node.request(&ask).status(), 200);
-    assert_eq!(node.request(&ClientRequest::submit("old")).status(), 400, "no client's request any more");
+    let mut request = ClientRequest::new("new").with_header("X-Lane", "submit_new");
+    request.line = "GET /submit_new HTTP/1.1".into();
+    assert_eq!(node.request(&request).status(), 200);
+    assert_eq!(node.request(&ClientRequest::submit("old")).status(), 400, "the class has been removed");
 }
 
 #[test]
-fn after_sigterm_what_is_in_hand_is_answered_and_the_end_is_clean() {
+fn after_sigterm_open_requests_are_completed_and_the_exit_is_clean() {
     let gate = Arc::new(Gate::default());
     let worker = Worker::start(Behaviour::RespondWhenOpened(gate.clone()));
     let (setup, _discovery) = NodeSetup::new(&[&worker]);
@@ -558,7 +577,7 @@
 }
 
 #[test]
-fn after_sigterm_what_no_worker_answers_is_failed_before_the_kill() {
+fn after_sigterm_unanswered_requests_fail_before_the_process_would_be_killed() {
     let worker = Worker::start(Behaviour::NeverRespond);
     let (setup, _discovery) = NodeSetup::new(&[&worker]);
     let mut node = setup.start();
@@ -566,16 +585,12 @@
     client.send(&ClientRequest::submit("held"));
     worker.next_request();
     node.terminate();
-    assert_eq!(
-        client.read_response().map(|a| a.status()),
-        Some(502),
-        "though its client would wait for 25 s"
-    );
+    assert_eq!(client.read_response().map(|a| a.status()), Some(502), "before the client's time-out of 25 s");
     assert!(node.wait_for_exit().success());
 }
 
 #[test]
-fn at_the_limit_of_descriptors_idle_connections_make_room() {
+fn idle_connections_are_closed_at_the_descriptor_limit() {
     let gate = Arc::new(Gate::default());
     let worker = Worker::start(Behaviour::Respond("ok"));
     let (mut setup, _discovery) = NodeSetup::new(&[&worker]);
@@ -589,24 +604,24 @@
         let open = std::fs::read_dir(format!("/proc/{}/fd", node.child.id())).expect("a process").count();
         assert!(open <= 64, "{open} descriptors");
     }
-    assert!(idle[0].reader.read(&mut [0]).is_ok_and(|n| n == 0), "the first was closed");
-    // All busy: more than there is room for wait their turn, and none is lost.
+    assert!(idle[0].reader.read(&mut [0]).is_ok_and(|n| n == 0), "the oldest idle connection was closed");
+    // With all connections busy, further ones wait to be accepted, and none is lost.
     worker.set_behaviour(Behaviour::RespondWhenOpened(gate.clone()));
-    let ask = |i: usize| ClientRequest::new(&format!("b{i}"));
+    let request = |i: usize| ClientRequest::new(&format!("b{i}"));
     let mut busy: Vec<Client> = (0..30).map(|_| node.connect()).collect();
-    busy.iter_mut().enumerate().for_each(|(i, c)| c.send(&ask(i)));
+    busy.iter_mut().enumerate().for_each(|(i, c)| c.send(&request(i)));
     worker.next_request();
     gate.open();
     for (i, client) in busy.iter_mut().enumerate() {
-        // Where the closing crossed the request, a client sends it once more.
-        let answer = client.read_response().unwrap_or_else(|| node.request(&ask(i)));
+        // If the connection was closed while the request was in flight, the client sends it again.
+        let answer = client.read_response().unwrap_or_else(|| node.request(&request(i)));
         assert!(matches!(answer.status(), 200 | 429));
     }
     assert_eq!(node.request(&ClientRequest::new("after")).status(), 200);
 }
 
 #[test]
-fn a_bad_configuration_is_one_plain_line_and_a_failing_exit() {
+fn an_invalid_configuration_at_start_gives_a_one_line_error_and_a_failing_exit() {
     let worker = Worker::start(Behaviour::NeverRespond);
     let (setup, _discovery) = NodeSetup::new(&[&worker]);
     let broken = |key: &str, value: serde_json::Value| {
@@ -626,9 +641,9 @@
         broken("/settings/Domain/CountLimit", json!(-1)),
     ];
     for config in bad {
-        let output = spawn_gateway(&config).wait_with_output().expect("it ends");
-        let said = String::from_utf8(output.stderr).expect("text");
-        assert!(!output.status.success() && said.lines().count() == 1, "{config}: {said}");
-        assert!(said.starts_with("opalrun-gateway: ") && !said.contains("panicked"), "{said}");
+        let output = spawn_gateway(&config).wait_with_output().expect("the process exits");
+        let error = String::from_utf8(output.stderr).expect("text");
+        assert!(!output.status.success() && error.lines().count() == 1, "{config}: {error}");
+        assert!(error.starts_with("opalrun-gateway: ") && !error.contains("panicked"), "{error}");
     }
 }
--- a/crates/gateway/tests/pools.rs
+++ b/crates/gateway/tests/pools.rs
@@ -1,4 +1,4 @@
-//! The pools of connections to the workers: the built program against fakes on loopback sockets.
+//! Pools of connections to the workers: the built gateway program against fakes on loopback sockets.
 
 mod fakes;
 use fakes::*;
@@ -16,13 +16,13 @@
 }
 
 #[test]
-fn what_the_pools_hold_is_told() {
+fn the_pool_report_counts_connections() {
     let worker = Worker::start(Behaviour::Respond("ok"));
     let (setup, _discovery) = setup(&[&worker]);
     let node = setup.start();
     for i in 0..5 {
         assert_eq!(node.request(&ClientRequest::new(&format!("t{i}"))).status(), 200);
-        // After its answer a connection rests before another request may have it.
+        // A connection becomes idle, and so reusable, a moment after its response.
         node.wait_for_pool("w0", |p| p["idle"] == 1);
     }
     let pool = node.wait_for_pool("w0", |p| p["idle"] == 1);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn bytes_on_an_idle_connection_end_it_at_once_and_no_request_meets_them() {
+fn unsolicited_bytes_on_an_idle_connection_close_it_at_once_and_reach_no_client() {
     let (worker, gate) = (Worker::start(Behaviour::Respond("ok")), Arc::new(Gate::default()));
     worker.set_behaviour(Behaviour::RespondThenSendUnsolicited(gate.clone()));
     let (setup, _discovery) = setup(&[&worker]);
@@ -53,14 +53,14 @@
     node.wait_for_pool("w0", |p| p["idle"] == 1);
     worker.set_behaviour(Behaviour::Respond("ok"));
     gate.open();
-    // Nothing is asked for: the end is noticed when it comes.
+    // The connection is closed as the bytes arrive, without waiting for a next request.
     let pool = node.wait_for_pool("w0", |p| p["idle"] == 0);
     assert_eq!(pool["closed"], json!({"peer": 1}));
     assert_eq!(node.request(&ClientRequest::submit("b")).body, b"ok");
 }
 
 #[test]
-fn a_worker_that_ends_an_idle_connection_is_noticed_when_it_does() {
+fn an_idle_connection_closed_by_its_worker_leaves_the_pool_at_once() {
     let worker = Worker::start(Behaviour::RespondThenShutDownWrite);
     let (setup, _discovery) = setup(&[&worker]);
     let node = setup.start();
@@ -68,18 +68,22 @@
         assert_eq!(node.request(&ClientRequest::submit(&format!("e{i}"))).status(), 200);
         node.wait_for_pool("w0", |p| p["idle"] == 0 && p["closed"]["peer"] == i);
     }
-    assert_eq!(count(&node.wait_for_pool("w0", |_| true), "stale"), 0, "no request met one");
+    assert_eq!(
+        count(&node.wait_for_pool("w0", |_| true), "stale"),
+        0,
+        "no request was sent on a closed connection"
+    );
 }
 
 #[test]
-fn one_that_closes_what_has_just_come_up_costs_a_safe_request_nothing_and_is_refused_as_never_sent() {
-    let (slams, serves) = (Worker::closing_on_accept(), Worker::start(Behaviour::Respond("ok")));
-    let (both, _discovery) = setup(&[&slams, &serves]);
+fn a_worker_that_closes_new_connections_costs_an_idempotent_request_nothing_and_counts_as_not_sent() {
+    let (closing, serving) = (Worker::closing_on_accept(), Worker::start(Behaviour::Respond("ok")));
+    let (both, _discovery) = setup(&[&closing, &serving]);
     let node = both.start();
     for i in 0..4 {
         assert_eq!(node.request(&ClientRequest::new(&format!("s{i}"))).status(), 200);
     }
-    let (alone, _discovery) = setup(&[&slams]);
+    let (alone, _discovery) = setup(&[&closing]);
     let node = alone.start();
     let status = node.request(&ClientRequest::new("alone")).status();
     assert_eq!(status, 429);
@@ -87,11 +91,11 @@
 }
 
 #[test]
-fn a_cut_head_may_have_run_and_a_trickling_one_is_given_up_in_time() {
+fn a_request_with_a_truncated_response_head_may_have_run_and_an_incomplete_head_times_out() {
     let worker = Worker::start(Behaviour::SendRawThenClose("HTTP/1.1 200 OK\r\nContent-Le"));
     let (setup, _discovery) = setup(&[&worker]);
     let node = setup.start();
-    assert_eq!(node.request(&ClientRequest::submit("cut")).status(), 502, "it is not sent again");
+    assert_eq!(node.request(&ClientRequest::submit("cut")).status(), 502, "the request is not retried");
     assert_eq!(worker.drain_requests().len(), 1);
     worker.set_behaviour(Behaviour::SendRaw("HTTP/1.1 200 OK\r\nContent-Le"));
     assert_eq!(node.request(&ClientRequest::submit("slow").with_header("X-Remaining", "0.4")).status(), 502);
@@ -100,7 +104,7 @@
 }
 
 #[test]
-fn after_a_silence_the_others_are_not_handed_out_ahead_of_a_new_connection() {
+fn after_a_time_out_idle_connections_are_suspect_and_a_new_connection_is_preferred() {
     let gate = Arc::new(Gate::default());
     let worker = Worker::start(Behaviour::RespondWhenOpened(gate.clone()));
     let (setup, _discovery) = setup(&[&worker]);
@@ -109,7 +113,7 @@
     clients.iter_mut().enumerate().for_each(|(i, c)| c.send(&ClientRequest::new(&format!("w{i}"))));
     node.wait_for_pool("w0", |p| p["in_use"] == 2);
     gate.open();
-    clients.iter_mut().for_each(|c| assert_eq!(c.read_response().expect("an answer").status(), 200));
+    clients.iter_mut().for_each(|c| assert_eq!(c.read_response().expect("a response").status(), 200));
     node.wait_for_pool("w0", |p| p["idle"] == 2);
     worker.set_behaviour(Behaviour::NeverRespond);
     assert_eq!(node.request(&ClientRequest::new("silent").with_header("X-Remaining", "0.3")).status(), 429);
@@ -123,24 +127,24 @@
 }
 
 #[test]
-fn a_new_start_or_address_or_a_drain_closes_what_is_idle_at_once() {
+fn a_restarted_moved_or_draining_worker_loses_its_idle_connections_at_once() {
     let (one, two) = (Worker::start(Behaviour::Respond("one")), Worker::start(Behaviour::Respond("two")));
     let (setup, discovery) = setup(&[&one]);
     let node = setup.start();
     let idle = |n: u64| node.wait_for_pool("w0", |p| p["idle"] == n);
     assert_eq!(node.request(&ClientRequest::new("a")).body, b"one");
     idle(1);
-    let mut anew = discovery_entry("w0", one.addr, "SERVING");
+    let mut restarted = discovery_entry("w0", one.addr, "SERVING");
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a clock");
-    anew["started_ms"] = json!(now.as_secs_f64() * 1000.0);
-    discovery.upsert(anew);
+    restarted["started_ms"] = json!(now.as_secs_f64() * 1000.0);
+    discovery.upsert(restarted);
     one.wait_for_event(|event| matches!(event, WorkerEvent::ConnectionClosed(0)));
     idle(0);
     discovery.wait_for_watch_from(discovery.upsert(discovery_entry("w0", two.addr, "SERVING")));
     let start = std::time::Instant::now();
-    // Cold as it is, it is not sent much at first.
+    // During its warm-up a worker receives few requests.
     while node.request(&ClientRequest::new(&format!("b{:?}", start.elapsed()))).body != b"two" {
-        assert!(start.elapsed() < LIMIT, "it is not used again");
+        assert!(start.elapsed() < LIMIT, "no request reaches the worker's new address");
     }
     idle(1);
     discovery.upsert(discovery_entry("w0", two.addr, "DRAINING"));
@@ -152,7 +156,7 @@
 }
 
 #[test]
-fn workers_that_exchange_addresses_get_each_what_is_theirs() {
+fn workers_that_exchange_addresses_each_receive_their_own_requests() {
     let (one, two) = (Worker::start(Behaviour::Respond("one")), Worker::start(Behaviour::Respond("two")));
     let (setup, discovery) = setup(&[&one, &two]);
     let node = setup.start();
@@ -165,7 +169,7 @@
 }
 
 #[test]
-fn an_unreadable_address_leaves_the_one_that_was_known() {
+fn an_entry_with_an_unreadable_address_keeps_the_previous_address() {
     let worker = Worker::start(Behaviour::Respond("ok"));
     let (setup, discovery) = setup(&[&worker]);
     let node = setup.start();
@@ -174,13 +178,13 @@
     discovery.upsert(broken.clone());
     broken["id"] = json!("w9");
     discovery.wait_for_watch_from(discovery.upsert(broken));
-    // One that was never known can't be sent to, which says nothing of the other.
+    // The new worker w9 has no usable address and fails requests; w0 must not be affected.
     (0..6).for_each(|i| drop(node.request(&ClientRequest::new(&format!("u{i}")))));
     assert_eq!(node.wait_for_pool("w0", |p| p["opened"].as_u64() > Some(0))["addr"], worker.addr.to_string());
 }
 
 #[test]
-fn a_list_that_replaces_every_worker_is_followed_at_once() {
+fn a_list_that_replaces_every_worker_takes_effect_at_once() {
     let old: Vec<Worker> = (0..3).map(|_| Worker::start(Behaviour::Respond("old"))).collect();
     let (mut setup, _old) = setup(&old.iter().collect::<Vec<_>>());
     let new = Worker::start(Behaviour::Respond("new"));
@@ -204,13 +208,14 @@
 }
 
 #[test]
-fn without_a_descriptor_for_a_connect_the_request_was_never_sent() {
+fn a_request_without_a_free_descriptor_for_its_connection_counts_as_not_sent() {
     let worker = Worker::start(Behaviour::Respond("ok"));
     let (setup, _discovery) = setup(&[&worker]);
     let node = setup.start_with_descriptor_limit(40);
     let mut clients: Vec<Client> = Vec::new();
     let mut refused = 0;
-    // Each asks once and stays: at some point none is left for the worker, or for the next client.
+    // Each client sends one request and keeps its connection, until no descriptor is left for a connection to the
+    // worker or for the next client.
     let gate = Arc::new(Gate::default());
     worker.set_behaviour(Behaviour::RespondWhenOpened(gate.clone()));
     while clients.len() < 24 {
@@ -221,22 +226,26 @@
     worker.next_request();
     gate.open();
     for client in &mut clients {
-        // One that found no seat in time was closed unread.
+        // A client connection that was not accepted in time is closed without a response.
         if let Some(answer) = client.read_response() {
-            assert!(matches!(answer.status(), 200 | 429), "{}: never sent, so refused", answer.status());
+            assert!(
+                matches!(answer.status(), 200 | 429),
+                "{}: a request that was not sent is refused",
+                answer.status()
+            );
             refused += u32::from(answer.status() == 429);
         }
     }
-    assert!(refused > 0, "there was one for each");
+    assert!(refused > 0, "there was a descriptor for every connection");
     drop(clients);
     let start = std::time::Instant::now();
     while node.request(&ClientRequest::submit(&format!("after{:?}", start.elapsed()))).status() != 200 {
-        assert!(start.elapsed() < LIMIT, "it does not recover");
+        assert!(start.elapsed() < LIMIT, "the gateway does not recover");
     }
 }
 
 #[test]
-fn new_limits_hold_at_once_for_what_is_idle_and_senseless_ones_change_nothing() {
+fn new_time_limits_apply_to_idle_connections_at_once_and_invalid_ones_change_nothing() {
     let worker = Worker::start(Behaviour::Respond("ok"));
     let (mut setup, _discovery) = setup(&[&worker]);
     let node = setup.start();
@@ -259,7 +268,7 @@
 }
 
 #[test]
-fn after_sigterm_idle_connections_go_first_and_none_in_use() {
+fn after_sigterm_only_idle_connections_are_closed_until_open_requests_complete() {
     let gate = Arc::new(Gate::default());
     let worker = Worker::start(Behaviour::Respond("ok"));
     let (setup, _discovery) = setup(&[&worker]);
@@ -269,7 +278,7 @@
     clients.iter_mut().enumerate().for_each(|(i, c)| c.send(&ClientRequest::new(&format!("t{i}"))));
     node.wait_for_pool("w0", |p| p["in_use"] == 2);
     gate.open();
-    clients.iter_mut().for_each(|c| assert_eq!(c.read_response().expect("an answer").status(), 200));
+    clients.iter_mut().for_each(|c| assert_eq!(c.read_response().expect("a response").status(), 200));
     node.wait_for_pool("w0", |p| p["idle"] == 2);
     let gate = Arc::new(Gate::default());
     worker.set_behaviour(Behaviour::RespondWhenOpened(gate.clone()));
@@ -278,6 +287,6 @@
     node.terminate();
     worker.wait_for_event(|event| matches!(event, WorkerEvent::ConnectionClosed(_)));
     gate.open();
-    assert_eq!(clients[0].read_response().expect("an answer").body, b"waited");
+    assert_eq!(clients[0].read_response().expect("a response").body, b"waited");
     assert!(node.wait_for_exit().success());
 }
