--- a/crates/gateway/tests/config.rs
+++ b/crates/gateway/tests/config.rs
@@ -1,5 +1,5 @@
-//! Configuration reload, rollback, dry run, trial and saved state of the built gateway program, also under load, against
-//! fakes on loopback sockets.
+//! Configuration reload, rollback, dry run, trial and saved state of the built gateway program, also under load,
+//! against fakes on loopback sockets.
 
 mod fakes;
 use fakes::*;
@@ -300,10 +300,10 @@
                     if !idempotent {
                         request.line = "POST /turns HTTP/1.1".into();
                     }
-                    let answer = client.request(&request);
-                    assert!(matches!(answer.status(), 200 | 400), "{}", answer.status());
+                    let response = client.request(&request);
+                    assert!(matches!(response.status(), 200 | 400), "{}", response.status());
                     sent += 1;
-                    if answer.header("connection") == "close" {
+                    if response.header("connection") == "close" {
                         client = Client::connect(addr);
                     }
                     // A request of an unchanged class is never refused.
--- a/crates/gateway/tests/crossings.rs
+++ b/crates/gateway/tests/crossings.rs
@@ -1,4 +1,5 @@
-//! Ends that cross with something still owed: the real program, and stand-ins that hold, close or answer on a signal.
+//! Races between the end of a client, connection, time-out or process and an event that is still pending: the built
+//! gateway program against fakes that wait, close or respond on a signal.
 
 mod fakes;
 
@@ -16,83 +17,84 @@
     time::{Duration, Instant, SystemTime, UNIX_EPOCH},
 };
 
-// ---- Stand-ins ----
+// ---- Fakes ----
 
-/// A worker on which no connection comes up before it is opened.
-struct Shut {
+/// A worker whose accept queue is full, so that no connection to it is established before [`BlockedWorker::open`].
+struct BlockedWorker {
     listener: TcpListener,
-    _line: Vec<TcpStream>,
+    /// Connections that fill the accept queue.
+    queued: Vec<TcpStream>,
     addr: SocketAddr,
 }
 
-impl Shut {
+impl BlockedWorker {
     fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        // SAFETY: the descriptor is the listener's, which lives on; listening again only shortens its line.
+        // SAFETY: the descriptor is the listener's, which lives on; listening again only shortens its accept queue.
         assert_eq!(unsafe { libc::listen(listener.as_raw_fd(), 0) }, 0);
         let addr = listener.local_addr().expect("bound");
-        let come = || TcpStream::connect_timeout(&addr, Duration::from_millis(100));
-        let mut line = Vec::new();
-        while let Ok(socket) = come() {
-            line.push(socket);
-            assert!(line.len() < 64, "its line never fills");
+        let connect = || TcpStream::connect_timeout(&addr, Duration::from_millis(100));
+        let mut queued = Vec::new();
+        while let Ok(socket) = connect() {
+            queued.push(socket);
+            assert!(queued.len() < 64, "the accept queue never fills");
         }
-        Self { listener, _line: line, addr }
+        Self { listener, queued, addr }
     }
 
-    /// Takes whoever has come, all of its line and one more, and says nothing.
-    fn admit(&self) -> Vec<TcpStream> {
-        let most = self._line.len() + 1;
-        (0..most).map(|_| self.listener.accept().expect("somebody comes").0).collect()
+    /// Accepts all queued connections and one more, without reading or writing.
+    fn accept_queued(&self) -> Vec<TcpStream> {
+        let count = self.queued.len() + 1;
+        (0..count).map(|_| self.listener.accept().expect("a connection").0).collect()
     }
 
-    /// Takes whoever comes and answers what is asked; tells the requests' ids in their order.
+    /// Accepts all connections and responds to every request; returns the request ids in order of arrival.
     fn open(self) -> Receiver<String> {
-        self.open_and_say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+        self.open_with_response("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
     }
 
-    /// The same, with this as the answer to each.
-    fn open_and_say(self, answer: &'static str) -> Receiver<String> {
-        let (tell, told) = channel();
+    /// Does as [`BlockedWorker::open`] does, with `response` sent to each request.
+    fn open_with_response(self, response: &'static str) -> Receiver<String> {
+        let (id_sender, ids) = channel();
         thread::spawn(move || {
             for socket in self.listener.incoming().map_while(Result::ok) {
-                let tell = tell.clone();
+                let id_sender = id_sender.clone();
                 thread::spawn(move || {
                     let mut reader = BufReader::new(socket.try_clone().expect("a socket"));
                     while let Some(message) = read_message(&mut reader) {
-                        let _ = tell.send(message.header("x-txn").to_owned());
-                        let _ = (&socket).write_all(answer.as_bytes());
+                        let _ = id_sender.send(message.header("x-txn").to_owned());
+                        let _ = (&socket).write_all(response.as_bytes());
                     }
                 });
             }
         });
-        told
+        ids
     }
 }
 
-/// Has the worker behind `shut` known at the start and to discovery.
-fn list(setup: &mut NodeSetup, discovery: &Discovery, id: &str, shut: &Shut) {
-    let worker = discovery_entry(id, shut.addr, "SERVING");
+/// Adds the blocked worker to the initial server list and to discovery.
+fn add_worker(setup: &mut NodeSetup, discovery: &Discovery, id: &str, blocked: &BlockedWorker) {
+    let worker = discovery_entry(id, blocked.addr, "SERVING");
     discovery.upsert(worker.clone());
     setup.initial_servers.push(worker);
 }
 
-/// No byte was written on any of these.
-fn nothing_came(line: Vec<TcpStream>) {
-    for mut socket in line {
+/// Checks that no byte has been received on any of these connections.
+fn assert_nothing_received(sockets: Vec<TcpStream>) {
+    for mut socket in sockets {
         socket.set_nonblocking(true).expect("a socket");
-        assert!(!socket.read(&mut [0; 64]).is_ok_and(|n| n > 0), "something was written");
+        assert!(!socket.read(&mut [0; 64]).is_ok_and(|n| n > 0), "the gateway has written to the connection");
     }
 }
 
-/// A counter that answers what has come once the gate is open, and tells of each call for units.
-fn counter(gate: Arc<Gate>) -> (SocketAddr, Receiver<String>) {
+/// A counter that answers calls once the gate is open; also returns the received calls that request units.
+fn start_gated_counter(gate: Arc<Gate>) -> (SocketAddr, Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let addr = listener.local_addr().expect("bound");
-    let (tell, told) = channel();
+    let (call_sender, calls) = channel();
     thread::spawn(move || {
         for mut socket in listener.incoming().map_while(Result::ok) {
-            let (tell, gate) = (tell.clone(), gate.clone());
+            let (call_sender, gate) = (call_sender.clone(), gate.clone());
             thread::spawn(move || {
                 let reader = BufReader::new(socket.try_clone().expect("a socket"));
                 for line in reader.lines().map_while(Result::ok) {
@@ -100,8 +102,8 @@
                     let answer = match amount {
                         None => "pong\r\n".to_owned(),
                         Some(amount) => {
-                            // One of nothing only reads.
-                            let _ = if amount > 0.0 { tell.send(line.clone()) } else { Ok(()) };
+                            // A call for 0 units only reads the total.
+                            let _ = if amount > 0.0 { call_sender.send(line.clone()) } else { Ok(()) };
                             gate.wait();
                             format!("ok {amount}\r\n")
                         }
@@ -111,11 +113,11 @@
             });
         }
     });
-    (addr, told)
+    (addr, calls)
 }
 
-/// The next request that any of them sees.
-fn first(workers: &[Worker]) -> Message {
+/// Waits for the next request at any of `workers`.
+fn next_request_at_any(workers: &[Worker]) -> Message {
     let start = Instant::now();
     loop {
         for worker in workers {
@@ -123,43 +125,43 @@
                 return message;
             }
         }
-        assert!(start.elapsed() < LIMIT, "none sees a request");
+        assert!(start.elapsed() < LIMIT, "no worker receives a request");
         thread::yield_now();
     }
 }
 
-/// How a client goes.
+/// How a connection is closed.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Goes {
+enum Close {
     Fin,
     Reset,
 }
 
-/// What of its own stands before its end, as yet unread.
+/// Data of the client that precedes the close and that the gateway has not read yet.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Before {
+enum Pending {
     Nothing,
-    /// A request that came in one piece with the one in hand.
+    /// A request sent in one piece with the current one.
     Pipelined,
-    /// A request that came once the one in hand was taken.
+    /// A request sent after the gateway has read the current one.
     Later,
-    /// The rest of a body that is too long to gather, as much as sockets hold.
+    /// The rest of a body that is too long to buffer, as much of it as the socket buffers take.
     Body,
 }
 
-const WAYS: [(Goes, Before); 8] = [
-    (Goes::Fin, Before::Nothing),
-    (Goes::Fin, Before::Pipelined),
-    (Goes::Fin, Before::Later),
-    (Goes::Fin, Before::Body),
-    (Goes::Reset, Before::Nothing),
-    (Goes::Reset, Before::Pipelined),
-    (Goes::Reset, Before::Later),
-    (Goes::Reset, Before::Body),
+const CLOSE_CASES: [(Close, Pending); 8] = [
+    (Close::Fin, Pending::Nothing),
+    (Close::Fin, Pending::Pipelined),
+    (Close::Fin, Pending::Later),
+    (Close::Fin, Pending::Body),
+    (Close::Reset, Pending::Nothing),
+    (Close::Reset, Pending::Pipelined),
+    (Close::Reset, Pending::Later),
+    (Close::Reset, Pending::Body),
 ];
 
-/// Closing it resets the connection.
-fn resets(socket: &TcpStream) {
+/// Makes closing the socket reset the connection.
+fn reset_on_close(socket: &TcpStream) {
     let linger = libc::linger { l_onoff: 1, l_linger: 0 };
     let (fd, size) = (socket.as_raw_fd(), size_of::<libc::linger>() as libc::socklen_t);
     // SAFETY: the descriptor is the socket's, and the option's value and size are those of the call.
@@ -168,285 +170,297 @@
     assert_eq!(set, 0);
 }
 
-/// A client that is about to go.
-struct Leaver {
+/// A client that sends a request and then disconnects.
+struct DisconnectingClient {
     socket: TcpStream,
-    goes: Goes,
-    before: Before,
-}
-
-impl Leaver {
-    /// Sends `ask` and what comes with it.
-    fn send(node: &Node, ask: &ClientRequest, (goes, before): (Goes, Before)) -> Self {
-        let mut socket = TcpStream::connect(node.addr).expect("it listens");
-        let mut bytes = match before {
-            Before::Body => {
-                let ask =
-                    ask.clone().with_header("X-Lane", "submit").with_header("Content-Length", "4000000");
-                ClientRequest { line: "POST /submit HTTP/1.1".into(), body: vec![b'x'; 100_000], ..ask }
+    close: Close,
+    pending: Pending,
+}
+
+impl DisconnectingClient {
+    /// Sends `request` and the pending data that goes with it.
+    fn send(node: &Node, request: &ClientRequest, (close, pending): (Close, Pending)) -> Self {
+        let mut socket = TcpStream::connect(node.addr).expect("the gateway listens");
+        let mut bytes = match pending {
+            Pending::Body => {
+                let request =
+                    request.clone().with_header("X-Lane", "submit").with_header("Content-Length", "4000000");
+                ClientRequest { line: "POST /submit HTTP/1.1".into(), body: vec![b'x'; 100_000], ..request }
                     .bytes()
             }
-            _ => ask.bytes(),
+            _ => request.bytes(),
         };
-        if before == Before::Pipelined {
+        if pending == Pending::Pipelined {
             bytes.extend(ClientRequest::new("behind").bytes());
         }
         socket.write_all(&bytes).expect("a socket");
-        Self { socket, goes, before }
+        Self { socket, close, pending }
     }
 
-    fn go(mut self) {
-        if self.before == Before::Later {
+    fn disconnect(mut self) {
+        if self.pending == Pending::Later {
             self.socket.write_all(&ClientRequest::new("behind").bytes()).expect("a socket");
         }
-        if self.goes == Goes::Reset {
-            resets(&self.socket);
+        if self.close == Close::Reset {
+            reset_on_close(&self.socket);
         }
     }
 }
 
-/// A node whose waits end by a signal only: the counter's answers and connections may take 20 s, and its log tells
-/// of each request.
-fn patient(workers: &[&Worker]) -> (NodeSetup, Discovery) {
+/// A node with a time-out of 20 s for counter calls and for connecting, so that tests end these waits; its log
+/// reports each request.
+fn long_timeout_setup(workers: &[&Worker]) -> (NodeSetup, Discovery) {
     let (mut setup, discovery) = NodeSetup::new(workers);
     setup.has_admin_api = true;
     setup.log = Some(json!({"form": "json", "level": "debug"}));
     setup.settings["Domain"]["CountLimit"] = json!(20.0);
     setup.settings["Limits"]["ConnectTimeout"] = json!(20.0);
-    // A burst of one unit, so that a customer's first request waits for the count.
+    // A burst of one unit, so that a customer's first request waits for the counter.
     setup.settings["Plans"][1]["Depth"] = json!(1.0);
     (setup, discovery)
 }
 
-/// Waits until the log says that the request's client has left.
-fn left(node: &Node, txn: &str) {
+/// Waits until the log reports that the client of the request has disconnected.
+fn wait_for_disconnect(node: &Node, txn: &str) {
     while !node.wait_for_log("\"left\"").contains(&format!("\"{txn}\"")) {}
 }
 
-// ---- Clients that leave while their request waits ----
+// ---- Clients that disconnect while their request waits ----
 
 #[test]
-fn what_waits_for_the_counter_when_its_client_leaves_is_not_sent_on_and_its_unit_is_there_for_the_next() {
-    for way in WAYS {
+fn a_request_waiting_for_the_counter_is_not_sent_after_a_disconnect_and_its_unit_serves_the_next() {
+    for case in CLOSE_CASES {
         let (worker, gate) = (Worker::start(Behaviour::Respond("ok")), Arc::new(Gate::default()));
-        let (mut setup, _discovery) = patient(&[&worker]);
-        let (addr, calls) = counter(gate.clone());
+        let (mut setup, _discovery) = long_timeout_setup(&[&worker]);
+        let (addr, calls) = start_gated_counter(gate.clone());
         setup.counter = Some(addr);
         let node = setup.start();
-        let leaver = Leaver::send(&node, &ClientRequest::new("gone").with_header("X-Plan", "pieni"), way);
-        calls.recv_timeout(LIMIT).expect("it asks for a block");
-        leaver.go();
-        left(&node, "gone");
+        let client = DisconnectingClient::send(
+            &node,
+            &ClientRequest::new("gone").with_header("X-Plan", "pieni"),
+            case,
+        );
+        calls.recv_timeout(LIMIT).expect("a call for a block of units");
+        client.disconnect();
+        wait_for_disconnect(&node, "gone");
         gate.open();
         assert_eq!(
             node.request(&ClientRequest::new("next").with_header("X-Plan", "pieni")).status(),
             200,
-            "{way:?}"
+            "{case:?}"
         );
-        assert_eq!(worker.next_request().1.header("x-txn"), "next", "{way:?}");
+        assert_eq!(worker.next_request().1.header("x-txn"), "next", "{case:?}");
     }
 }
 
 #[test]
-fn what_waits_for_a_connection_when_its_client_leaves_is_not_sent_on_and_its_place_and_unit_go_back() {
-    for way in WAYS {
-        let (shut, gate) = (Shut::new(), Arc::new(Gate::default()));
-        let (mut setup, discovery) = patient(&[]);
-        let (addr, calls) = counter(gate.clone());
+fn a_request_waiting_for_a_connection_is_not_sent_after_a_disconnect_and_frees_its_slot_and_unit() {
+    for case in CLOSE_CASES {
+        let (blocked, gate) = (BlockedWorker::new(), Arc::new(Gate::default()));
+        let (mut setup, discovery) = long_timeout_setup(&[]);
+        let (addr, calls) = start_gated_counter(gate.clone());
         setup.counter = Some(addr);
-        list(&mut setup, &discovery, "w0", &shut);
+        add_worker(&mut setup, &discovery, "w0", &blocked);
         gate.open();
         let node = setup.start();
-        let leaver = Leaver::send(&node, &ClientRequest::new("gone").with_header("X-Plan", "pieni"), way);
-        calls.recv_timeout(LIMIT).expect("it asks for a block");
+        let client = DisconnectingClient::send(
+            &node,
+            &ClientRequest::new("gone").with_header("X-Plan", "pieni"),
+            case,
+        );
+        calls.recv_timeout(LIMIT).expect("a call for a block of units");
         node.wait_for_pool("w0", |p| p["waiting"] == 1);
-        leaver.go();
-        left(&node, "gone");
-        assert_eq!(node.wait_for_pool("w0", |_| true)["waiting"], 0, "{way:?}: its place is free");
-        let told = shut.open();
+        client.disconnect();
+        wait_for_disconnect(&node, "gone");
+        assert_eq!(
+            node.wait_for_pool("w0", |_| true)["waiting"],
+            0,
+            "{case:?}: no request waits for a connection"
+        );
+        let ids = blocked.open();
         node.wait_for_pool("w0", |p| p["connecting"] == 0 && p["in_use"] == 0);
-        // The one unit that there is has been granted, and was not sent.
+        // The only unit was granted to the first request, which was not sent.
         assert_eq!(
             node.request(&ClientRequest::new("next").with_header("X-Plan", "pieni")).status(),
             200,
-            "{way:?}"
+            "{case:?}"
         );
-        assert_eq!(told.recv_timeout(LIMIT).as_deref(), Ok("next"), "{way:?}");
+        assert_eq!(ids.recv_timeout(LIMIT).as_deref(), Ok("next"), "{case:?}");
     }
 }
 
 #[test]
-fn after_its_client_has_left_a_request_has_no_further_attempt() {
-    for way in WAYS.into_iter().filter(|(_, before)| *before != Before::Body) {
+fn a_request_is_not_retried_after_its_client_has_disconnected() {
+    for case in CLOSE_CASES.into_iter().filter(|(_, pending)| *pending != Pending::Body) {
         let gate = Arc::new(Gate::default());
         let workers = [(); 2].map(|()| Worker::start(Behaviour::CloseWhenOpened(gate.clone())));
-        let (setup, _discovery) = patient(&[&workers[0], &workers[1]]);
+        let (setup, _discovery) = long_timeout_setup(&[&workers[0], &workers[1]]);
         let node = setup.start();
-        let leaver = Leaver::send(&node, &ClientRequest::new("gone"), way);
-        assert_eq!(first(&workers).header("x-txn"), "gone");
-        leaver.go();
-        left(&node, "gone");
+        let client = DisconnectingClient::send(&node, &ClientRequest::new("gone"), case);
+        assert_eq!(next_request_at_any(&workers).header("x-txn"), "gone");
+        client.disconnect();
+        wait_for_disconnect(&node, "gone");
         workers.iter().for_each(|w| w.set_behaviour(Behaviour::Respond("ok")));
         gate.open();
         for i in 0..2 {
             node.wait_for_pool(&format!("w{i}"), |p| p["in_use"] == 0);
         }
-        assert_eq!(node.request(&ClientRequest::new("next")).status(), 200, "{way:?}");
-        let seen = workers.iter().flat_map(Worker::drain_requests).map(|m| m.header("x-txn").to_owned());
-        assert_eq!(seen.collect::<Vec<String>>(), ["next"], "{way:?}");
+        assert_eq!(node.request(&ClientRequest::new("next")).status(), 200, "{case:?}");
+        let received = workers.iter().flat_map(Worker::drain_requests).map(|m| m.header("x-txn").to_owned());
+        assert_eq!(received.collect::<Vec<String>>(), ["next"], "{case:?}");
     }
 }
 
 #[test]
-fn after_its_client_has_left_a_request_has_no_second_copy() {
-    for way in [(Goes::Fin, Before::Pipelined), (Goes::Reset, Before::Later)] {
+fn a_request_is_not_hedged_after_its_client_has_disconnected() {
+    for case in [(Close::Fin, Pending::Pipelined), (Close::Reset, Pending::Later)] {
         let workers = [(); 2].map(|()| Worker::start(Behaviour::NeverRespond));
-        let (mut setup, _discovery) = patient(&[&workers[0], &workers[1]]);
-        // A second copy goes out after 0.8 s.
+        let (mut setup, _discovery) = long_timeout_setup(&[&workers[0], &workers[1]]);
+        // The hedged request is sent after 0.8 s.
         setup.settings["Classes"][0]["Slo"] = json!(2.0);
         let node = setup.start();
-        let leaver = Leaver::send(&node, &ClientRequest::new("gone"), way);
+        let client = DisconnectingClient::send(&node, &ClientRequest::new("gone"), case);
         node.wait_for_log("\"sent\"");
-        leaver.go();
-        left(&node, "gone");
-        // One that came after it has its second copy: that of the first would have gone before.
-        let mut stays = node.connect();
-        stays.send(&ClientRequest::new("stays"));
-        let copies = || node.wait_for_log("\"sent\"").contains("\"stays\"");
-        assert!(copies() && copies(), "{way:?}: nothing else is sent meanwhile");
+        client.disconnect();
+        wait_for_disconnect(&node, "gone");
+        // A later request is hedged; a hedged request for the first would have been sent earlier.
+        let mut remaining = node.connect();
+        remaining.send(&ClientRequest::new("stays"));
+        let sends_stays = || node.wait_for_log("\"sent\"").contains("\"stays\"");
+        assert!(sends_stays() && sends_stays(), "{case:?}: nothing else is sent meanwhile");
     }
 }
 
-// ---- Workers to which nothing new may go ----
+// ---- Workers that may receive no new requests ----
 
 #[test]
-fn who_waits_for_a_connection_to_a_worker_that_is_no_longer_what_was_chosen_is_not_carried_there_later() {
+fn a_request_waiting_for_a_connection_is_not_sent_to_a_worker_that_has_changed_since_it_was_chosen() {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock");
     let unix_ms = now.as_secs_f64() * 1000.0;
-    for way in ["DRAINING", "DELETED", "by hand", "started anew"] {
-        let shut = Shut::new();
-        let (mut setup, discovery) = patient(&[]);
-        list(&mut setup, &discovery, "w0", &shut);
+    for case in ["DRAINING", "DELETED", "taken offline", "restarted"] {
+        let blocked = BlockedWorker::new();
+        let (mut setup, discovery) = long_timeout_setup(&[]);
+        add_worker(&mut setup, &discovery, "w0", &blocked);
         let node = setup.start();
         let mut client = node.connect();
         client.send(&ClientRequest::submit("waits"));
         node.wait_for_pool("w0", |p| p["waiting"] == 1);
-        let mut news = discovery_entry("w0", shut.addr, "SERVING");
-        match way {
-            "by hand" => assert_eq!(node.admin_status("POST /control/workers/w0/offline"), 200),
-            // A cold one was not chosen, and has its own bounds.
-            "started anew" => news["started_ms"] = json!(unix_ms),
-            state => news["state"] = json!(state),
+        let mut update = discovery_entry("w0", blocked.addr, "SERVING");
+        match case {
+            "taken offline" => assert_eq!(node.admin_status("POST /control/workers/w0/offline"), 200),
+            // The worker that was chosen was warm; a restarted one warms up, under lower limits.
+            "restarted" => update["started_ms"] = json!(unix_ms),
+            state => update["state"] = json!(state),
         }
-        if way != "by hand" {
-            discovery.wait_for_watch_from(discovery.upsert(news));
+        if case != "taken offline" {
+            discovery.wait_for_watch_from(discovery.upsert(update));
         }
-        // From here on nothing new may reach it, and the connection comes up now.
-        let told = shut.open();
+        // From here on the worker may receive no new request; now the connection is established.
+        let ids = blocked.open();
         assert_eq!(
-            client.read_response().expect("an answer at once").status(),
+            client.read_response().expect("a response at once").status(),
             429,
-            "{way}: it was not sent"
+            "{case}: the request was not sent"
         );
         node.wait_for_report("pools", |report| {
             let pools = report["workers"].as_array().expect("a list");
             pools.iter().all(|p| p["connecting"] == 0 && p["in_use"] == 0)
         });
-        assert!(told.try_recv().is_err(), "{way}: nothing reaches it");
+        assert!(ids.try_recv().is_err(), "{case}: the worker receives nothing");
     }
 }
 
-// ---- Times that end as something comes ----
+// ---- Time-outs that expire as an event arrives ----
 
-/// How long these clients wait. The process stands still meanwhile, so that it meets both at once.
-const TIME: Duration = Duration::from_millis(1500);
+/// Time-out of the clients. The gateway is paused until it has expired, so that it handles both events at once.
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// One whose client's time ends, whatever it waits for, while the process stands still.
-fn short(ask: ClientRequest) -> ClientRequest {
-    ask.with_header("X-Remaining", &format!("{:.1}", TIME.as_secs_f64()))
+/// Sets the request's time-out to [`CLIENT_TIMEOUT`], which expires while the gateway is paused.
+fn with_client_timeout(request: ClientRequest) -> ClientRequest {
+    request.with_header("X-Remaining", &format!("{:.1}", CLIENT_TIMEOUT.as_secs_f64()))
 }
 
 #[test]
-fn a_counters_answer_that_comes_as_the_requests_time_ends_sends_nothing_and_its_unit_is_there_for_the_next() {
+fn a_counter_answer_that_arrives_as_the_request_times_out_sends_nothing_and_its_unit_serves_the_next() {
     let (worker, gate) = (Worker::start(Behaviour::Respond("ok")), Arc::new(Gate::default()));
-    let (mut setup, _discovery) = patient(&[&worker]);
+    let (mut setup, _discovery) = long_timeout_setup(&[&worker]);
     setup.settings["Domain"]["CountLimit"] = json!(1.2);
-    let (addr, calls) = counter(gate.clone());
+    let (addr, calls) = start_gated_counter(gate.clone());
     setup.counter = Some(addr);
     let node = setup.start();
     let mut client = node.connect();
-    client.send(&short(ClientRequest::submit("late").with_header("X-Plan", "pieni")));
-    calls.recv_timeout(LIMIT).expect("it asks for a block");
+    client.send(&with_client_timeout(ClientRequest::submit("late").with_header("X-Plan", "pieni")));
+    calls.recv_timeout(LIMIT).expect("a call for a block of units");
     node.pause();
     gate.open();
-    thread::sleep(TIME);
+    thread::sleep(CLIENT_TIMEOUT);
     node.resume();
-    let status = client.read_response().expect("one answer").status();
+    let status = client.read_response().expect("a response").status();
     assert!(status == 429 || status == 502, "{status}");
     assert_eq!(client.request(&ClientRequest::submit("next").with_header("X-Plan", "pieni")).status(), 200);
     assert_eq!(worker.next_request().1.header("x-txn"), "next");
 }
 
 #[test]
-fn a_connection_that_comes_up_as_the_requests_time_ends_carries_nothing() {
-    let shut = Shut::new();
-    let (mut setup, discovery) = patient(&[]);
-    list(&mut setup, &discovery, "w0", &shut);
+fn nothing_is_sent_on_a_connection_established_as_the_request_times_out() {
+    let blocked = BlockedWorker::new();
+    let (mut setup, discovery) = long_timeout_setup(&[]);
+    add_worker(&mut setup, &discovery, "w0", &blocked);
     let node = setup.start();
     let mut client = node.connect();
-    client.send(&short(ClientRequest::submit("late")));
+    client.send(&with_client_timeout(ClientRequest::submit("late")));
     node.wait_for_pool("w0", |p| p["waiting"] == 1);
     node.pause();
-    let line = shut.admit();
-    thread::sleep(TIME);
+    let sockets = blocked.accept_queued();
+    thread::sleep(CLIENT_TIMEOUT);
     node.resume();
-    assert_eq!(client.read_response().expect("one answer").status(), 429, "it was not sent");
+    assert_eq!(client.read_response().expect("a response").status(), 429, "the request was not sent");
     node.wait_for_pool("w0", |p| p["connecting"] == 0 && p["in_use"] == 0);
-    nothing_came(line);
+    assert_nothing_received(sockets);
 }
 
 #[test]
-fn a_worker_is_told_the_time_that_is_left_when_its_connection_is_there() {
-    let shut = Shut::new();
-    let (mut setup, discovery) = patient(&[]);
-    list(&mut setup, &discovery, "w0", &shut);
+fn the_time_out_sent_to_a_worker_excludes_the_wait_for_its_connection() {
+    let blocked = BlockedWorker::new();
+    let (mut setup, discovery) = long_timeout_setup(&[]);
+    add_worker(&mut setup, &discovery, "w0", &blocked);
     let node = setup.start();
     let mut client = node.connect();
     client.send(&ClientRequest::new("waits").with_header("X-Remaining", "10.0"));
     node.wait_for_pool("w0", |p| p["waiting"] == 1);
-    let waits = Duration::from_millis(300);
-    thread::sleep(waits);
-    let (tell, told) = channel();
-    for socket in shut.admit() {
-        let tell = tell.clone();
+    let connection_wait = Duration::from_millis(300);
+    thread::sleep(connection_wait);
+    let (timeout_sender, timeouts) = channel();
+    for socket in blocked.accept_queued() {
+        let timeout_sender = timeout_sender.clone();
         thread::spawn(move || {
             let message = read_message(&mut BufReader::new(socket));
-            message.into_iter().for_each(|m| drop(tell.send(m.header("x-remaining").to_owned())));
+            message.into_iter().for_each(|m| drop(timeout_sender.send(m.header("x-remaining").to_owned())));
         });
     }
-    let left: f64 = told.recv_timeout(LIMIT).expect("the request").parse().expect("a number");
-    assert!(left > 0.0 && left <= 10.0 - waits.as_secs_f64(), "{left}");
+    let timeout: f64 = timeouts.recv_timeout(LIMIT).expect("the request").parse().expect("a number");
+    assert!(timeout > 0.0 && timeout <= 10.0 - connection_wait.as_secs_f64(), "{timeout}");
 }
 
 #[test]
-fn of_two_answers_that_come_as_the_requests_time_ends_its_client_gets_one_end() {
+fn the_client_gets_one_response_when_two_arrive_as_the_request_times_out() {
     let gate = Arc::new(Gate::default());
     let workers = [(); 2].map(|()| Worker::start(Behaviour::RespondWhenOpened(gate.clone())));
-    let (mut setup, _discovery) = patient(&[&workers[0], &workers[1]]);
-    // A second copy goes out after 0.2 s.
+    let (mut setup, _discovery) = long_timeout_setup(&[&workers[0], &workers[1]]);
+    // The hedged request is sent after 0.2 s.
     (setup.settings["Classes"][0]["Slo"], setup.settings["Classes"][0]["LateWorth"]) =
         (json!(0.5), json!(0.5));
     let node = setup.start();
     let mut client = node.connect();
-    client.send(&short(ClientRequest::new("late")));
+    client.send(&with_client_timeout(ClientRequest::new("late")));
     workers.iter().for_each(|w| assert_eq!(w.next_request().1.header("x-txn"), "late"));
     node.pause();
     gate.open();
-    thread::sleep(TIME);
+    thread::sleep(CLIENT_TIMEOUT);
     node.resume();
-    let answer = client.read_response().expect("one answer");
-    assert!(answer.status() != 200 || answer.body == b"waited", "a whole one");
-    // Nothing is left of the other: not for its client, and not on its connection.
+    let response = client.read_response().expect("a response");
+    assert!(response.status() != 200 || response.body == b"waited", "a complete response");
+    // No byte of the other response remains, neither for the client nor on the worker's connection.
     workers.iter().for_each(|w| w.set_behaviour(Behaviour::Respond("next")));
     for i in 0..2 {
         node.wait_for_pool(&format!("w{i}"), |p| p["in_use"] == 0);
@@ -456,82 +470,86 @@
     }
 }
 
-// ---- Repeats ----
+// ---- Retries of deduplicated requests ----
 
-/// How long workers know a keyed request again. What is to come before its end has all of it.
-const WINDOW: Duration = Duration::from_secs(3);
+/// How long workers recognise a request by its idempotency key; also the time a test has for its steps before the
+/// window ends.
+const DEDUPLICATION_WINDOW: Duration = Duration::from_secs(3);
 
-/// A node as [`patient`] makes it, with a keyed class that is repeated within [`WINDOW`].
-fn repeats(workers: &[&Worker]) -> (NodeSetup, Discovery) {
-    let (mut setup, discovery) = patient(workers);
-    let class = json!({"Name": "note", "Effect": "deduplicated", "Group": "all", "Window": WINDOW.as_secs_f64(),
-        "Slo": 0.5, "LateWorth": 0.5, "Deadline": 30.0});
+/// The setup of [`long_timeout_setup`] with a deduplicated class, which may be retried within
+/// [`DEDUPLICATION_WINDOW`].
+fn deduplicated_setup(workers: &[&Worker]) -> (NodeSetup, Discovery) {
+    let (mut setup, discovery) = long_timeout_setup(workers);
+    let class = json!({"Name": "note", "Effect": "deduplicated", "Group": "all",
+        "Window": DEDUPLICATION_WINDOW.as_secs_f64(), "Slo": 0.5, "LateWorth": 0.5, "Deadline": 30.0});
     setup.settings["Classes"].as_array_mut().expect("a list").push(class);
     (setup, discovery)
 }
 
-fn note(txn: &str) -> ClientRequest {
-    let ask = ClientRequest::submit(txn)
+/// A request of the deduplicated class.
+fn deduplicated_request(txn: &str) -> ClientRequest {
+    let request = ClientRequest::submit(txn)
         .with_header("X-Lane", "note")
         .with_header("Idempotency-Key", "5c0f6e1a2b3d4c59");
-    ClientRequest { line: "POST /note HTTP/1.1".into(), ..ask }
+    ClientRequest { line: "POST /note HTTP/1.1".into(), ..request }
 }
 
 #[test]
-fn a_further_attempt_whose_connection_comes_up_after_the_window_for_repeats_is_not_sent() {
-    // Met one after the other, and both at once.
+fn a_retry_whose_connection_is_established_after_the_deduplication_window_is_not_sent() {
+    // The gateway handles the end of the window and the connection one after the other, or both at once.
     for at_once in [false, true] {
-        let (gate, shut) = (Arc::new(Gate::default()), Shut::new());
+        let (gate, blocked) = (Arc::new(Gate::default()), BlockedWorker::new());
         let worker = Worker::start(Behaviour::CloseWhenOpened(gate.clone()));
-        let (setup, discovery) = repeats(&[&worker]);
+        let (setup, discovery) = deduplicated_setup(&[&worker]);
         let node = setup.start();
         let mut client = node.connect();
-        client.send(&note("n"));
+        client.send(&deduplicated_request("n"));
         worker.next_request();
-        discovery.wait_for_watch_from(discovery.upsert(discovery_entry("w1", shut.addr, "SERVING")));
-        // It may have run, and goes elsewhere in time; the connection there does not come up.
+        discovery.wait_for_watch_from(discovery.upsert(discovery_entry("w1", blocked.addr, "SERVING")));
+        // The first attempt may have run and is retried within the window; the connection for the retry is not
+        // established.
         gate.open();
         node.wait_for_pool("w1", |p| p["waiting"] == 1);
         if at_once {
             node.pause();
         }
-        // However long this takes, the window is over then.
-        thread::sleep(WINDOW);
-        let line = shut.admit();
+        // The window has ended after this sleep.
+        thread::sleep(DEDUPLICATION_WINDOW);
+        let sockets = blocked.accept_queued();
         node.resume();
         assert_eq!(
-            client.read_response().expect("an answer").status(),
+            client.read_response().expect("a response").status(),
             429,
-            "a client's repeat does no harm"
+            "a retry by the client is safe"
         );
         node.wait_for_pool("w1", |p| p["connecting"] == 0 && p["in_use"] == 0);
-        nothing_came(line);
+        assert_nothing_received(sockets);
     }
 }
 
 #[test]
-fn a_first_attempt_whose_connection_comes_up_after_the_window_of_its_second_copy_is_not_sent() {
-    let (one, other) = (Shut::new(), Shut::new());
-    let (mut setup, discovery) = repeats(&[]);
-    list(&mut setup, &discovery, "w0", &one);
-    list(&mut setup, &discovery, "w1", &other);
+fn an_attempt_whose_connection_is_established_after_the_window_of_its_hedged_request_is_not_sent() {
+    let (one, other) = (BlockedWorker::new(), BlockedWorker::new());
+    let (mut setup, discovery) = deduplicated_setup(&[]);
+    add_worker(&mut setup, &discovery, "w0", &one);
+    add_worker(&mut setup, &discovery, "w1", &other);
     let node = setup.start();
     let mut client = node.connect();
-    client.send(&note("n"));
+    client.send(&deduplicated_request("n"));
     node.wait_for_pool("w0", |p| p["waiting"] == 1);
     node.wait_for_pool("w1", |p| p["waiting"] == 1);
-    let told = one.open_and_say("");
-    assert_eq!(told.recv_timeout(LIMIT).as_deref(), Ok("n"));
-    thread::sleep(WINDOW);
-    let told = other.open();
+    let ids = one.open_with_response("");
+    assert_eq!(ids.recv_timeout(LIMIT).as_deref(), Ok("n"));
+    thread::sleep(DEDUPLICATION_WINDOW);
+    let ids = other.open();
     node.wait_for_pool("w1", |p| p["connecting"] == 0 && p["in_use"] == 0);
-    assert!(told.try_recv().is_err(), "nothing reaches it");
+    assert!(ids.try_recv().is_err(), "the worker receives nothing");
 }
 
-// ---- The way out ----
+// ---- Shutdown ----
 
 #[test]
-fn a_request_whose_head_is_half_read_when_idle_connections_close_has_its_answer() {
+fn a_request_partly_read_when_idle_connections_are_closed_is_answered() {
     let worker = Worker::start(Behaviour::Respond("ok"));
     let (setup, _discovery) = NodeSetup::new(&[&worker]);
     let mut node = setup.start();
@@ -543,70 +561,70 @@
     let (half, rest) = bytes.split_at(bytes.len() / 3);
     slow.reader.get_mut().write_all(half).expect("a socket");
     node.terminate();
-    // Those that bring nothing close first: from then on no connection is kept.
-    assert_eq!(idle.reader.read(&mut [0]).expect("an end in good order"), 0);
+    // Idle connections are closed first; from then on no connection is kept open after its response.
+    assert_eq!(idle.reader.read(&mut [0]).expect("an orderly close"), 0);
     slow.reader.get_mut().write_all(rest).expect("a connection");
-    let answer =
-        slow.read_response().expect("an answer, as the whole request was written to an open connection");
-    assert_eq!((answer.status(), answer.header("connection")), (200, "close"));
+    let response =
+        slow.read_response().expect("a response, as the whole request was written to an open connection");
+    assert_eq!((response.status(), response.header("connection")), (200, "close"));
     assert!(node.wait_for_exit().success());
 }
 
-/// A worker whose answer is this long, and a node before it.
-fn gives(length: usize) -> (Node, Discovery) {
+/// Starts a node with one worker whose response body has `length` bytes.
+fn start_with_response_length(length: usize) -> (Node, Discovery) {
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n");
-    let answer: &'static str = Box::leak((head + &"x".repeat(length)).into_boxed_str());
-    let worker = Worker::start(Behaviour::SendRaw(answer));
+    let response: &'static str = Box::leak((head + &"x".repeat(length)).into_boxed_str());
+    let worker = Worker::start(Behaviour::SendRaw(response));
     let (setup, discovery) = NodeSetup::new(&[&worker]);
     (setup.start(), discovery)
 }
 
 #[test]
-fn an_answer_that_its_client_has_not_taken_yet_is_not_cut_off_by_the_end() {
+fn a_response_that_its_client_is_still_reading_is_not_cut_off_by_shutdown() {
     let length = 12 << 20;
-    let (mut node, _discovery) = gives(length);
+    let (mut node, _discovery) = start_with_response_length(length);
     let (mut slow, mut idle) = (node.connect(), node.connect());
     assert!(!idle.request(&ClientRequest::new("before")).body.is_empty());
     slow.send(&ClientRequest::new("slow"));
-    // It has begun to come, and more is left than the sockets hold.
-    assert!(!slow.reader.fill_buf().expect("an answer").is_empty());
+    // The response has begun, and more of it is left than the socket buffers hold.
+    assert!(!slow.reader.fill_buf().expect("a response").is_empty());
     node.terminate();
-    assert_eq!(idle.reader.read(&mut [0]).expect("an end in good order"), 0);
-    let answer = slow.read_response().expect("the whole of it");
-    assert_eq!((answer.status(), answer.body.len()), (200, length));
+    assert_eq!(idle.reader.read(&mut [0]).expect("an orderly close"), 0);
+    let response = slow.read_response().expect("the complete response");
+    assert_eq!((response.status(), response.body.len()), (200, length));
     assert!(node.wait_for_exit().success());
 }
 
 #[test]
-fn a_client_that_takes_nothing_of_its_answer_does_not_keep_the_process_from_its_end() {
-    let (mut node, _discovery) = gives(12 << 20);
+fn a_client_that_does_not_read_its_response_does_not_block_shutdown() {
+    let (mut node, _discovery) = start_with_response_length(12 << 20);
     let mut client = node.connect();
     client.send(&ClientRequest::new("deaf"));
-    assert!(!client.reader.fill_buf().expect("an answer").is_empty());
+    assert!(!client.reader.fill_buf().expect("a response").is_empty());
     node.terminate();
-    assert!(node.wait_for_exit().success(), "before it is killed, which nobody does here");
+    assert!(node.wait_for_exit().success(), "the process exits without being killed");
 }
 
 // ---- Discovery ----
 
-/// How a watch ends whose agent has something to tell.
+/// How the first watch call ends after which the fake discovery has an update.
 #[derive(Debug, Clone, Copy)]
-enum Watch {
-    /// The connection stays up and says nothing.
+enum WatchEnd {
+    /// The connection stays open without a response.
     Silent,
     Reset,
-    /// Half of the answer comes, and no more.
+    /// Only half of the response is sent.
     Half,
-    /// The whole answer, of a version older than the one it was asked from.
+    /// A complete response with a version older than the one in the call.
     Older,
 }
 
-/// An agent whose first watch ends so: from then on it tells, on any other call, that `w0` drains. Tells the version
-/// that each call asks from.
-fn agent(ends: Watch, worker: SocketAddr) -> (SocketAddr, Receiver<Option<u64>>) {
+/// A fake discovery whose first watch call ends as given; it answers every later call with an update by which `w0` is
+/// draining. Also returns the version that each call asks for changes from.
+fn start_discovery(watch_end: WatchEnd, worker: SocketAddr) -> (SocketAddr, Receiver<Option<u64>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let addr = listener.local_addr().expect("bound");
-    let (tell, told) = channel();
+    let (version_sender, versions) = channel();
     let list = move |version: u64, full: bool, state: &str| {
         let body =
             json!({"version": version, "full": full, "servers": [discovery_entry("w0", worker, state)]})
@@ -614,68 +632,68 @@
         format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
     };
     thread::spawn(move || {
-        let mut held = Vec::new();
+        let mut open_sockets = Vec::new();
         let mut ended = false;
-        // One connection after the other, as the gateway calls.
+        // Serves one connection at a time, as the gateway opens only one.
         for mut socket in listener.incoming().map_while(Result::ok) {
             let mut reader = BufReader::new(socket.try_clone().expect("a socket"));
             while let Some(call) = read_message(&mut reader) {
                 let from = call.line.split_once("from=").map(|(_, rest)| {
                     rest.split(['&', ' ']).next().and_then(|v| v.parse::<u64>().ok()).expect("a version")
                 });
-                let _ = tell.send(from);
-                let answer = match (from, ended) {
+                let _ = version_sender.send(from);
+                let response = match (from, ended) {
                     (None, false) => list(7, true, "SERVING"),
                     (None, true) => list(8, true, "DRAINING"),
                     (Some(7), false) => {
                         ended = true;
-                        match ends {
-                            Watch::Silent | Watch::Reset => break,
-                            Watch::Half => {
-                                let whole = list(8, false, "DRAINING");
-                                let _ = socket.write_all(&whole.as_bytes()[..whole.len() / 2]);
+                        match watch_end {
+                            WatchEnd::Silent | WatchEnd::Reset => break,
+                            WatchEnd::Half => {
+                                let complete = list(8, false, "DRAINING");
+                                let _ = socket.write_all(&complete.as_bytes()[..complete.len() / 2]);
                                 break;
                             }
-                            Watch::Older => list(5, false, "SERVING"),
+                            WatchEnd::Older => list(5, false, "SERVING"),
                         }
                     }
                     (Some(7), true) => list(8, false, "DRAINING"),
                     (Some(_), _) => break,
                 };
-                let _ = socket.write_all(answer.as_bytes());
+                let _ = socket.write_all(response.as_bytes());
             }
-            if matches!(ends, Watch::Reset) {
-                resets(&socket);
+            if matches!(watch_end, WatchEnd::Reset) {
+                reset_on_close(&socket);
             } else {
-                held.push(socket);
+                open_sockets.push(socket);
             }
         }
     });
-    (addr, told)
+    (addr, versions)
 }
 
 #[test]
-fn a_drain_that_a_broken_watch_missed_is_learned_from_the_next() {
-    for ends in [Watch::Silent, Watch::Reset, Watch::Half, Watch::Older] {
+fn draining_missed_by_a_failed_watch_is_received_by_the_next() {
+    for watch_end in [WatchEnd::Silent, WatchEnd::Reset, WatchEnd::Half, WatchEnd::Older] {
         let worker = Worker::start(Behaviour::Respond("ok"));
         let (mut setup, _discovery) = NodeSetup::new(&[&worker]);
-        let (addr, told) = agent(ends, worker.addr);
+        let (addr, versions) = start_discovery(watch_end, worker.addr);
         setup.discovery = addr;
-        // The list that is known at the start is the agent's.
+        // The initial list has the version of the fake discovery's first list.
         setup.initial_version = 7;
         let node = setup.start();
-        // A handful of calls: two lists, two watches, and the first of what follows.
-        let calls = (0..8).map(|_| told.recv_timeout(LIMIT).expect("a call"));
-        assert!(calls.into_iter().any(|from| from == Some(8)), "{ends:?}: it is told");
-        assert_eq!(node.request(&ClientRequest::new("late")).status(), 429, "{ends:?}");
-        assert!(worker.drain_requests().is_empty(), "{ends:?}: nothing reaches it");
+        // At most two list calls, two watch calls and the following watch call are needed.
+        let calls = (0..8).map(|_| versions.recv_timeout(LIMIT).expect("a call"));
+        assert!(calls.into_iter().any(|from| from == Some(8)), "{watch_end:?}: the update is received");
+        assert_eq!(node.request(&ClientRequest::new("late")).status(), 429, "{watch_end:?}");
+        assert!(worker.drain_requests().is_empty(), "{watch_end:?}: the worker receives nothing");
     }
 }
 
 // ---- Settings ----
 
 #[test]
-fn a_request_whose_class_changes_its_effect_while_its_body_comes_is_not_sent_under_the_other_rules() {
+fn a_request_whose_class_changes_its_effect_while_its_body_is_received_is_not_sent() {
     let worker = Worker::start(Behaviour::Respond("ok"));
     let (mut setup, _discovery) = NodeSetup::new(&[&worker]);
     let node = setup.start();
@@ -683,20 +701,20 @@
     let bytes = ClientRequest::submit("crosses").with_header("Expect", "100-continue").bytes();
     let (head, body) = bytes.split_at(bytes.len() - b"answer".len());
     client.reader.get_mut().write_all(head).expect("a socket");
-    // Its head has been read by the old rules, and its body is waited for.
-    assert_eq!(client.read_response().expect("the word to go on").status(), 100);
-    // What was never to be repeated may be from now on.
+    // The head has been read under the old settings, and the gateway waits for the body.
+    assert_eq!(client.read_response().expect("100 Continue").status(), 100);
+    // The class changes from at most once to idempotent.
     setup.settings["Classes"][1]["Effect"] = json!("idempotent");
     node.reload(&setup.config().to_string());
     node.wait_for_log("configuration reloaded");
     client.reader.get_mut().write_all(body).expect("a socket");
     assert_eq!(
-        client.read_response().expect("an answer").status(),
+        client.read_response().expect("a response").status(),
         503,
-        "it may come again, under the new rules"
+        "the client may retry under the new settings"
     );
-    assert!(worker.drain_requests().is_empty(), "nothing reaches it");
-    // As it would now: the connection goes on.
+    assert!(worker.drain_requests().is_empty(), "the worker receives nothing");
+    // The connection stays open and serves a request that is valid under the new settings.
     let mut again = ClientRequest::submit("again");
     (again.line, again.body) = ("GET /submit HTTP/1.1".into(), Vec::new());
     assert_eq!(client.request(&again).status(), 200);
@@ -705,52 +723,52 @@
 // ---- The counter ----
 
 #[test]
-fn a_request_that_waits_for_an_answer_on_a_line_that_dies_has_its_own_at_once_and_the_next_line_serves() {
-    for goes in [Goes::Fin, Goes::Reset] {
+fn a_request_waiting_on_a_counter_connection_that_dies_is_decided_at_once_and_the_next_connection_serves() {
+    for close in [Close::Fin, Close::Reset] {
         let worker = Worker::start(Behaviour::Respond("ok"));
-        let (mut setup, _discovery) = patient(&[&worker]);
+        let (mut setup, _discovery) = long_timeout_setup(&[&worker]);
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         setup.counter = listener.local_addr().ok();
         let node = setup.start();
-        let (line, _) = listener.accept().expect("a line");
-        let mut calls = BufReader::new(line.try_clone().expect("a socket"));
-        let mut next = |text: &str| {
-            let mut said = String::new();
-            while !said.starts_with(text) {
-                said.clear();
-                assert!(calls.read_line(&mut said).is_ok_and(|n| n > 0), "{goes:?}: it calls");
+        let (connection, _) = listener.accept().expect("a connection");
+        let mut calls = BufReader::new(connection.try_clone().expect("a socket"));
+        let mut read_until = |text: &str| {
+            let mut call = String::new();
+            while !call.starts_with(text) {
+                call.clear();
+                assert!(calls.read_line(&mut call).is_ok_and(|n| n > 0), "{close:?}: a call");
             }
         };
         let mut client = node.connect();
         client.send(&ClientRequest::submit("waits").with_header("X-Plan", "pieni"));
-        next("bump");
-        // Its add is written and will never be answered, and the limit for calls is far off.
-        if goes == Goes::Reset {
-            resets(&line);
+        read_until("bump");
+        // The call is never answered, and its time-out is far in the future.
+        if close == Close::Reset {
+            reset_on_close(&connection);
         }
-        drop((line, calls));
-        let status = client.read_response().expect("one answer").status();
-        assert!(status == 200 || status == 429, "{goes:?}: by the even share: {status}");
+        drop((connection, calls));
+        let status = client.read_response().expect("a response").status();
+        assert!(status == 200 || status == 429, "{close:?}: decided by the even share: {status}");
         let sent = worker.drain_requests().len();
-        assert_eq!(sent, usize::from(status == 200), "{goes:?}: sent once, or not at all");
-        // It comes again and is asked again.
-        let (mut line, _) = listener.accept().expect("the next line");
+        assert_eq!(sent, usize::from(status == 200), "{close:?}: one attempt if served, none if refused");
+        // The gateway reconnects and calls the counter again.
+        let (mut connection, _) = listener.accept().expect("the next connection");
         client.send(
             &ClientRequest::submit("after")
                 .with_header("X-Plan", "pieni")
                 .with_header("X-Customer", "0000000000000007"),
         );
-        let mut calls = BufReader::new(line.try_clone().expect("a socket"));
+        let mut calls = BufReader::new(connection.try_clone().expect("a socket"));
         loop {
-            let mut said = String::new();
-            assert!(calls.read_line(&mut said).is_ok_and(|n| n > 0), "{goes:?}: it calls");
-            let amount = said.split(' ').nth(2).and_then(|a| a.parse::<f64>().ok());
+            let mut call = String::new();
+            assert!(calls.read_line(&mut call).is_ok_and(|n| n > 0), "{close:?}: a call");
+            let amount = call.split(' ').nth(2).and_then(|a| a.parse::<f64>().ok());
             let answer = amount.map_or("pong\r\n".into(), |total| format!("ok {total}\r\n"));
-            line.write_all(answer.as_bytes()).expect("a socket");
+            connection.write_all(answer.as_bytes()).expect("a socket");
             if amount.is_some_and(|a| a > 0.0) {
                 break;
             }
         }
-        assert_eq!(client.read_response().expect("an answer").status(), 200, "{goes:?}");
+        assert_eq!(client.read_response().expect("a response").status(), 200, "{close:?}");
     }
 }
--- a/crates/gateway/tests/fakes/mod.rs
+++ b/crates/gateway/tests/fakes/mod.rs
@@ -281,16 +281,16 @@
             let mut answers: Vec<String> = Vec::new();
             let mut call_count = 0;
             for line in reader.lines().map_while(Result::ok) {
-                let words: Vec<&str> = line.split(' ').collect();
-                if words[0] == "ping" {
+                let fields: Vec<&str> = line.split(' ').collect();
+                if fields[0] == "ping" {
                     answers.push("pong".into());
                 } else {
                     call_count += 1;
                     let mut totals = shared_totals.lock().expect("no panic inside");
                     let start = if totals.is_empty() { first_total } else { 0.0 };
-                    let total = totals.entry(words[1].to_owned()).or_insert(start);
-                    *total += words[2].parse::<f64>().expect("an amount");
-                    assert!(words[3].parse::<u64>().is_ok_and(|ttl| ttl >= 1), "a lifetime in milliseconds");
+                    let total = totals.entry(fields[1].to_owned()).or_insert(start);
+                    *total += fields[2].parse::<f64>().expect("an amount");
+                    assert!(fields[3].parse::<u64>().is_ok_and(|ttl| ttl >= 1), "a lifetime in milliseconds");
                     answers.push(match behaviour {
                         CounterBehaviour::Busy => "busy".into(),
                         CounterBehaviour::Garbage => "\u{1}nonsense".into(),
--- a/crates/gateway/tests/fleetlab.rs
+++ b/crates/gateway/tests/fleetlab.rs
@@ -1,5 +1,5 @@
-//! Short lab runs of several gateway processes among simulated workers and clients, with injected faults; each run must
-//! break no rule of the lab's judge and reach minimum counts.
+//! Short lab runs of several gateway processes among simulated workers and clients, with injected faults; each run
+//! must break no rule of the lab's judge and reach minimum counts.
 
 use fleetlab::{
     judge::{Verdict, judge},
--- a/crates/gateway/tests/node.rs
+++ b/crates/gateway/tests/node.rs
@@ -29,30 +29,33 @@
     assert_eq!(client.request(&up).status(), 200, "liveness check of the load balancer");
     let mut request = ClientRequest::new("9b1f03aa5c7e2d41");
     request.line = "GET /check-answer/5?pupil=3 HTTP/1.1".into();
-    let answer = client.request(&request);
-    assert_eq!((answer.status(), answer.body.as_slice()), (200, b"marked: 7".as_slice()));
-    let (first, seen) = worker.next_request();
-    assert_eq!(seen.line, request.line);
-    assert_eq!(seen.header("x-txn"), "9b1f03aa5c7e2d41");
-    let timeout: f64 = seen.header("x-remaining").parse().expect("the gateway's time-out in seconds");
+    let response = client.request(&request);
+    assert_eq!((response.status(), response.body.as_slice()), (200, b"marked: 7".as_slice()));
+    let (first, received) = worker.next_request();
+    assert_eq!(received.line, request.line);
+    assert_eq!(received.header("x-txn"), "9b1f03aa5c7e2d41");
+    let timeout: f64 = received.header("x-remaining").parse().expect("the gateway's time-out in seconds");
     assert!(timeout > 0.0 && timeout <= 25.0, "{timeout}");
     // A connection becomes idle, and so reusable, a moment after its response.
     node.wait_for_pool("w0", |p| p["idle"] == 1);
     assert_eq!(client.request(&ClientRequest::submit("b")).status(), 200);
-    let (second, seen) = worker.next_request();
-    assert_eq!((seen.line.as_str(), seen.body.as_slice()), ("POST /submit HTTP/1.1", b"answer".as_slice()));
+    let (second, received) = worker.next_request();
+    assert_eq!(
+        (received.line.as_str(), received.body.as_slice()),
+        ("POST /submit HTTP/1.1", b"answer".as_slice())
+    );
     assert_eq!(first, second, "the second request reuses the connection");
 }
 
-/// A client disconnects as soon as its time-out expires, so a response at that moment comes too late. Checks the time-out
-/// that the gateway sends to the worker, which does not depend on the load of the test machine.
+/// A client disconnects as soon as its time-out expires, so a response at that moment comes too late. Checks the
+/// time-out that the gateway sends to the worker, which does not depend on the load of the test machine.
 #[test]
 fn a_request_times_out_before_its_client_does() {
     let worker = Worker::start(Behaviour::NeverRespond);
     let (setup, _discovery) = NodeSetup::new(&[&worker]);
     let node = setup.start();
     for remaining in [0.4, 2.0] {
-        let request = ClientRequest::new("held").with_header("X-Remaining", &remaining.to_string());
+        let request = ClientRequest::new("open").with_header("X-Remaining", &remaining.to_string());
         assert_eq!(node.request(&request).status(), 429);
         let timeout: f64 = worker.next_request().1.header("x-remaining").parse().expect("seconds");
         assert!(timeout < remaining - 0.004, "{timeout} of {remaining}");
@@ -82,10 +85,10 @@
     let mut served = 0;
     for i in 0..20 {
         for node in [&one, &two] {
-            let answer = node.request(&ClientRequest::new(&format!("t{i}")).with_header("X-Plan", "pieni"));
-            match answer.status() {
+            let response = node.request(&ClientRequest::new(&format!("t{i}")).with_header("X-Plan", "pieni"));
+            match response.status() {
                 200 => served += 1,
-                429 => assert!(answer.header("retry-after").parse::<f64>().is_ok_and(|s| s > 0.0)),
+                429 => assert!(response.header("retry-after").parse::<f64>().is_ok_and(|s| s > 0.0)),
                 other => panic!("answered {other}"),
             }
         }
@@ -124,7 +127,8 @@
     discovery.upsert(unreachable.clone());
     setup.initial_servers.push(unreachable);
     let node = setup.start();
-    // The worker of the first attempt is random and the retry budget limited: repeats until the refusing worker was attempted.
+    // The worker of the first attempt is random and the retry budget limited: repeats until the refusing worker was
+    // tried.
     for i in 0.. {
         assert_eq!(node.request(&ClientRequest::submit(&format!("r{i}"))).status(), 200);
         assert_eq!(serving.drain_requests().len(), 1);
@@ -280,10 +284,10 @@
     let worker = Worker::start(Behaviour::Respond("ok"));
     let (setup, _discovery) = NodeSetup::new(&[&worker]);
     let node = setup.start();
-    let part = "POST /submit HTTP/1.1\r\nX-Lane: sub";
+    let incomplete_head = "POST /submit HTTP/1.1\r\nX-Lane: sub";
     // One client sends nothing, one an incomplete head, one a head without its body.
     let mut clients: Vec<Client> = (0..3).map(|_| node.connect()).collect();
-    clients[1].reader.get_mut().write_all(part.as_bytes()).expect("a socket");
+    clients[1].reader.get_mut().write_all(incomplete_head.as_bytes()).expect("a socket");
     clients[2].send(&ClientRequest {
         body: Vec::new(),
         ..ClientRequest::submit("x").with_header("Content-Length", "9")
@@ -333,7 +337,8 @@
     );
     counter.next_call();
     // 6 of the second customer's burst of 8 exceed its even share, so its own total must have been read. A request
-    // refused while the answer is in flight is repeated; with the first customer's total it would be refused for ever.
+    // refused while the answer is in flight is repeated; with the first customer's total it would be refused for
+    // ever.
     for i in 0..6 {
         let start = std::time::Instant::now();
         while node.request(&request(2, &format!("b{i}"))).status() != 200 {
@@ -565,13 +570,13 @@
     let mut node = setup.start();
     let mut idle = node.connect();
     let mut client = node.connect();
-    client.send(&ClientRequest::new("held"));
+    client.send(&ClientRequest::new("open"));
     worker.next_request();
     node.terminate();
     node.wait_for_log("shuts down with 1 open requests");
     gate.open();
-    let answer = client.read_response().expect("an answer");
-    assert_eq!((answer.status(), answer.header("connection")), (200, "close"));
+    let response = client.read_response().expect("a response");
+    assert_eq!((response.status(), response.header("connection")), (200, "close"));
     assert!(idle.read_response().is_none(), "idle connections are closed");
     assert!(node.wait_for_exit().success());
 }
@@ -582,7 +587,7 @@
     let (setup, _discovery) = NodeSetup::new(&[&worker]);
     let mut node = setup.start();
     let mut client = node.connect();
-    client.send(&ClientRequest::submit("held"));
+    client.send(&ClientRequest::submit("open"));
     worker.next_request();
     node.terminate();
     assert_eq!(client.read_response().map(|a| a.status()), Some(502), "before the client's time-out of 25 s");
@@ -614,8 +619,8 @@
     gate.open();
     for (i, client) in busy.iter_mut().enumerate() {
         // If the connection was closed while the request was in flight, the client sends it again.
-        let answer = client.read_response().unwrap_or_else(|| node.request(&request(i)));
-        assert!(matches!(answer.status(), 200 | 429));
+        let response = client.read_response().unwrap_or_else(|| node.request(&request(i)));
+        assert!(matches!(response.status(), 200 | 429));
     }
     assert_eq!(node.request(&ClientRequest::new("after")).status(), 200);
 }
--- a/crates/gateway/tests/pools.rs
+++ b/crates/gateway/tests/pools.rs
@@ -35,7 +35,7 @@
     let gate = Arc::new(Gate::default());
     worker.set_behaviour(Behaviour::RespondWhenOpened(gate.clone()));
     let mut client = node.connect();
-    client.send(&ClientRequest::new("held"));
+    client.send(&ClientRequest::new("open"));
     assert_eq!(count(&node.wait_for_pool("w0", |p| p["in_use"] == 1), "idle"), 0);
     gate.open();
     assert_eq!(client.read_response().map(|a| a.status()), Some(200));
@@ -227,13 +227,13 @@
     gate.open();
     for client in &mut clients {
         // A client connection that was not accepted in time is closed without a response.
-        if let Some(answer) = client.read_response() {
+        if let Some(response) = client.read_response() {
             assert!(
-                matches!(answer.status(), 200 | 429),
+                matches!(response.status(), 200 | 429),
                 "{}: a request that was not sent is refused",
-                answer.status()
+                response.status()
             );
-            refused += u32::from(answer.status() == 429);
+            refused += u32::from(response.status() == 429);
         }
     }
     assert!(refused > 0, "there was a descriptor for every connection");
--- a/crates/gateway/tests/zone_loss.rs
+++ b/crates/gateway/tests/zone_loss.rs
@@ -4,8 +4,8 @@
 use fakes::*;
 use serde_json::{Value, json};
 
-/// Number of concurrent requests. Sequential requests would all go to the worker that responded fastest at first, and a
-/// worker without requests can't be detected as failed; with one request per worker, each worker receives one.
+/// Number of concurrent requests. Sequential requests would all go to the worker that responded fastest at first, and
+/// a worker without requests can't be detected as failed; with one request per worker, each worker receives one.
 const CONCURRENT_REQUESTS: usize = 6;
 
 /// Three workers in each of two zones; the gateway is in the zone of the first three.
@@ -77,8 +77,8 @@
     let mut fixture = TwoZones::new();
     let node = fixture.setup.start();
     fixture.discovery.wait_for_watch_from(6);
-    // On a busy test machine the own zone may respond slowly at first: waits until its measured latency has recovered and
-    // the zone is preferred.
+    // On a busy test machine the own zone may respond slowly at first: waits until its measured latency has recovered
+    // and the zone is preferred.
     let start = std::time::Instant::now();
     let report = loop {
         (0..5).for_each(|_| assert_eq!(fixture.send_concurrently(&node), CONCURRENT_REQUESTS));
@@ -96,8 +96,8 @@
     fixture.send_until_logged(&node, "zone 0 ejected: Broken");
     let report = zones(&node);
     assert_eq!((&report[0]["left"]["why"], &report[0]["weight"]), (&json!("broken"), &json!(0.0)));
-    // A response to a request that was open at the ejection would count as a sign of life of its worker; waits until none
-    // is open.
+    // A response to a request that was open at the ejection would count as a sign of life of its worker; waits until
+    // none is open.
     (0..3).for_each(|i| drop(node.wait_for_pool(&format!("w{i}"), |pool| pool["in_use"] == 0)));
     fixture.set_own_zone_behaviour(&Behaviour::Respond("back"));
     fixture.send_until_logged(&node, "zone 0 returned to service");
@@ -124,8 +124,8 @@
             node.request(&ClientRequest::submit(&format!("u{i}")).with_header("X-Remaining", "0.3")).status();
         assert!(matches!(status, 200 | 502), "{status}");
     }
-    let seen: usize = fixture.workers.iter().map(|w| w.drain_requests().len()).sum();
-    assert_eq!(seen, 6);
+    let received: usize = fixture.workers.iter().map(|w| w.drain_requests().len()).sum();
+    assert_eq!(received, 6);
     fixture.send_until_logged(&node, "zone 0 ejected: Silent");
     let (served, sent) = (0..10).fold((0, 0), |(served, sent), i| {
         let request = ClientRequest::new(&format!("s{i}")).with_header("X-Remaining", "0.5");
