--- a/crates/gateway/tests/fakes/mod.rs
+++ b/crates/gateway/tests/fakes/mod.rs
@@ -1,5 +1,5 @@
-//! Fake workers, counter and discovery on loopback sockets, and a runner for the built gateway program. Tests wait for
-//! events rather than sleep, with a time-out far above the duration of any step.
+//! Fake workers, counter and discovery on loopback sockets, and a runner for the built gateway program. They wait for
+//! events, with a time-out far above the duration of any step.
 #![allow(dead_code)]
 
 use serde_json::{Value, json};
@@ -430,17 +430,17 @@
         version
     }
 
-    /// Answers calls with truncated JSON, or no longer.
+    /// Whether calls are answered with truncated JSON.
     pub fn set_malformed(&self, on: bool) {
         self.modify(|state| state.malformed = on);
     }
 
-    /// Leaves calls unanswered, or no longer.
+    /// Whether calls stay unanswered.
     pub fn set_silent(&self, on: bool) {
         self.modify(|state| state.silent = on);
     }
 
-    /// Answers calls with status 503, or no longer.
+    /// Whether calls are answered with status 503.
     pub fn set_unavailable(&self, on: bool) {
         self.modify(|state| state.unavailable = on);
     }
@@ -459,8 +459,8 @@
 
 // ---- The program ----
 
-/// Settings with an idempotent class, a class of at most one attempt, a plan without a quota, and the plan "pieni" with
-/// a quota of 0.01 units/s and a burst of 8.
+/// Settings with an idempotent class, an at-most-once class, a plan without a quota, and the plan "pieni" with a quota
+/// of 0.01 units/s and a burst of 8.
 pub fn settings() -> Value {
     json!({
         "Classes": [
@@ -701,7 +701,7 @@
     }
 
     /// Stops the process with SIGSTOP and waits until it has stopped. It handles whatever happens until
-    /// [`Node::resume`] in one go.
+    /// [`Node::resume`] at once.
     pub fn pause(&self) {
         self.signal("-STOP");
         let start = Instant::now();
@@ -845,7 +845,7 @@
         Self { line: "GET /check-answer HTTP/1.1".into(), headers, body: Vec::new() }
     }
 
-    /// A valid request of the class that allows at most one attempt, with a body.
+    /// A valid request of the at-most-once class, with a body.
     pub fn submit(txn: &str) -> Self {
         let mut request = Self::new(txn).with_header("X-Lane", "submit");
         request.line = "POST /submit HTTP/1.1".into();
@@ -887,7 +887,7 @@
     }
 
     pub fn send(&mut self, request: &ClientRequest) {
-        // A write error is no failure: the gateway may respond and close before it has read a request that is too long.
+        // Ignores write errors: the gateway may respond and close before it has read a request that is too long.
         let _ = self.reader.get_mut().write_all(&request.bytes());
     }
 
--- a/crates/gateway/tests/node.rs
+++ b/crates/gateway/tests/node.rs
@@ -26,7 +26,7 @@
     let mut client = node.connect();
     let mut up = ClientRequest::new("up");
     up.line = "GET /up HTTP/1.1".into();
-    assert_eq!(client.request(&up).status(), 200, "liveness check of the load balancer");
+    assert_eq!(client.request(&up).status(), 200, "health check of the load balancer");
     let mut request = ClientRequest::new("9b1f03aa5c7e2d41");
     request.line = "GET /check-answer/5?pupil=3 HTTP/1.1".into();
     let response = client.request(&request);
@@ -164,7 +164,7 @@
     let (setup, _discovery) = NodeSetup::new(&[&worker]);
     let node = setup.start();
     let mut client = node.connect();
-    // At-most-once requests are not retried, so an attempt on the dead connection would fail.
+    // An at-most-once request that was sent is not retried, so an attempt on the dead connection would fail.
     for i in 0..4 {
         assert_eq!(client.request(&ClientRequest::submit(&format!("d{i}"))).status(), 200);
         worker.wait_for_event(|event| matches!(event, WorkerEvent::WriteShutDown));
