--- a/crates/opalrun/tests/state.rs
+++ b/crates/opalrun/tests/state.rs
@@ -49,7 +49,7 @@
 /// Writes what a store with one program and two turns has on disk. Returns its identity.
 fn write_store(folder: &Path) -> u64 {
     let directory = DataDirectory::open(folder).unwrap();
-    let identity = Identity::load_or_draw(&directory, true).unwrap();
+    let identity = Identity::load_or_create(&directory, true).unwrap();
     let mut log = RecordLog::open(&directory, "store", RecordLogOptions::default(), |_, _| {}).unwrap();
     for record in [Record::Epoch(Epoch(7)), count("program"), turn("one"), turn("two")] {
         log.append(&record.encode());
--- a/crates/store-client/src/client.rs
+++ b/crates/store-client/src/client.rs
@@ -103,7 +103,7 @@
 
     /// Runs an operation in the newest layout of a partition, and anew in a later one when the partition has moved
     /// meanwhile; `None` at the deadline.
-    pub(crate) async fn in_layout<T, F>(
+    pub(crate) async fn run_in_layout<T, F>(
         &self,
         partition: Partition,
         deadline: Instant,
@@ -117,7 +117,7 @@
                 let layout = self.layouts.get(partition).await;
                 tokio::select! {
                     biased;
-                    () = self.layouts.outdated(&layout) => {}
+                    () = self.layouts.wait_until_outdated(&layout) => {}
                     done = operation(&layout) => return done,
                 }
             }
--- a/crates/store-client/src/counts.rs
+++ b/crates/store-client/src/counts.rs
@@ -44,7 +44,7 @@
         let acquisition = PendingAcquisition::begin(self, program, leased);
         let entry = acquisition.operation().entry(wanted);
         let acquired = self
-            .in_layout(partition_of(program), deadline, async |layout| {
+            .run_in_layout(partition_of(program), deadline, async |layout| {
                 self.acquire_in(layout, program, entry, deadline).await
             })
             .await;
@@ -52,7 +52,7 @@
             return Err(CountError::Superseded);
         }
         let grant = acquired.ok_or(CountError::Unavailable)?;
-        acquisition.granted();
+        acquisition.mark_granted();
         Ok(grant)
     }
 
@@ -69,7 +69,7 @@
             let entry = operation.entry(taken);
             let partition = partition_of(operation.program());
             let written = client
-                .in_layout(partition, deadline, async |layout| {
+                .run_in_layout(partition, deadline, async |layout| {
                     client.write_in(layout, operation.program(), entry, deadline).await;
                 })
                 .await;
@@ -103,7 +103,7 @@
             tokio::select! {
                 replied = calls.next_reply() => match replied.reply {
                     StoreReply::Count { is_complete, entries } => {
-                        acquisition.reply_received(replied.call, replied.store, is_complete, &entries);
+                        acquisition.record_reply(replied.call, replied.store, is_complete, &entries);
                     }
                     _ => self.handle_stale_layout(layout).await,
                 },
@@ -130,7 +130,7 @@
         }
     }
 
-    /// A store knows a newer map. Waits for ever where this client has one by now: [`in_layout`](Self::in_layout) drops
+    /// A store knows a newer map. Waits for ever where this client has one by now: [`run_in_layout`](Self::run_in_layout) drops
     /// this operation and begins it anew in the newer layout.
     pub(crate) async fn handle_stale_layout(&self, layout: &Layout) {
         layout.set_stale();
--- a/crates/store-client/src/layout.rs
+++ b/crates/store-client/src/layout.rs
@@ -66,7 +66,7 @@
 
     /// Waits until the partition is placed otherwise than `layout` says, or until there is any newer map where a store
     /// has said that it knows one.
-    pub async fn outdated(&self, layout: &Layout) {
+    pub async fn wait_until_outdated(&self, layout: &Layout) {
         loop {
             let changed = self.changed.notified();
             if self.is_outdated(layout) {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Whether [`outdated`](Self::outdated) would return at once.
+    /// Whether [`wait_until_outdated`](Self::wait_until_outdated) would return at once.
     pub fn is_outdated(&self, layout: &Layout) -> bool {
         let Some(current) = self.current(layout.number) else { return false };
         current.partition != layout.partition || (layout.is_stale.get() && current.epoch > layout.epoch)
--- a/crates/store-client/src/lease_acquisition.rs
+++ b/crates/store-client/src/lease_acquisition.rs
@@ -74,7 +74,7 @@
     first: QuorumTracker,
     second: Option<QuorumTracker>,
     /// Without any reply.
-    blank: QuorumTracker,
+    without_replies: QuorumTracker,
     entries: Vec<CountEntry>,
 }
 
@@ -82,20 +82,20 @@
     /// Begins the first round.
     #[must_use]
     pub fn new(holder: u64, partition: &PartitionReplicas) -> Self {
-        let blank = QuorumTracker::new(partition);
-        Self { holder, first: blank.clone(), second: None, blank, entries: Vec::new() }
+        let without_replies = QuorumTracker::new(partition);
+        Self { holder, first: without_replies.clone(), second: None, without_replies, entries: Vec::new() }
     }
 
     /// Begins the second round. To be called at [`Progress::AtQuorum`], and before any request of the round is sent.
     pub fn start_second_round(&mut self) {
         if self.first.is_quorum() && self.second.is_none() {
-            self.second = Some(self.blank.clone());
+            self.second = Some(self.without_replies.clone());
         }
     }
 
     /// A replica has replied to a request of a round: it has the entry on disk and knows these entries. `is_complete` is what it
     /// says of itself.
-    pub fn reply_received(
+    pub fn record_reply(
         &mut self,
         round: Round,
         store: NodeIdentity,
--- a/crates/store-client/src/operation.rs
+++ b/crates/store-client/src/operation.rs
@@ -85,7 +85,7 @@
     }
 
     /// The units are granted: the entry stays as it was written.
-    pub fn granted(mut self) {
+    pub fn mark_granted(mut self) {
         self.is_granted = true;
     }
 }
--- a/crates/store-client/src/retention.rs
+++ b/crates/store-client/src/retention.rs
@@ -33,7 +33,7 @@
 
     /// Those of the turns that are not known to be retained until `wanted`.
     #[must_use]
-    pub fn retained_too_short<'a>(&self, ids: &'a [String], wanted: Duration) -> Vec<&'a String> {
+    pub fn not_retained_until<'a>(&self, ids: &'a [String], wanted: Duration) -> Vec<&'a String> {
         ids.iter().filter(|id| self.until.get(id.as_str()).is_none_or(|until| *until < wanted)).collect()
     }
 }
--- a/crates/store-client/src/turns.rs
+++ b/crates/store-client/src/turns.rs
@@ -41,7 +41,7 @@
         let deadline = Instant::now() + time_limit;
         self.extend_chain(turn);
         let stored = self
-            .in_layout(partition_of(&turn.id), deadline, async |layout| {
+            .run_in_layout(partition_of(&turn.id), deadline, async |layout| {
                 let request = StoreRequest::PutTurn { epoch: layout.epoch, turn: turn.clone() };
                 self.store_in(layout, Rc::new(request), deadline).await;
             })
@@ -62,7 +62,7 @@
     ) -> Result<Option<Turn>, TurnError> {
         let deadline = Instant::now() + time_limit;
         let read = self
-            .in_layout(partition_of(id), deadline, async |layout| self.get_in(layout, id, deadline).await)
+            .run_in_layout(partition_of(id), deadline, async |layout| self.get_in(layout, id, deadline).await)
             .await;
         let found = read.ok_or(TurnError::Unavailable)?;
         if let Some(found) = &found {
@@ -134,7 +134,7 @@
     fn extend_chain(self: &Rc<Self>, turn: &Turn) {
         let wanted = self.started.elapsed() + Duration::from_millis(turn.retention_ms);
         let mut by_partition: BTreeMap<Partition, Vec<String>> = BTreeMap::new();
-        for id in self.known_retention.borrow().retained_too_short(&turn.ancestors, wanted) {
+        for id in self.known_retention.borrow().not_retained_until(&turn.ancestors, wanted) {
             by_partition.entry(partition_of(id)).or_default().push(id.clone());
         }
         for (number, ids) in by_partition {
@@ -148,7 +148,7 @@
         self.spawn_write(async move {
             let deadline = Instant::now() + EXTENSION_TIMEOUT;
             let extended = client
-                .in_layout(partition, deadline, async |layout| {
+                .run_in_layout(partition, deadline, async |layout| {
                     let (epoch, ids) = (layout.epoch, ids.clone());
                     let request = StoreRequest::ExtendTurns { epoch, partition, ids, retention_ms };
                     client.store_in(layout, Rc::new(request), deadline).await;
--- a/crates/store-client/tests/lease_acquisition.rs
+++ b/crates/store-client/tests/lease_acquisition.rs
@@ -32,7 +32,7 @@
     entry: CountEntry,
 }
 
-struct Answer {
+struct Reply {
     write: Write,
     entries: Vec<CountEntry>,
 }
@@ -50,7 +50,7 @@
     replicas: [Vec<CountEntry>; REPLICAS],
     holders: Vec<Holder>,
     writes: Vec<Write>,
-    answers: Vec<Answer>,
+    replies: Vec<Reply>,
     one_round_grants: u64,
 }
 
@@ -73,7 +73,7 @@
             replicas: Default::default(),
             holders,
             writes: Vec::new(),
-            answers: Vec::new(),
+            replies: Vec::new(),
             one_round_grants: 0,
         };
         (0..HOLDERS).for_each(|holder| world.send(holder, Round::First));
@@ -88,7 +88,7 @@
     fn step(&mut self) {
         match self.choices.u8(..10) {
             0..=3 => self.deliver_write(),
-            4..=6 => self.deliver_answer(),
+            4..=6 => self.deliver_reply(),
             7..=8 => self.second_round(),
             _ => self.lose_or_reduce(),
         }
@@ -110,20 +110,20 @@
             None => entries.push(write.entry),
         }
         let entries = entries.clone();
-        self.answers.push(Answer { write, entries });
+        self.replies.push(Reply { write, entries });
     }
 
-    fn deliver_answer(&mut self) {
-        if self.answers.is_empty() {
+    fn deliver_reply(&mut self) {
+        if self.replies.is_empty() {
             return;
         }
-        let index = self.choices.usize(..self.answers.len());
-        let Answer { write, entries } = self.answers.swap_remove(index);
+        let index = self.choices.usize(..self.replies.len());
+        let Reply { write, entries } = self.replies.swap_remove(index);
         let holder = &mut self.holders[write.holder];
         if holder.is_done || write.entry.sequence != holder.entry.sequence {
             return;
         }
-        holder.acquisition.reply_received(
+        holder.acquisition.record_reply(
             write.round,
             NodeIdentity(write.replica as u64),
             self.complete[write.replica],
@@ -200,19 +200,19 @@
 #[test]
 fn a_quorum_alone_does_not_grant_in_one_round() {
     let mut acquisition = LeaseAcquisition::new(1, &partition([true; REPLICAS]));
-    acquisition.reply_received(Round::First, NodeIdentity(0), true, &[]);
+    acquisition.record_reply(Round::First, NodeIdentity(0), true, &[]);
     assert_eq!(acquisition.progress(), Progress::Waiting);
-    acquisition.reply_received(Round::First, NodeIdentity(1), true, &[]);
+    acquisition.record_reply(Round::First, NodeIdentity(1), true, &[]);
     assert_eq!(acquisition.progress(), Progress::AtQuorum);
     acquisition.start_second_round();
-    acquisition.reply_received(
+    acquisition.record_reply(
         Round::Second,
         NodeIdentity(1),
         true,
         &[CountEntry { holder: 2, sequence: 1, taken: 9 }],
     );
     assert_eq!(acquisition.progress(), Progress::Waiting);
-    acquisition.reply_received(
+    acquisition.record_reply(
         Round::Second,
         NodeIdentity(2),
         true,
@@ -224,20 +224,20 @@
 #[test]
 fn all_complete_replicas_grant_in_one_round_also_late() {
     let mut acquisition = LeaseAcquisition::new(1, &partition([true; REPLICAS]));
-    (0..2).for_each(|store| acquisition.reply_received(Round::First, NodeIdentity(store), true, &[]));
+    (0..2).for_each(|store| acquisition.record_reply(Round::First, NodeIdentity(store), true, &[]));
     acquisition.start_second_round();
-    acquisition.reply_received(Round::First, NodeIdentity(2), true, &[]);
+    acquisition.record_reply(Round::First, NodeIdentity(2), true, &[]);
     assert_eq!(acquisition.progress(), Progress::Done { others_taken: 0 });
 }
 
 #[test]
 fn an_incomplete_replica_counts_towards_no_quorum() {
     let mut acquisition = LeaseAcquisition::new(1, &partition([true, true, false]));
-    acquisition.reply_received(Round::First, NodeIdentity(0), true, &[]);
-    acquisition.reply_received(Round::First, NodeIdentity(2), true, &[]);
+    acquisition.record_reply(Round::First, NodeIdentity(0), true, &[]);
+    acquisition.record_reply(Round::First, NodeIdentity(2), true, &[]);
     assert_eq!(acquisition.progress(), Progress::Waiting);
     // It may say of itself that it is not complete, though the map says that it is.
-    acquisition.reply_received(Round::First, NodeIdentity(1), false, &[]);
+    acquisition.record_reply(Round::First, NodeIdentity(1), false, &[]);
     assert_eq!(acquisition.progress(), Progress::Waiting);
 }
 
--- a/crates/store-client/tests/model_check.rs
+++ b/crates/store-client/tests/model_check.rs
@@ -1,7 +1,7 @@
-//! Raises of a program's count at small sizes, in every order of events: writes arrive late, again or never, answers are lost,
+//! Raises of a program's count at small bounds, in every order of events: writes arrive late, again or never, replies are lost,
 //! holders give units back, give acquisitions up, or are lost with what they hold.
 //!
-//! An answer that arrives does so at once. A later one would only grant later what others can't see before either way.
+//! A reply that arrives does so at once. A later one would only grant later what others can't see before either way.
 
 use opalrun_model_check::{Model, Outcome, explore};
 use opalrun_store_client::lease_acquisition::{LeaseAcquisition, Progress, Round};
@@ -15,38 +15,38 @@
 const REPLICAS: usize = 3;
 /// Bound on the states that are explored.
 const MAX_STATES: usize = 1_000_000;
-/// States that are explored where all are too many: always, and when larger sizes are asked for.
+/// States that are explored where all are too many: always, and when larger bounds are asked for.
 const NEAREST_STATES: usize = 15_000;
 const LARGE_STATES: usize = 1_500_000;
 
-/// Whether larger sizes are asked for.
+/// Whether larger bounds are asked for.
 fn is_large() -> bool {
     std::env::var_os("OPALRUN_MODEL_CHECK").is_some_and(|value| value == "large")
 }
 
 /// Bounds on what may happen.
 #[derive(Clone)]
-struct Sizes {
+struct Bounds {
     budget: u64,
     /// Acquisitions that each holder begins.
     acquisitions: Vec<u32>,
     /// Whether holders give units back.
-    reduces: bool,
+    holders_reduce: bool,
     /// Whether holders give acquisitions up.
-    cancels: bool,
+    holders_cancel: bool,
     /// The first holder has given units back before, and that may still be on its way.
-    late_return: bool,
+    late_reduction: bool,
     /// Holders that may be lost.
     losses: u32,
     /// Replicas that are complete.
     complete: [bool; REPLICAS],
-    /// A mistake made on purpose.
-    mistake: Option<Mistake>,
+    /// A defect made on purpose.
+    defect: Option<Defect>,
 }
 
 /// Mistakes that the check has to find.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Mistake {
+enum Defect {
     /// Grants as soon as a quorum has the entry, on what was read meanwhile.
     GrantOnWriteQuorum,
     /// Reduces the entry before the units are given up.
@@ -99,7 +99,7 @@
     Lose(usize),
 }
 
-struct Count(Sizes);
+struct Count(Bounds);
 
 impl Count {
     fn partition(&self) -> PartitionReplicas {
@@ -128,7 +128,7 @@
             writes: BTreeSet::new(),
             losses_left: self.0.losses,
         };
-        if self.0.late_return {
+        if self.0.late_reduction {
             Self::write_leased(&mut state, 0);
         }
         state
@@ -157,21 +157,20 @@
     }
 
     /// Whether a replica would take an entry.
-    fn changes(&self, state: &State, write: &Write) -> bool {
+    fn changes_entry(&self, state: &State, write: &Write) -> bool {
         let known = state.replicas[write.replica][write.holder];
-        known.0 < write.sequence
-            || self.0.mistake == Some(Mistake::OlderEntryWins) && known.0 != write.sequence
+        known.0 < write.sequence || self.0.defect == Some(Defect::OlderEntryWins) && known.0 != write.sequence
     }
 
     /// A replica takes an entry, unless it knows a newer one.
     fn store(&self, state: &mut State, write: &Write) {
-        if self.changes(state, write) {
+        if self.changes_entry(state, write) {
             state.replicas[write.replica][write.holder] = (write.sequence, write.taken);
         }
     }
 
     /// Hands a replica's reply to the acquisition that it belongs to, if that is still in progress.
-    fn answer(&self, state: &mut State, write: &Write) {
+    fn deliver_reply(&self, state: &mut State, write: &Write) {
         let entries = state.replicas[write.replica].clone();
         let holder = &mut state.holders[write.holder];
         let Some((acquisition, wanted)) =
@@ -188,17 +187,16 @@
         // Nobody writes an entry with sequence 0.
         let known = entries.iter().enumerate().filter(|(_, (sequence, _))| *sequence > 0);
         let entries: Vec<CountEntry> = known.map(entry).collect();
-        acquisition.reply_received(
+        acquisition.record_reply(
             round,
             NodeIdentity(write.replica as u64),
             self.0.complete[write.replica],
             &entries,
         );
-        if self.0.mistake == Some(Mistake::GrantOnWriteQuorum) && acquisition.progress() == Progress::AtQuorum
-        {
+        if self.0.defect == Some(Defect::GrantOnWriteQuorum) && acquisition.progress() == Progress::AtQuorum {
             acquisition.start_second_round();
             (0..REPLICAS as u64)
-                .for_each(|store| acquisition.reply_received(Round::Second, NodeIdentity(store), true, &[]));
+                .for_each(|store| acquisition.record_reply(Round::Second, NodeIdentity(store), true, &[]));
         }
         let Progress::Done { others_taken } = acquisition.progress() else { return };
         let wanted = *wanted;
@@ -211,7 +209,7 @@
 
     fn reduce(&self, state: &mut State, holder: usize) {
         let known = &mut state.holders[holder];
-        if self.0.mistake == Some(Mistake::ReduceBeforeGivingUp) {
+        if self.0.defect == Some(Defect::ReduceBeforeGivingUp) {
             known.sequence += 1;
             let less = known.leased - 1;
             return Self::send(state, holder, false, less);
@@ -223,23 +221,23 @@
 
 /// More units are granted than the budget has.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct OverBudget {
+struct BudgetExceeded {
     leased: u64,
     budget: u64,
 }
 
-impl fmt::Display for OverBudget {
+impl fmt::Display for BudgetExceeded {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} units are leased of {}", self.leased, self.budget)
     }
 }
 
-impl Error for OverBudget {}
+impl Error for BudgetExceeded {}
 
 impl Model for Count {
     type State = State;
     type Event = Event;
-    type BrokenRule = OverBudget;
+    type BrokenRule = BudgetExceeded;
 
     fn events(&self, state: &State) -> Vec<Event> {
         let mut events = Vec::new();
@@ -251,7 +249,7 @@
                     if acquisition.progress() == Progress::AtQuorum {
                         events.push(Event::SecondRound(number));
                     }
-                    if self.0.cancels {
+                    if self.0.holders_cancel {
                         events.push(Event::Cancel(number));
                     }
                 }
@@ -259,7 +257,7 @@
             // Giving back is worth looking at while others may still be granted it.
             let others_acquire =
                 state.holders.iter().any(|other| other.acquisition.is_some() || other.acquisitions_left > 0);
-            if self.0.reduces && holder.acquisition.is_none() && holder.leased > 0 && others_acquire {
+            if self.0.holders_reduce && holder.acquisition.is_none() && holder.leased > 0 && others_acquire {
                 events.push(Event::Reduce(number));
             }
             if state.losses_left > 0 {
@@ -271,7 +269,7 @@
             if holder.acquisition.is_some() && holder.sequence == write.sequence {
                 events.push(Event::Deliver(*write));
             }
-            if self.changes(state, write) {
+            if self.changes_entry(state, write) {
                 events.push(Event::DeliverWithoutReply(*write));
             }
         }
@@ -290,7 +288,7 @@
             }
             Event::Deliver(write) => {
                 self.store(state, write);
-                self.answer(state, write);
+                self.deliver_reply(state, write);
             }
             Event::DeliverWithoutReply(write) => self.store(state, write),
             Event::Cancel(holder) => {
@@ -302,83 +300,88 @@
                 state.losses_left -= 1;
                 state.holders[*holder].acquisition = None;
                 state.holders[*holder].is_lost = true;
-                if self.0.mistake == Some(Mistake::ForgetLostHolder) {
+                if self.0.defect == Some(Defect::ForgetLostHolder) {
                     state.replicas.iter_mut().for_each(|entries| entries[*holder].1 = 0);
                 }
             }
         }
     }
 
-    fn check(&self, state: &State) -> Result<(), OverBudget> {
+    fn check(&self, state: &State) -> Result<(), BudgetExceeded> {
         // What a lost holder leases may be in use by its turns.
         let leased: u64 = state.holders.iter().map(|holder| holder.leased).sum();
         let budget = self.0.budget;
-        if leased > budget { Err(OverBudget { leased, budget }) } else { Ok(()) }
+        if leased > budget { Err(BudgetExceeded { leased, budget }) } else { Ok(()) }
     }
 }
 
-fn check(sizes: Sizes, max_states: usize) -> Outcome<OverBudget> {
-    let model = Count(sizes);
+fn check(bounds: Bounds, max_states: usize) -> Outcome<BudgetExceeded> {
+    let model = Count(bounds);
     let initial = model.initial();
     let outcome = explore(&model, initial, max_states);
     println!("{} states, {} transitions, depth {}", outcome.states, outcome.transitions, outcome.depth);
     outcome
 }
 
-const SMALL: Sizes = Sizes {
+const SMALL: Bounds = Bounds {
     budget: 1,
     acquisitions: Vec::new(),
-    reduces: false,
-    cancels: false,
-    late_return: false,
+    holders_reduce: false,
+    holders_cancel: false,
+    late_reduction: false,
     losses: 0,
     complete: [true; REPLICAS],
-    mistake: None,
+    defect: None,
 };
 
 /// Explores everything, and expects that no rule is broken.
-fn exhaust(sizes: Sizes) {
-    let outcome = check(sizes, MAX_STATES);
+fn assert_holds_in_all_states(bounds: Bounds) {
+    let outcome = check(bounds, MAX_STATES);
     assert_eq!(outcome.violation, None);
     assert!(outcome.is_exhausted);
 }
 
-fn find(sizes: Sizes, mistake: Mistake) {
-    let outcome = check(Sizes { mistake: Some(mistake), ..sizes }, MAX_STATES);
-    let violation = outcome.violation.unwrap_or_else(|| panic!("{mistake:?} was not found"));
-    println!("{mistake:?}: {} after {:?}", violation.rule, violation.events);
+fn assert_defect_is_found(bounds: Bounds, defect: Defect) {
+    let outcome = check(Bounds { defect: Some(defect), ..bounds }, MAX_STATES);
+    let violation = outcome.violation.unwrap_or_else(|| panic!("{defect:?} was not found"));
+    println!("{defect:?}: {} after {:?}", violation.rule, violation.events);
 }
 
 #[test]
 fn two_holders_that_acquire_once() {
-    exhaust(Sizes { acquisitions: vec![1, 1], ..SMALL });
+    assert_holds_in_all_states(Bounds { acquisitions: vec![1, 1], ..SMALL });
 }
 
 #[test]
 fn two_holders_that_give_back() {
-    exhaust(Sizes { acquisitions: vec![1, 1], reduces: true, cancels: true, ..SMALL });
+    assert_holds_in_all_states(Bounds {
+        acquisitions: vec![1, 1],
+        holders_reduce: true,
+        holders_cancel: true,
+        ..SMALL
+    });
 }
 
 #[test]
 fn two_holders_of_whom_one_is_lost() {
-    exhaust(Sizes { acquisitions: vec![1, 1], losses: 1, ..SMALL });
+    assert_holds_in_all_states(Bounds { acquisitions: vec![1, 1], losses: 1, ..SMALL });
 }
 
 #[test]
 fn an_incomplete_replica() {
-    exhaust(Sizes { acquisitions: vec![1, 1], complete: [true, true, false], ..SMALL });
+    assert_holds_in_all_states(Bounds { acquisitions: vec![1, 1], complete: [true, true, false], ..SMALL });
 }
 
 #[test]
 fn two_holders_and_a_late_return() {
-    exhaust(Sizes { acquisitions: vec![1, 1], late_return: true, ..SMALL });
+    assert_holds_in_all_states(Bounds { acquisitions: vec![1, 1], late_reduction: true, ..SMALL });
 }
 
 /// Too many states to reach all of them: so many of the nearest.
 #[test]
 fn three_holders_to_a_depth() {
     let max_states = if is_large() { LARGE_STATES } else { NEAREST_STATES };
-    let outcome = check(Sizes { budget: 2, acquisitions: vec![1, 1, 1], ..SMALL }, max_states);
+    let outcome = check(Bounds { budget: 2, acquisitions: vec![1, 1, 1], ..SMALL }, max_states);
     assert_eq!(outcome.violation, None);
 }
 
@@ -386,27 +389,36 @@
 #[test]
 fn two_holders_that_acquire_twice() {
     if is_large() {
-        exhaust(Sizes { acquisitions: vec![2, 1], ..SMALL });
-        exhaust(Sizes { acquisitions: vec![2, 1], reduces: true, ..SMALL });
+        assert_holds_in_all_states(Bounds { acquisitions: vec![2, 1], ..SMALL });
+        assert_holds_in_all_states(Bounds { acquisitions: vec![2, 1], holders_reduce: true, ..SMALL });
     }
 }
 
 #[test]
 fn grant_on_write_quorum_is_found() {
-    find(Sizes { budget: 2, acquisitions: vec![1, 1, 1], ..SMALL }, Mistake::GrantOnWriteQuorum);
+    assert_defect_is_found(
+        Bounds { budget: 2, acquisitions: vec![1, 1, 1], ..SMALL },
+        Defect::GrantOnWriteQuorum,
+    );
 }
 
 #[test]
 fn a_forgotten_lost_holder_is_found() {
-    find(Sizes { acquisitions: vec![1, 1], losses: 1, ..SMALL }, Mistake::ForgetLostHolder);
+    assert_defect_is_found(Bounds { acquisitions: vec![1, 1], losses: 1, ..SMALL }, Defect::ForgetLostHolder);
 }
 
 #[test]
 fn reducing_before_giving_up_is_found() {
-    find(Sizes { acquisitions: vec![1, 1], reduces: true, ..SMALL }, Mistake::ReduceBeforeGivingUp);
+    assert_defect_is_found(
+        Bounds { acquisitions: vec![1, 1], holders_reduce: true, ..SMALL },
+        Defect::ReduceBeforeGivingUp,
+    );
 }
 
 #[test]
 fn an_older_entry_that_wins_is_found() {
-    find(Sizes { acquisitions: vec![1, 1], late_return: true, ..SMALL }, Mistake::OlderEntryWins);
+    assert_defect_is_found(
+        Bounds { acquisitions: vec![1, 1], late_reduction: true, ..SMALL },
+        Defect::OlderEntryWins,
+    );
 }
--- a/crates/store/src/draining.rs
+++ b/crates/store/src/draining.rs
@@ -45,7 +45,7 @@
 
 impl Draining {
     /// Control has decided whether the store's partitions are moved to other stores.
-    pub fn decided(&self, is_moving: bool) {
+    pub fn set_decision(&self, is_moving: bool) {
         self.decision.send_replace(Some(if is_moving { Decision::Drain } else { Decision::EndNow }));
     }
 
@@ -58,7 +58,7 @@
         tracing::info!(store = server.identity().0, "store is draining");
         loop {
             let map_changed = server.map_changed();
-            if server.state().map().is_some_and(|map| !names(map, server.identity())) {
+            if server.state().map().is_some_and(|map| !has_placements(map, server.identity())) {
                 return;
             }
             if timeout(REQUEST_PERIOD, map_changed).await.is_err() {
@@ -72,8 +72,8 @@
         let deadline = Instant::now() + DECISION_TIMEOUT;
         while Instant::now() < deadline {
             feed.request_shutdown(identity);
-            let decided = decisions.wait_for(Option::is_some);
-            if let Ok(Ok(decision)) = timeout(REQUEST_TIMEOUT, decided).await {
+            let set_decision = decisions.wait_for(Option::is_some);
+            if let Ok(Ok(decision)) = timeout(REQUEST_TIMEOUT, set_decision).await {
                 return decision.unwrap_or(Decision::EndNow);
             }
         }
@@ -82,6 +82,6 @@
 }
 
 /// Whether any partition is placed on the store.
-fn names(map: &StoreMap, identity: NodeIdentity) -> bool {
+fn has_placements(map: &StoreMap, identity: NodeIdentity) -> bool {
     map.partitions.iter().any(|partition| is_placed_on(partition, identity))
 }
--- a/crates/store/src/identity.rs
+++ b/crates/store/src/identity.rs
@@ -40,7 +40,7 @@
     ///
     /// # Errors
     /// As for [`load`](Self::load), and [`StoreError::Storage`] where the disk can't be written.
-    pub fn load_or_draw(directory: &DataDirectory, bootstrap: bool) -> Result<Self, StoreError> {
+    pub fn load_or_create(directory: &DataDirectory, bootstrap: bool) -> Result<Self, StoreError> {
         if let Some(known) = Self::load(directory)? {
             return Ok(known);
         }
--- a/crates/store/src/journal.rs
+++ b/crates/store/src/journal.rs
@@ -51,7 +51,7 @@
         Self { commands, status }
     }
 
-    /// Hands over records. They are durable once [`synced`](Self::synced) returns for the last of them.
+    /// Hands over records. They are durable once [`wait_synced`](Self::wait_synced) returns for the last of them.
     pub fn write(&self, records: Vec<AlignedVec>) {
         // A thread that has ended has said why in its status.
         let _ = self.commands.send(Command::Write(records));
@@ -73,7 +73,7 @@
     ///
     /// # Errors
     /// The result code with which the disk failed.
-    pub async fn synced(&self, record: u64) -> Result<(), ResultCode> {
+    pub async fn wait_synced(&self, record: u64) -> Result<(), ResultCode> {
         let mut status = self.status.clone();
         let status = status.wait_for(|status| status.synced > record || status.failed.is_some()).await;
         match status.map(|status| status.failed) {
@@ -90,7 +90,7 @@
     }
 
     /// Waits until the disk has failed; returns the result code.
-    pub async fn failed(&self) -> ResultCode {
+    pub async fn wait_failed(&self) -> ResultCode {
         let mut status = self.status.clone();
         let status = status.wait_for(|status| status.failed.is_some()).await;
         status.ok().and_then(|status| status.failed).unwrap_or(ResultCode::DISK_FAILED)
--- a/crates/store/src/process.rs
+++ b/crates/store/src/process.rs
@@ -38,7 +38,7 @@
 pub async fn run(settings: Settings) -> Result<(), StoreError> {
     let data_dir = settings.required_data_dir().context(SettingsSnafu)?;
     let directory = DataDirectory::open(data_dir).context(StorageSnafu)?;
-    let identity = Identity::load_or_draw(&directory, settings.bootstrap)?;
+    let identity = Identity::load_or_create(&directory, settings.bootstrap)?;
     let server = StoreServer::open(&directory, identity.number, store_limits(&settings.limits))?;
     let listener = Listener::bind(settings.peer_address()).await.context(ListenSnafu)?;
     tracing::info!(store = identity.number.0, address = %listener.local_address(), "store started");
@@ -63,7 +63,7 @@
         () = replicator.run() => Ok(()),
         () = report_completed(&feed, completed, identity.number) => Ok(()),
         () = maintain(&server) => Ok(()),
-        code = server.journal().failed() => DiskFailedSnafu { code }.fail(),
+        code = server.journal().wait_failed() => DiskFailedSnafu { code }.fail(),
     }
 }
 
@@ -106,7 +106,7 @@
 fn apply_event(server: &StoreServer, draining: &Draining, event: FeedUpdate) {
     let changes = match event {
         FeedUpdate::Snapshot { changes, .. } | FeedUpdate::Changes { changes, .. } => changes,
-        FeedUpdate::ShutdownDecision { is_moving } => return draining.decided(is_moving),
+        FeedUpdate::ShutdownDecision { is_moving } => return draining.set_decision(is_moving),
         FeedUpdate::Fresh { .. } | FeedUpdate::Suspects(_) | FeedUpdate::Unavailable => return,
     };
     for change in changes {
--- a/crates/store/src/server.rs
+++ b/crates/store/src/server.rs
@@ -3,7 +3,7 @@
 use crate::{
     error::{RecordSnafu, StorageSnafu, StoreError},
     journal::Journal,
-    state::{Handled, PartitionPage, StoreLimits, StoreState},
+    state::{PartitionPage, RequestOutcome, StoreLimits, StoreState},
 };
 use opalrun_storage::{DataDirectory, RecordLog, RecordLogOptions};
 use opalrun_wire::{
@@ -112,10 +112,10 @@
             let changed = self.map_changed.notified();
             let handled = self.handle(&request);
             match handled {
-                Handled::Reply(reply) => return reply,
-                Handled::AfterSync { record, reply } => return self.after_sync(record, reply).await,
-                Handled::NewerEpoch if timeout_at(deadline, changed).await.is_ok() => {}
-                Handled::NewerEpoch => return self.state.borrow().stale_reply(),
+                RequestOutcome::Reply(reply) => return reply,
+                RequestOutcome::AfterSync { record, reply } => return self.after_sync(record, reply).await,
+                RequestOutcome::NewerEpoch if timeout_at(deadline, changed).await.is_ok() => {}
+                RequestOutcome::NewerEpoch => return self.state.borrow().stale_epoch_reply(),
             }
         }
     }
@@ -124,7 +124,7 @@
     pub async fn merge_page(&self, page: PartitionPage) -> bool {
         let record = self.state.borrow_mut().merge_page(page, self.started.elapsed());
         self.submit();
-        self.journal.synced(record).await.is_ok()
+        self.journal.wait_synced(record).await.is_ok()
     }
 
     /// Drops what has expired in some of the partitions, and compacts the log in a small step. To be called every
@@ -147,7 +147,7 @@
         self.journal.drop_before(oldest);
     }
 
-    fn handle(&self, request: &StoreRequest) -> Handled {
+    fn handle(&self, request: &StoreRequest) -> RequestOutcome {
         let status = self.journal.status();
         let mut state = self.state.borrow_mut();
         state.set_disk_status(status.bytes, status.is_full);
@@ -158,7 +158,7 @@
     }
 
     async fn after_sync(&self, record: u64, reply: StoreReply) -> StoreReply {
-        match self.journal.synced(record).await {
+        match self.journal.wait_synced(record).await {
             Ok(()) => reply,
             Err(code) => StoreReply::Failed { code: code.0 },
         }
@@ -167,8 +167,8 @@
     /// Hands new records to the log's thread.
     fn submit(&self) {
         let mut state = self.state.borrow_mut();
-        if state.has_records() {
-            self.journal.write(state.take_records());
+        if state.has_pending_records() {
+            self.journal.write(state.take_pending_records());
         }
     }
 }
@@ -194,7 +194,7 @@
     if let Some((number, source)) = unreadable {
         return Err(source).context(RecordSnafu { number });
     }
-    state.start_at(log.next_record());
+    state.set_next_record(log.next_record());
     state.set_disk_status(log.bytes(), false);
     Ok((state, log))
 }
--- a/crates/store/src/state/compaction.rs
+++ b/crates/store/src/state/compaction.rs
@@ -34,7 +34,7 @@
             return;
         }
         for partition in 0..self.partitions.len() {
-            match self.partitions[partition].take(number) {
+            match self.partitions[partition].remove(number) {
                 Some(item) if item.expires() <= now => {}
                 Some(Item::Program(count)) => {
                     let program = count.program.to_string();
--- a/crates/store/src/state/mod.rs
+++ b/crates/store/src/state/mod.rs
@@ -40,7 +40,7 @@
 
 /// The outcome of a request.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Handled {
+pub enum RequestOutcome {
     /// The reply may be sent at once.
     Reply(StoreReply),
     /// The reply may be sent once this record and all before it are on disk.
@@ -51,7 +51,7 @@
         reply: StoreReply,
     },
     /// The request comes from a newer epoch: handle it again once the map has arrived, or reply
-    /// [`StoreState::stale_reply`] where it does not arrive in time.
+    /// [`StoreState::stale_epoch_reply`] where it does not arrive in time.
     NewerEpoch,
 }
 
@@ -129,7 +129,7 @@
     }
 
     /// Sets the number of the next record, once the log is replayed.
-    pub fn start_at(&mut self, next_record: u64) {
+    pub fn set_next_record(&mut self, next_record: u64) {
         self.next_record = next_record;
     }
 
@@ -147,18 +147,18 @@
 
     /// The reply to a request of an epoch that can't be served.
     #[must_use]
-    pub fn stale_reply(&self) -> StoreReply {
+    pub fn stale_epoch_reply(&self) -> StoreReply {
         StoreReply::StaleEpoch { epoch: self.epoch }
     }
 
     /// Records that are to be written to the log, in order, from number `next_record - len` on.
-    pub fn take_records(&mut self) -> Vec<AlignedVec> {
+    pub fn take_pending_records(&mut self) -> Vec<AlignedVec> {
         std::mem::take(&mut self.pending)
     }
 
     /// Whether records wait to be written.
     #[must_use]
-    pub fn has_records(&self) -> bool {
+    pub fn has_pending_records(&self) -> bool {
         !self.pending.is_empty()
     }
 
--- a/crates/store/src/state/partition.rs
+++ b/crates/store/src/state/partition.rs
@@ -130,7 +130,7 @@
     pub fn put_program(&mut self, number: u64, program: &str, entries: Vec<CountEntry>, expires: Duration) {
         let known = self.programs.get(program).copied();
         if let Some(known) = known {
-            self.take(known);
+            self.remove(known);
         }
         let program: Rc<str> = Rc::from(program);
         self.programs.insert(program.clone(), number);
@@ -142,7 +142,7 @@
     pub fn put_turn(&mut self, number: u64, turn: Turn, expires: Duration) {
         let known = self.turns.get(turn.id.as_str()).copied();
         let known_expires =
-            known.and_then(|known| self.take(known)).map_or(Duration::ZERO, |item| item.expires());
+            known.and_then(|known| self.remove(known)).map_or(Duration::ZERO, |item| item.expires());
         let id: Rc<str> = Rc::from(turn.id.as_str());
         self.turns.insert(id.clone(), number);
         let expires = expires.max(known_expires);
@@ -166,7 +166,7 @@
     }
 
     /// Removes the item at a record and returns it.
-    pub fn take(&mut self, number: u64) -> Option<Item> {
+    pub fn remove(&mut self, number: u64) -> Option<Item> {
         let item = self.items.remove(&number)?;
         self.bytes -= item.bytes();
         match &item {
@@ -181,7 +181,7 @@
         let expired: Vec<u64> =
             self.items.iter().filter(|(_, item)| item.expires() <= now).map(|(number, _)| *number).collect();
         for number in expired {
-            self.take(number);
+            self.remove(number);
         }
     }
 
--- a/crates/store/src/state/requests.rs
+++ b/crates/store/src/state/requests.rs
@@ -1,6 +1,6 @@
 //! Requests of gatekeepers and of other stores.
 
-use super::{Handled, Item, PAGE_BYTES, StoreState, remaining_ms};
+use super::{Item, PAGE_BYTES, RequestOutcome, StoreState, remaining_ms};
 use opalrun_wire::{
     ResultCode,
     feed::{PartitionReplicas, partition_of},
@@ -21,7 +21,7 @@
 
 impl StoreState {
     /// Handles a request at `now`.
-    pub fn handle(&mut self, request: &StoreRequest, now: Duration) -> Handled {
+    pub fn handle(&mut self, request: &StoreRequest, now: Duration) -> RequestOutcome {
         match request {
             StoreRequest::WriteCount { epoch, program, entry } => {
                 let partition = partition_of(program);
@@ -55,18 +55,18 @@
         &mut self,
         epoch: Epoch,
         partition: Partition,
-        serve: impl FnOnce(&mut Self, bool) -> Handled,
-    ) -> Handled {
+        serve: impl FnOnce(&mut Self, bool) -> RequestOutcome,
+    ) -> RequestOutcome {
         match self.check_epoch(epoch, partition) {
             EpochCheck::Current { is_complete } => match serve(self, is_complete) {
                 // Nothing is sent before the epoch in which it is true is on disk.
-                Handled::AfterSync { record, reply } => {
-                    Handled::AfterSync { record: record.max(self.epoch_record), reply }
+                RequestOutcome::AfterSync { record, reply } => {
+                    RequestOutcome::AfterSync { record: record.max(self.epoch_record), reply }
                 }
                 handled => handled,
             },
-            EpochCheck::Newer => Handled::NewerEpoch,
-            EpochCheck::Stale => Handled::Reply(self.stale_reply()),
+            EpochCheck::Newer => RequestOutcome::NewerEpoch,
+            EpochCheck::Stale => RequestOutcome::Reply(self.stale_epoch_reply()),
         }
     }
 
@@ -93,20 +93,26 @@
 
     /// A page may be read from a complete replica, or a former one, that knows the requesting store's epoch or a newer
     /// one: from then on it accepts no write of an older epoch that the transfer could miss.
-    fn copy_partition(&mut self, epoch: Epoch, partition: Partition, cursor: u64, now: Duration) -> Handled {
-        let Some(map) = &self.map else { return Handled::NewerEpoch };
+    fn copy_partition(
+        &mut self,
+        epoch: Epoch,
+        partition: Partition,
+        cursor: u64,
+        now: Duration,
+    ) -> RequestOutcome {
+        let Some(map) = &self.map else { return RequestOutcome::NewerEpoch };
         if epoch > map.epoch {
-            return Handled::NewerEpoch;
+            return RequestOutcome::NewerEpoch;
         }
         let Some(layout) = map.partitions.get(partition.position()) else {
-            return Handled::Reply(self.stale_reply());
+            return RequestOutcome::Reply(self.stale_epoch_reply());
         };
         if !is_source(layout, self.identity) {
-            return Handled::Reply(self.stale_reply());
+            return RequestOutcome::Reply(self.stale_epoch_reply());
         }
         let reply = self.page(partition, cursor, now);
         // The page must be on disk first, so that a restart does not give the numbers of its records to others.
-        Handled::AfterSync { record: self.next_record.saturating_sub(1), reply }
+        RequestOutcome::AfterSync { record: self.next_record.saturating_sub(1), reply }
     }
 
     /// A page of a partition that begins at the record `cursor`.
@@ -130,32 +136,38 @@
         StoreReply::Page { counts, turns, next, is_complete: true }
     }
 
-    fn write_count(&mut self, is_complete: bool, program: &str, entry: CountEntry, now: Duration) -> Handled {
+    fn write_count(
+        &mut self,
+        is_complete: bool,
+        program: &str,
+        entry: CountEntry,
+        now: Duration,
+    ) -> RequestOutcome {
         if let Some(disk_full_reply) = self.disk_full_reply() {
             return disk_full_reply;
         }
         let record = self.merge_count(program, &[entry], now);
         let known = self.partitions[partition_of(program).position()].program(program);
         let entries = known.map(|(_, count)| count.entries.clone()).unwrap_or_default();
-        Handled::AfterSync { record, reply: StoreReply::Count { is_complete, entries } }
+        RequestOutcome::AfterSync { record, reply: StoreReply::Count { is_complete, entries } }
     }
 
-    fn put_turn(&mut self, is_complete: bool, turn: &Turn, now: Duration) -> Handled {
+    fn put_turn(&mut self, is_complete: bool, turn: &Turn, now: Duration) -> RequestOutcome {
         if let Some(disk_full_reply) = self.disk_full_reply() {
             return disk_full_reply;
         }
         if self.live_bytes() >= self.limits.memory_bytes {
-            return Handled::Reply(StoreReply::Failed { code: ResultCode::DISK_FULL.0 });
+            return RequestOutcome::Reply(StoreReply::Failed { code: ResultCode::DISK_FULL.0 });
         }
         let record = self.retain_turn(turn.clone(), keep_ms(turn.retention_ms), now);
-        Handled::AfterSync { record, reply: StoreReply::Stored { is_complete } }
+        RequestOutcome::AfterSync { record, reply: StoreReply::Stored { is_complete } }
     }
 
-    fn get_turn(&self, is_complete: bool, id: &str, now: Duration) -> Handled {
+    fn get_turn(&self, is_complete: bool, id: &str, now: Duration) -> RequestOutcome {
         let retained = self.partitions[partition_of(id).position()].turn(id, now);
         let left_ms = retained.map_or(0, |(_, retained)| remaining_ms(retained.expires, now));
         let turn = retained.map(|(_, retained)| retained.turn.clone());
-        Handled::AfterSync {
+        RequestOutcome::AfterSync {
             record: self.epoch_record,
             reply: StoreReply::Turn { is_complete, turn, left_ms },
         }
@@ -169,18 +181,18 @@
         ids: &[String],
         retention_ms: u64,
         now: Duration,
-    ) -> Handled {
+    ) -> RequestOutcome {
         let expires = now + Duration::from_millis(keep_ms(retention_ms));
         for id in ids {
             self.partitions[partition.position()].extend_turn(id, expires);
         }
-        Handled::AfterSync { record: self.epoch_record, reply: StoreReply::Stored { is_complete } }
+        RequestOutcome::AfterSync { record: self.epoch_record, reply: StoreReply::Stored { is_complete } }
     }
 
     /// The reply to a write where the disk or the log's limit has no room for it.
-    fn disk_full_reply(&self) -> Option<Handled> {
+    fn disk_full_reply(&self) -> Option<RequestOutcome> {
         let is_full = self.is_disk_full || self.log_bytes >= self.limits.disk_bytes;
-        is_full.then_some(Handled::Reply(StoreReply::Failed { code: ResultCode::DISK_FULL.0 }))
+        is_full.then_some(RequestOutcome::Reply(StoreReply::Failed { code: ResultCode::DISK_FULL.0 }))
     }
 }
 
--- a/crates/store/src/transfer/plan.rs
+++ b/crates/store/src/transfer/plan.rs
@@ -30,7 +30,7 @@
     required_sources: usize,
     sources: Vec<Source>,
     /// The source that failed last: those after it are tried before it.
-    failed_last: Option<NodeIdentity>,
+    last_failed: Option<NodeIdentity>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -61,7 +61,7 @@
         stores.dedup();
         let sources = stores.into_iter().map(|store| Source { store, cursor: 0, is_read: false }).collect();
         let required_sources = (partition.replicas.len() + 1).saturating_sub(partition.quorum()).max(1);
-        Self { required_sources, sources, failed_last: None }
+        Self { required_sources, sources, last_failed: None }
     }
 
     /// Whether enough sources were read.
@@ -83,13 +83,13 @@
             return None;
         }
         let mut unread = self.sources.iter().filter(|source| !source.is_read);
-        let after_failed = |source: &&Source| self.failed_last.is_none_or(|failed| source.store > failed);
+        let after_failed = |source: &&Source| self.last_failed.is_none_or(|failed| source.store > failed);
         let source = unread.clone().find(after_failed).or_else(|| unread.next())?;
         Some(NextPage { store: source.store, cursor: source.cursor })
     }
 
     /// A page of a source was merged; its next one begins at `next`, if there is one.
-    pub fn page_received(&mut self, store: NodeIdentity, next: Option<u64>) {
+    pub fn record_page(&mut self, store: NodeIdentity, next: Option<u64>) {
         if let Some(source) = self.sources.iter_mut().find(|source| source.store == store) {
             match next {
                 Some(cursor) => source.cursor = cursor,
@@ -99,8 +99,8 @@
     }
 
     /// A source did not reply: another one is requested from before it is retried.
-    pub fn page_failed(&mut self, store: NodeIdentity) {
-        self.failed_last = Some(store);
+    pub fn record_failure(&mut self, store: NodeIdentity) {
+        self.last_failed = Some(store);
     }
 
     /// Applies a changed placement of the partition. Sources that were read stay read.
@@ -114,7 +114,7 @@
             }
         }
         updated.sources.sort_unstable_by_key(|source| source.store);
-        updated.failed_last = self.failed_last;
+        updated.last_failed = self.last_failed;
         *self = updated;
     }
 }
--- a/crates/store/src/transfer/replicator.rs
+++ b/crates/store/src/transfer/replicator.rs
@@ -228,9 +228,9 @@
             return;
         };
         if let Some(merged) = self.fetch(&map, epoch, page).await {
-            plan.page_received(page.store, merged.next);
+            plan.record_page(page.store, merged.next);
         } else {
-            plan.page_failed(page.store);
+            plan.record_failure(page.store);
             sleep(RETRY_BACKOFF).await;
         }
     }
--- a/crates/store/tests/cluster/counts.rs
+++ b/crates/store/tests/cluster/counts.rs
@@ -1,6 +1,6 @@
 //! Counts of programs.
 
-use crate::harness::{AMPLE, Control, SHORT, TestStore, run, three_stores};
+use crate::harness::{Control, SHORT_TIMEOUT, TEST_TIMEOUT, TestStore, run, three_stores};
 use opalrun_store_client::{CountError, LeaseGrant, StoreClient};
 use opalrun_wire::ids::NodeIdentity;
 
@@ -17,15 +17,24 @@
         control.publish_to_all(&stores.each_ref(), &[&first, &second]);
 
         // When holders acquire units, each sees what the others have taken.
-        assert_eq!(first.acquire_lease("p", 0, 100, AMPLE).await, Ok(LeaseGrant { others_taken: 0 }));
-        assert_eq!(second.acquire_lease("p", 0, 50, AMPLE).await, Ok(LeaseGrant { others_taken: 100 }));
-        assert_eq!(first.acquire_lease("p", 100, 130, AMPLE).await, Ok(LeaseGrant { others_taken: 50 }));
+        assert_eq!(first.acquire_lease("p", 0, 100, TEST_TIMEOUT).await, Ok(LeaseGrant { others_taken: 0 }));
+        assert_eq!(
+            second.acquire_lease("p", 0, 50, TEST_TIMEOUT).await,
+            Ok(LeaseGrant { others_taken: 100 })
+        );
+        assert_eq!(
+            first.acquire_lease("p", 100, 130, TEST_TIMEOUT).await,
+            Ok(LeaseGrant { others_taken: 50 })
+        );
 
         // When one gives units back, the others see that, on this program alone.
         first.reduce_lease("p", 20);
-        assert!(first.flush(AMPLE).await);
-        assert_eq!(second.acquire_lease("p", 50, 60, AMPLE).await, Ok(LeaseGrant { others_taken: 20 }));
-        assert_eq!(second.acquire_lease("q", 0, 1, AMPLE).await, Ok(LeaseGrant { others_taken: 0 }));
+        assert!(first.flush(TEST_TIMEOUT).await);
+        assert_eq!(
+            second.acquire_lease("p", 50, 60, TEST_TIMEOUT).await,
+            Ok(LeaseGrant { others_taken: 20 })
+        );
+        assert_eq!(second.acquire_lease("q", 0, 1, TEST_TIMEOUT).await, Ok(LeaseGrant { others_taken: 0 }));
     });
 }
 
@@ -35,13 +44,13 @@
         let ([one, two, three], control, client) = three_stores().await;
         // Given a lease that two of three stores have.
         drop(one);
-        client.acquire_lease("p", 0, 70, AMPLE).await.unwrap();
+        client.acquire_lease("p", 0, 70, TEST_TIMEOUT).await.unwrap();
 
         // When both restart, then another holder sees it.
         let (two, three) = (two.restart().await, three.restart().await);
         let other = StoreClient::new(12, "zone-1");
         control.publish_to_all(&[&two, &three], &[&other]);
-        assert_eq!(other.acquire_lease("p", 0, 1, AMPLE).await, Ok(LeaseGrant { others_taken: 70 }));
+        assert_eq!(other.acquire_lease("p", 0, 1, TEST_TIMEOUT).await, Ok(LeaseGrant { others_taken: 70 }));
     });
 }
 
@@ -56,16 +65,16 @@
         let control = Control::new(&[&one, &two, &three]);
         let (client, other) = (StoreClient::new(11, "zone-1"), StoreClient::new(12, "zone-1"));
         control.publish_to_all(&[&one, &two, &three], &[&client, &other]);
-        client.acquire_lease("p", 0, 10, AMPLE).await.unwrap();
+        client.acquire_lease("p", 0, 10, TEST_TIMEOUT).await.unwrap();
 
         // When two stores know no map for a while, as after a restart, then one alone is no quorum.
         let (two, three) = (two.restart().await, three.restart().await);
-        assert_eq!(client.acquire_lease("p", 10, 90, SHORT).await, Err(CountError::Unavailable));
+        assert_eq!(client.acquire_lease("p", 10, 90, SHORT_TIMEOUT).await, Err(CountError::Unavailable));
 
         // And once they know it, the entry is as before.
         control.publish_to_all(&[&two, &three], &[]);
-        assert!(client.flush(AMPLE).await);
-        assert_eq!(other.acquire_lease("p", 0, 1, AMPLE).await, Ok(LeaseGrant { others_taken: 10 }));
+        assert!(client.flush(TEST_TIMEOUT).await);
+        assert_eq!(other.acquire_lease("p", 0, 1, TEST_TIMEOUT).await, Ok(LeaseGrant { others_taken: 10 }));
     });
 }
 
@@ -80,11 +89,11 @@
         let control = Control::new(&stores.each_ref());
         let (client, other) = (StoreClient::new(11, "zone-1"), StoreClient::new(12, "zone-1"));
         control.publish_to_all(&stores.each_ref(), &[&client, &other]);
-        client.acquire_lease("p", 0, 5, AMPLE).await.unwrap();
+        client.acquire_lease("p", 0, 5, TEST_TIMEOUT).await.unwrap();
 
         // When the future of an acquisition is dropped,
         {
-            let mut acquisition = std::pin::pin!(client.acquire_lease("p", 5, 500, AMPLE));
+            let mut acquisition = std::pin::pin!(client.acquire_lease("p", 5, 500, TEST_TIMEOUT));
             let first_poll =
                 std::future::poll_fn(|cx| std::task::Poll::Ready(acquisition.as_mut().poll(cx))).await;
             assert!(first_poll.is_pending(), "it can't be done at once");
@@ -94,7 +103,7 @@
             }
         }
         // then another holder soon sees the entry of before.
-        while other.acquire_lease("p", 0, 1, AMPLE).await != Ok(LeaseGrant { others_taken: 5 }) {
+        while other.acquire_lease("p", 0, 1, TEST_TIMEOUT).await != Ok(LeaseGrant { others_taken: 5 }) {
             tokio::task::yield_now().await;
         }
     });
@@ -110,10 +119,10 @@
         ];
         let control = Control::new(&stores.each_ref());
         let client = StoreClient::new(11, "zone-1");
-        assert_eq!(client.acquire_lease("p", 0, 1, SHORT).await, Err(CountError::Unavailable));
+        assert_eq!(client.acquire_lease("p", 0, 1, SHORT_TIMEOUT).await, Err(CountError::Unavailable));
         let acquiring = client.clone();
         let acquisition =
-            tokio::task::spawn_local(async move { acquiring.acquire_lease("p", 0, 1, AMPLE).await });
+            tokio::task::spawn_local(async move { acquiring.acquire_lease("p", 0, 1, TEST_TIMEOUT).await });
         tokio::task::yield_now().await;
         control.publish_to_all(&stores.each_ref(), &[&client]);
         assert_eq!(acquisition.await.unwrap(), Ok(LeaseGrant { others_taken: 0 }));
--- a/crates/store/tests/cluster/harness.rs
+++ b/crates/store/tests/cluster/harness.rs
@@ -18,9 +18,9 @@
 use tokio::sync::{mpsc, oneshot, watch};
 
 /// Long enough for any operation that can succeed.
-pub const AMPLE: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 /// For operations that can't succeed.
-pub const SHORT: Duration = Duration::from_millis(150);
+pub const SHORT_TIMEOUT: Duration = Duration::from_millis(150);
 
 const LIMITS: StoreLimits = StoreLimits { memory_bytes: 100 << 20, disk_bytes: 100 << 20 };
 
@@ -94,7 +94,8 @@
         let is_all = |done: &Vec<CompletedTransfer>| {
             done.len() == usize::from(STORE_PARTITIONS) && done.iter().all(|copy| copy.epoch >= epoch)
         };
-        let copied = tokio::time::timeout(AMPLE, done.wait_for(is_all)).await.expect("a copy ends").unwrap();
+        let copied =
+            tokio::time::timeout(TEST_TIMEOUT, done.wait_for(is_all)).await.expect("a copy ends").unwrap();
         copied.clone()
     }
 }
--- a/crates/store/tests/cluster/partition_transfer.rs
+++ b/crates/store/tests/cluster/partition_transfer.rs
@@ -1,6 +1,6 @@
 //! Partition transfer to stores that lost their disk, are new, or replace a retired one.
 
-use crate::harness::{AMPLE, Control, SHORT, TestStore, run, three_stores, turn};
+use crate::harness::{Control, SHORT_TIMEOUT, TEST_TIMEOUT, TestStore, run, three_stores, turn};
 use opalrun_store_client::{CountError, LeaseGrant, StoreClient};
 use opalrun_wire::ids::NodeIdentity;
 
@@ -8,8 +8,8 @@
 
 async fn write_all(client: &std::rc::Rc<StoreClient>) {
     for number in 0..TURNS {
-        client.put_turn(&turn(&format!("t{number}")), AMPLE).await.unwrap();
-        client.acquire_lease(&format!("p{number}"), 0, 7, AMPLE).await.unwrap();
+        client.put_turn(&turn(&format!("t{number}")), TEST_TIMEOUT).await.unwrap();
+        client.acquire_lease(&format!("p{number}"), 0, 7, TEST_TIMEOUT).await.unwrap();
     }
 }
 
@@ -18,8 +18,8 @@
     control.publish_to_all(stores, &[&client]);
     for number in 0..TURNS {
         let id = format!("t{number}");
-        assert_eq!(client.get_turn(&id, AMPLE).await, Ok(Some(turn(&id))));
-        let acquired = client.acquire_lease(&format!("p{number}"), 0, 0, AMPLE).await;
+        assert_eq!(client.get_turn(&id, TEST_TIMEOUT).await, Ok(Some(turn(&id))));
+        let acquired = client.acquire_lease(&format!("p{number}"), 0, 0, TEST_TIMEOUT).await;
         assert_eq!(acquired, Ok(LeaseGrant { others_taken: 7 }));
     }
 }
@@ -57,7 +57,7 @@
         control.replace(NodeIdentity(3), &three, false);
         drop(two);
         control.publish_to_all(&[&one, &three], &[&client]);
-        assert_eq!(client.acquire_lease("p", 0, 1, SHORT).await, Err(CountError::Unavailable));
+        assert_eq!(client.acquire_lease("p", 0, 1, SHORT_TIMEOUT).await, Err(CountError::Unavailable));
         assert!(three.done().is_empty(), "one source alone is not enough");
     });
 }
--- a/crates/store/tests/cluster/turns.rs
+++ b/crates/store/tests/cluster/turns.rs
@@ -1,6 +1,6 @@
 //! Retained turns.
 
-use crate::harness::{AMPLE, Control, SHORT, TestStore, run, three_stores, turn};
+use crate::harness::{Control, SHORT_TIMEOUT, TEST_TIMEOUT, TestStore, run, three_stores, turn};
 use opalrun_store_client::{StoreClient, TurnError};
 use opalrun_wire::ids::NodeIdentity;
 
@@ -15,10 +15,10 @@
         let control = Control::new(&stores.each_ref());
         let (writer, reader) = (StoreClient::new(11, "zone-1"), StoreClient::new(12, "zone-9"));
         control.publish_to_all(&stores.each_ref(), &[&writer, &reader]);
-        writer.put_turn(&turn("t1"), AMPLE).await.unwrap();
-        writer.put_turn(&turn("t1"), AMPLE).await.unwrap();
-        assert_eq!(reader.get_turn("t1", AMPLE).await, Ok(Some(turn("t1"))));
-        assert_eq!(reader.get_turn("t2", AMPLE).await, Ok(None));
+        writer.put_turn(&turn("t1"), TEST_TIMEOUT).await.unwrap();
+        writer.put_turn(&turn("t1"), TEST_TIMEOUT).await.unwrap();
+        assert_eq!(reader.get_turn("t1", TEST_TIMEOUT).await, Ok(Some(turn("t1"))));
+        assert_eq!(reader.get_turn("t2", TEST_TIMEOUT).await, Ok(None));
     });
 }
 
@@ -27,11 +27,11 @@
     run(async {
         let ([one, two, three], control, client) = three_stores().await;
         drop(one);
-        client.put_turn(&turn("t1"), AMPLE).await.unwrap();
+        client.put_turn(&turn("t1"), TEST_TIMEOUT).await.unwrap();
         let (two, three) = (two.restart().await, three.restart().await);
         control.publish_to_all(&[&two, &three], &[]);
-        assert_eq!(client.get_turn("t1", AMPLE).await, Ok(Some(turn("t1"))));
-        assert_eq!(client.get_turn("t2", AMPLE).await, Ok(None));
+        assert_eq!(client.get_turn("t1", TEST_TIMEOUT).await, Ok(Some(turn("t1"))));
+        assert_eq!(client.get_turn("t2", TEST_TIMEOUT).await, Ok(None));
     });
 }
 
@@ -41,9 +41,9 @@
         let ([_one, two, three], _control, client) = three_stores().await;
         drop(two);
         drop(three);
-        assert_eq!(client.get_turn("t1", SHORT).await, Err(TurnError::Unavailable));
-        assert_eq!(client.put_turn(&turn("t1"), SHORT).await, Err(TurnError::Unavailable));
+        assert_eq!(client.get_turn("t1", SHORT_TIMEOUT).await, Err(TurnError::Unavailable));
+        assert_eq!(client.put_turn(&turn("t1"), SHORT_TIMEOUT).await, Err(TurnError::Unavailable));
         // A turn that is there may be handed on by one store alone.
-        assert_eq!(client.get_turn("t1", AMPLE).await, Ok(Some(turn("t1"))));
+        assert_eq!(client.get_turn("t1", TEST_TIMEOUT).await, Ok(Some(turn("t1"))));
     });
 }
--- a/crates/store/tests/cluster/unresponsive_replicas.rs
+++ b/crates/store/tests/cluster/unresponsive_replicas.rs
@@ -1,6 +1,6 @@
 //! A replica that takes connections and answers nothing, as one that is frozen or partitioned.
 
-use crate::harness::{AMPLE, Control, SHORT, TestStore, run, turn};
+use crate::harness::{Control, SHORT_TIMEOUT, TEST_TIMEOUT, TestStore, run, turn};
 use opalrun_store_client::{CountError, LeaseGrant, StoreClient, TurnError};
 use opalrun_wire::{
     feed::{Replica, StoreNode, StoreState},
@@ -36,14 +36,14 @@
         // The unresponsive one is the nearest.
         let (client, other) = (StoreClient::new(11, "zone-1"), StoreClient::new(12, "zone-1"));
         control.publish_to_all(&stores.each_ref(), &[&client, &other]);
-        client.put_turn(&turn("t"), AMPLE).await.unwrap();
-        assert_eq!(other.get_turn("t", AMPLE).await, Ok(Some(turn("t"))));
-        assert_eq!(other.get_turn("u", AMPLE).await, Ok(None));
-        client.acquire_lease("p", 0, 4, AMPLE).await.unwrap();
-        assert_eq!(other.acquire_lease("p", 0, 3, AMPLE).await, Ok(LeaseGrant { others_taken: 4 }));
+        client.put_turn(&turn("t"), TEST_TIMEOUT).await.unwrap();
+        assert_eq!(other.get_turn("t", TEST_TIMEOUT).await, Ok(Some(turn("t"))));
+        assert_eq!(other.get_turn("u", TEST_TIMEOUT).await, Ok(None));
+        client.acquire_lease("p", 0, 4, TEST_TIMEOUT).await.unwrap();
+        assert_eq!(other.acquire_lease("p", 0, 3, TEST_TIMEOUT).await, Ok(LeaseGrant { others_taken: 4 }));
         client.reduce_lease("p", 1);
-        assert!(client.flush(AMPLE).await);
-        assert_eq!(other.acquire_lease("p", 3, 5, AMPLE).await, Ok(LeaseGrant { others_taken: 1 }));
+        assert!(client.flush(TEST_TIMEOUT).await);
+        assert_eq!(other.acquire_lease("p", 3, 5, TEST_TIMEOUT).await, Ok(LeaseGrant { others_taken: 1 }));
     });
 }
 
@@ -58,9 +58,9 @@
         ];
         let client = StoreClient::new(11, "zone-1");
         control.publish_to_all(&stores.each_ref(), &[&client]);
-        assert_eq!(client.acquire_lease("p", 0, 4, SHORT).await, Err(CountError::Unavailable));
-        assert_eq!(client.put_turn(&turn("t"), SHORT).await, Err(TurnError::Unavailable));
-        assert_eq!(client.get_turn("u", SHORT).await, Err(TurnError::Unavailable));
+        assert_eq!(client.acquire_lease("p", 0, 4, SHORT_TIMEOUT).await, Err(CountError::Unavailable));
+        assert_eq!(client.put_turn(&turn("t"), SHORT_TIMEOUT).await, Err(TurnError::Unavailable));
+        assert_eq!(client.get_turn("u", SHORT_TIMEOUT).await, Err(TurnError::Unavailable));
     });
 }
 
@@ -81,10 +81,10 @@
         control.publish_to_all(&[&one], &[&client]);
         let acquiring = client.clone();
         let acquisition =
-            tokio::task::spawn_local(async move { acquiring.acquire_lease("p", 0, 4, AMPLE).await });
+            tokio::task::spawn_local(async move { acquiring.acquire_lease("p", 0, 4, TEST_TIMEOUT).await });
         let putting = client.clone();
-        let put = tokio::task::spawn_local(async move { putting.put_turn(&turn("t"), AMPLE).await });
-        assert_eq!(client.get_turn("u", SHORT).await, Err(TurnError::Unavailable));
+        let put = tokio::task::spawn_local(async move { putting.put_turn(&turn("t"), TEST_TIMEOUT).await });
+        assert_eq!(client.get_turn("u", SHORT_TIMEOUT).await, Err(TurnError::Unavailable));
         control.add_store(&two);
         control.add_store(&three);
         let replicas: Vec<Replica> =
@@ -93,7 +93,7 @@
         control.publish_to_all(&[&one, &two, &three], &[&client]);
         assert_eq!(acquisition.await.unwrap(), Ok(LeaseGrant { others_taken: 0 }));
         assert_eq!(put.await.unwrap(), Ok(()));
-        assert_eq!(client.get_turn("t", AMPLE).await, Ok(Some(turn("t"))));
+        assert_eq!(client.get_turn("t", TEST_TIMEOUT).await, Ok(Some(turn("t"))));
     });
 }
 
@@ -108,15 +108,15 @@
         let mut control = Control::new(&stores.each_ref());
         let client = StoreClient::new(11, "zone-1");
         control.publish_to_all(&stores.each_ref(), &[&client]);
-        client.acquire_lease("p", 0, 1, AMPLE).await.unwrap();
+        client.acquire_lease("p", 0, 1, TEST_TIMEOUT).await.unwrap();
         // The stores miss the map between, so they take it that everything has moved, though nothing has.
         control.change(|_| {});
         control.change(|_| {});
         control.publish_to_all(&stores.each_ref(), &[]);
-        while client.acquire_lease("p", 1, 1, SHORT).await.is_ok() {}
+        while client.acquire_lease("p", 1, 1, SHORT_TIMEOUT).await.is_ok() {}
         let acquiring = client.clone();
         let acquisition =
-            tokio::task::spawn_local(async move { acquiring.acquire_lease("p", 1, 2, AMPLE).await });
+            tokio::task::spawn_local(async move { acquiring.acquire_lease("p", 1, 2, TEST_TIMEOUT).await });
         tokio::task::yield_now().await;
         control.publish_to_all(&[], &[&client]);
         assert_eq!(acquisition.await.unwrap(), Ok(LeaseGrant { others_taken: 0 }));
--- a/crates/store/tests/disk.rs
+++ b/crates/store/tests/disk.rs
@@ -13,7 +13,7 @@
 const LIMITS: StoreLimits = StoreLimits { memory_bytes: 1 << 30, disk_bytes: 1 << 30 };
 const WRITES: u64 = 12;
 /// A test that waits for longer waits in vain, and fails.
-const AMPLE: Duration = Duration::from_mins(1);
+const TEST_TIMEOUT: Duration = Duration::from_mins(1);
 
 fn directory(disk: &MemoryDisk) -> Result<DataDirectory, opalrun_storage::StorageError> {
     DataDirectory::open_on(Arc::new(disk.clone()), "/data")
@@ -53,7 +53,7 @@
 fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        tokio::time::timeout(AMPLE, test).await.expect("the test ends");
+        tokio::time::timeout(TEST_TIMEOUT, test).await.expect("the test ends");
     });
 }
 
@@ -67,7 +67,7 @@
 /// Starts a store and writes; returns the identity, if it came to be kept, and what was acknowledged.
 async fn write_until_the_end(disk: &MemoryDisk) -> (Option<u64>, Vec<u64>) {
     let Ok(directory) = directory(disk) else { return (None, Vec::new()) };
-    let Ok(identity) = Identity::load_or_draw(&directory, true) else { return (None, Vec::new()) };
+    let Ok(identity) = Identity::load_or_create(&directory, true) else { return (None, Vec::new()) };
     let Ok(server) = StoreServer::open(&directory, identity.number, LIMITS) else {
         return (Some(identity.number.0), Vec::new());
     };
@@ -85,7 +85,7 @@
 
 async fn check(disk: &MemoryDisk, identity: Option<u64>, acknowledged: &[u64]) {
     let directory = directory(disk).unwrap();
-    let found = Identity::load_or_draw(&directory, false).unwrap();
+    let found = Identity::load_or_create(&directory, false).unwrap();
     if let Some(identity) = identity {
         assert_eq!(found, Identity { number: NodeIdentity(identity), bootstrap: true });
     }
--- a/crates/store/tests/golden.rs
+++ b/crates/store/tests/golden.rs
@@ -92,13 +92,13 @@
         // Then it is read as the same identity, which is kept.
         let directory = DataDirectory::open(folder.path()).unwrap();
         assert_eq!(Identity::load(&directory).unwrap(), Some(identity));
-        assert_eq!(Identity::load_or_draw(&directory, !identity.bootstrap).unwrap(), identity);
+        assert_eq!(Identity::load_or_create(&directory, !identity.bootstrap).unwrap(), identity);
     }
     for bootstrap in [false, true] {
         // When this build draws an identity, then its file has the same layout.
         let folder = tempfile::tempdir().unwrap();
         let directory = DataDirectory::open(folder.path()).unwrap();
-        let drawn = Identity::load_or_draw(&directory, bootstrap).unwrap();
+        let drawn = Identity::load_or_create(&directory, bootstrap).unwrap();
         assert_eq!(drawn.bootstrap, bootstrap);
         assert_eq!(fs::read(folder.path().join("identity")).unwrap(), identity_file(drawn));
     }
@@ -133,7 +133,7 @@
     let directory = DataDirectory::open(folder).unwrap();
     let server = StoreServer::open(&directory, IDENTITY.number, LIMITS).unwrap();
     server.set_map(store_map());
-    server.journal().synced(0).await.unwrap();
+    server.journal().wait_synced(0).await.unwrap();
     for request in [
         write_count("program-1", entry(11, 1, 4)),
         write_count("program-1", entry(12, 1, 9)),
@@ -212,14 +212,14 @@
         assert_eq!(inspect(&directory).unwrap(), StoreOnDisk { log_bytes, ..expected_on_disk() });
 
         // And a store that starts on it answers from it.
-        let identity = Identity::load_or_draw(&directory, false).unwrap();
+        let identity = Identity::load_or_create(&directory, false).unwrap();
         assert_eq!(identity, IDENTITY);
         let server = StoreServer::open(&directory, identity.number, LIMITS).unwrap();
         assert_eq!(server.state().epoch(), Epoch(EPOCH));
         let older = Rc::new(StoreMap { epoch: Epoch(EPOCH - 1), ..(*store_map()).clone() });
         assert!(!server.set_map(older), "an epoch before the one learned");
         assert!(server.set_map(store_map()));
-        assert!(!server.state().has_records(), "the epoch is known by the log");
+        assert!(!server.state().has_pending_records(), "the epoch is known by the log");
         let counts = |entries| StoreReply::Count { is_complete: true, entries };
         assert_eq!(
             server.serve(write_count("program-1", entry(11, 3, 2))).await,
--- a/crates/store/tests/model/node.rs
+++ b/crates/store/tests/model/node.rs
@@ -1,7 +1,7 @@
 //! A store with a disk that loses what was not synced.
 
 use opalrun_store::{
-    state::{Handled, PartitionPage, StoreLimits, StoreState},
+    state::{PartitionPage, RequestOutcome, StoreLimits, StoreState},
     transfer::TransferPlan,
 };
 use opalrun_wire::{
@@ -26,7 +26,7 @@
 pub struct Node {
     pub identity: NodeIdentity,
     pub state: StoreState,
-    pub copies: BTreeMap<Partition, RunningTransfer>,
+    pub transfers: BTreeMap<Partition, RunningTransfer>,
     disk: Vec<Vec<u8>>,
     unsynced: Vec<Vec<u8>>,
     waiting: Vec<(u64, Requester, StoreReply)>,
@@ -45,7 +45,7 @@
         Self {
             identity,
             state: StoreState::new(identity, LIMITS),
-            copies: BTreeMap::new(),
+            transfers: BTreeMap::new(),
             disk: Vec::new(),
             unsynced: Vec::new(),
             waiting: Vec::new(),
@@ -56,19 +56,19 @@
     pub fn restart(&mut self) {
         self.unsynced.clear();
         self.waiting.clear();
-        self.copies.clear();
+        self.transfers.clear();
         self.state = StoreState::new(self.identity, LIMITS);
         for (number, record) in self.disk.iter().enumerate() {
             self.state.replay(number as u64, record, NOW).unwrap();
         }
-        self.state.start_at(self.disk.len() as u64);
+        self.state.set_next_record(self.disk.len() as u64);
     }
 
     pub fn set_map(&mut self, map: &Rc<StoreMap>) {
         self.state.set_map(map.clone());
         self.collect();
         let needed = self.state.required_transfers();
-        self.copies.retain(|partition, copy| {
+        self.transfers.retain(|partition, copy| {
             needed
                 .iter()
                 .any(|needed| needed.partition == *partition && needed.replicas_since == copy.replicas_since)
@@ -80,13 +80,13 @@
         let handled = self.state.handle(request, NOW);
         self.collect();
         match handled {
-            Handled::Reply(reply) => Some(reply),
-            Handled::AfterSync { record, reply } if record < self.disk.len() as u64 => Some(reply),
-            Handled::AfterSync { record, reply } => {
+            RequestOutcome::Reply(reply) => Some(reply),
+            RequestOutcome::AfterSync { record, reply } if record < self.disk.len() as u64 => Some(reply),
+            RequestOutcome::AfterSync { record, reply } => {
                 self.waiting.push((record, requester, reply));
                 None
             }
-            Handled::NewerEpoch => Some(self.state.stale_reply()),
+            RequestOutcome::NewerEpoch => Some(self.state.stale_epoch_reply()),
         }
     }
 
@@ -101,13 +101,13 @@
         out.into_iter().map(|(_, requester, reply)| (requester, reply)).collect()
     }
 
-    /// Begins copies that are needed of these partitions.
+    /// Begins transfers that are needed of these partitions.
     pub fn start_transfers(&mut self, partitions: &[Partition]) {
         let Some(map) = self.state.map().cloned() else { return };
         for needed in self.state.required_transfers() {
             if partitions.contains(&needed.partition) {
                 let layout = &map.partitions[needed.partition.position()];
-                self.copies.entry(needed.partition).or_insert_with(|| RunningTransfer {
+                self.transfers.entry(needed.partition).or_insert_with(|| RunningTransfer {
                     epoch: map.epoch,
                     replicas_since: needed.replicas_since,
                     plan: TransferPlan::new(layout, self.identity),
@@ -120,24 +120,24 @@
     /// Takes in a page of a copy.
     pub fn take_page(&mut self, partition: Partition, epoch: Epoch, source: NodeIdentity, reply: StoreReply) {
         let StoreReply::Page { counts, turns, next, is_complete: true } = reply else { return };
-        if self.copies.get(&partition).is_none_or(|copy| copy.epoch != epoch) {
+        if self.transfers.get(&partition).is_none_or(|copy| copy.epoch != epoch) {
             return;
         }
         let record = self.state.merge_page(PartitionPage::from_wire(counts, turns), NOW);
         self.collect();
-        if let Some(copy) = self.copies.get_mut(&partition) {
-            copy.plan.page_received(source, next);
+        if let Some(copy) = self.transfers.get_mut(&partition) {
+            copy.plan.record_page(source, next);
             copy.last_record = record;
         }
     }
 
-    /// The epoch of the oldest of the copies, once all of these partitions are copied and synced.
-    pub fn copied_in(&self, partitions: &[Partition]) -> Option<Epoch> {
+    /// The epoch of the oldest of the transfers, once all of these partitions are copied and synced.
+    pub fn transferred_epoch(&self, partitions: &[Partition]) -> Option<Epoch> {
         let synced = self.disk.len() as u64;
         let done = |copy: &&RunningTransfer| copy.plan.is_complete() && copy.last_record < synced;
         let epochs: Vec<Epoch> = partitions
             .iter()
-            .filter_map(|partition| self.copies.get(partition).filter(done).map(|copy| copy.epoch))
+            .filter_map(|partition| self.transfers.get(partition).filter(done).map(|copy| copy.epoch))
             .collect();
         (epochs.len() == partitions.len()).then(|| epochs.into_iter().min().unwrap_or_default())
     }
@@ -149,6 +149,6 @@
     }
 
     fn collect(&mut self) {
-        self.unsynced.extend(self.state.take_records().iter().map(|record| record.to_vec()));
+        self.unsynced.extend(self.state.take_pending_records().iter().map(|record| record.to_vec()));
     }
 }
--- a/crates/store/tests/model/world.rs
+++ b/crates/store/tests/model/world.rs
@@ -231,7 +231,7 @@
             return;
         };
         let round = if second_round { Round::Second } else { Round::First };
-        pending.acquisition.reply_received(round, from, is_complete, entries);
+        pending.acquisition.record_reply(round, from, is_complete, entries);
         let Progress::Done { others_taken } = pending.acquisition.progress() else { return };
         let wanted = pending.entry.taken;
         state.pending = None;
@@ -358,14 +358,14 @@
     /// A store that catches up asks for its next pages.
     fn request_pages(&mut self) {
         for node in &mut self.nodes {
-            for (partition, copy) in &mut node.copies {
+            for (partition, copy) in &mut node.transfers {
                 let Some(page) = copy.plan.next_page() else { continue };
                 let (partition, epoch) = (*partition, copy.epoch);
                 let requester = Requester::Copy { store: node.identity, partition, epoch };
                 let request = StoreRequest::CopyPartition { epoch, partition, cursor: page.cursor };
                 self.requests.push((page.store, requester, request));
                 // Another source is asked as well before long, as one may be down.
-                copy.plan.page_failed(page.store);
+                copy.plan.record_failure(page.store);
             }
         }
     }
@@ -374,7 +374,7 @@
     fn mark_complete(&mut self) {
         let copied = self.nodes.iter().find_map(|node| {
             let is_incomplete = |replica: &Replica| replica.store == node.identity && !replica.is_complete;
-            let epoch = node.copied_in(&used_partitions())?;
+            let epoch = node.transferred_epoch(&used_partitions())?;
             let is_waiting = self.map().partitions[0].replicas.iter().any(is_incomplete);
             (is_waiting && epoch >= self.replicas_changed_in).then_some(node.identity)
         });
--- a/crates/store/tests/process.rs
+++ b/crates/store/tests/process.rs
@@ -28,7 +28,7 @@
     task::JoinHandle,
 };
 
-const AMPLE: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 /// How often stores hear that what they know is fresh.
 const FRESH_PERIOD: Duration = Duration::from_millis(100);
 /// The ports of the first test's machines, below those that the system gives out by itself.
@@ -71,7 +71,7 @@
 }
 
 /// Stops tokio's clock for as long as it lives, so that no time-out runs out however late the machine gives the test a
-/// processor. After [`AMPLE`] the clock goes on by itself, and a test that waits in vain fails.
+/// processor. After [`TEST_TIMEOUT`] the clock goes on by itself, and a test that waits in vain fails.
 struct StoppedClock {
     _resume: mpsc::Sender<()>,
 }
@@ -81,7 +81,7 @@
         tokio::time::pause();
         let (resume, resumed) = mpsc::channel::<()>();
         // A paused clock does not advance while a blocking task runs.
-        tokio::task::spawn_blocking(move || resumed.recv_timeout(AMPLE));
+        tokio::task::spawn_blocking(move || resumed.recv_timeout(TEST_TIMEOUT));
         Self { _resume: resume }
     }
 }
@@ -273,13 +273,13 @@
 async fn call(store: &StoreNode, request: StoreRequest) -> StoreReply {
     let client: Rc<RpcClient<StoreRequest, StoreReply>> =
         RpcClient::new("store", store.address.parse().unwrap());
-    client.call(&request, AMPLE).await.unwrap()
+    client.call(&request, TEST_TIMEOUT).await.unwrap()
 }
 
 fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        tokio::time::timeout(AMPLE, test).await.expect("the test ends");
+        tokio::time::timeout(TEST_TIMEOUT, test).await.expect("the test ends");
     });
 }
 
--- a/crates/store/tests/state.rs
+++ b/crates/store/tests/state.rs
@@ -1,6 +1,8 @@
 //! The store's state machine, one matter at a time.
 
-use opalrun_store::state::{COUNT_RETENTION, Handled, PAGE_BYTES, PartitionPage, StoreLimits, StoreState};
+use opalrun_store::state::{
+    COUNT_RETENTION, PAGE_BYTES, PartitionPage, RequestOutcome, StoreLimits, StoreState,
+};
 use opalrun_wire::{
     ResultCode,
     feed::{PartitionReplicas, Replica, STORE_PARTITIONS, StoreMap, partition_of},
@@ -11,7 +13,7 @@
 
 const LIMITS: StoreLimits = StoreLimits { memory_bytes: 1 << 30, disk_bytes: 1 << 30 };
 const START: Duration = Duration::from_secs(5);
-const SELF: u64 = 1;
+const OWN_STORE: u64 = 1;
 
 fn replica(store: u64, is_complete: bool) -> Replica {
     Replica { store: NodeIdentity(store), is_complete }
@@ -30,11 +32,11 @@
 }
 
 fn complete_map(epoch: u64) -> Rc<StoreMap> {
-    map(epoch, &[replica(SELF, true), replica(2, true), replica(3, true)], &[])
+    map(epoch, &[replica(OWN_STORE, true), replica(2, true), replica(3, true)], &[])
 }
 
 fn state() -> StoreState {
-    let mut state = StoreState::new(NodeIdentity(SELF), LIMITS);
+    let mut state = StoreState::new(NodeIdentity(OWN_STORE), LIMITS);
     state.set_map(complete_map(4));
     state
 }
@@ -66,19 +68,19 @@
     }
 }
 
-fn reply(handled: Handled) -> StoreReply {
+fn reply(handled: RequestOutcome) -> StoreReply {
     match handled {
-        Handled::Reply(reply) | Handled::AfterSync { reply, .. } => reply,
-        Handled::NewerEpoch => panic!("the epoch is unknown"),
+        RequestOutcome::Reply(reply) | RequestOutcome::AfterSync { reply, .. } => reply,
+        RequestOutcome::NewerEpoch => panic!("the epoch is unknown"),
     }
 }
 
-fn is_there(state: &mut StoreState, id: &str, now: Duration) -> bool {
+fn has_turn(state: &mut StoreState, id: &str, now: Duration) -> bool {
     let epoch = state.epoch();
     matches!(reply(state.handle(&get(epoch.0, id), now)), StoreReply::Turn { turn: Some(_), .. })
 }
 
-fn entries(handled: Handled) -> Vec<CountEntry> {
+fn entries(handled: RequestOutcome) -> Vec<CountEntry> {
     match reply(handled) {
         StoreReply::Count { entries, .. } => entries,
         other => panic!("no count: {other:?}"),
@@ -87,16 +89,16 @@
 
 /// The state after a restart at `now` with everything on disk.
 fn restarted(records: &[Vec<u8>], now: Duration) -> StoreState {
-    let mut state = StoreState::new(NodeIdentity(SELF), LIMITS);
+    let mut state = StoreState::new(NodeIdentity(OWN_STORE), LIMITS);
     for (number, record) in records.iter().enumerate() {
         state.replay(number as u64, record, now).unwrap();
     }
-    state.start_at(records.len() as u64);
+    state.set_next_record(records.len() as u64);
     state
 }
 
 fn records(state: &mut StoreState) -> Vec<Vec<u8>> {
-    state.take_records().iter().map(|record| record.to_vec()).collect()
+    state.take_pending_records().iter().map(|record| record.to_vec()).collect()
 }
 
 #[test]
@@ -104,17 +106,23 @@
     let mut state = state();
     assert!(state.set_map(complete_map(5)));
     assert!(matches!(reply(state.handle(&put(4, "t"), START)), StoreReply::Stored { is_complete: true }));
-    assert!(state.set_map(map(6, &[replica(SELF, true), replica(2, true), replica(9, false)], &[3])));
-    assert_eq!(state.handle(&put(5, "t"), START), Handled::Reply(StoreReply::StaleEpoch { epoch: Epoch(6) }));
+    assert!(state.set_map(map(6, &[replica(OWN_STORE, true), replica(2, true), replica(9, false)], &[3])));
+    assert_eq!(
+        state.handle(&put(5, "t"), START),
+        RequestOutcome::Reply(StoreReply::StaleEpoch { epoch: Epoch(6) })
+    );
     assert!(matches!(reply(state.handle(&put(6, "t"), START)), StoreReply::Stored { is_complete: true }));
-    assert_eq!(state.handle(&put(7, "t"), START), Handled::NewerEpoch);
+    assert_eq!(state.handle(&put(7, "t"), START), RequestOutcome::NewerEpoch);
 }
 
 #[test]
 fn without_the_map_before_every_partition_counts_as_moved() {
     let mut state = state();
     state.set_map(complete_map(9));
-    assert_eq!(state.handle(&put(8, "t"), START), Handled::Reply(StoreReply::StaleEpoch { epoch: Epoch(9) }));
+    assert_eq!(
+        state.handle(&put(8, "t"), START),
+        RequestOutcome::Reply(StoreReply::StaleEpoch { epoch: Epoch(9) })
+    );
 }
 
 #[test]
@@ -124,20 +132,23 @@
     let mut state = restarted(&records(&mut state), START);
     assert_eq!(state.epoch(), Epoch(5));
     assert!(!state.set_map(complete_map(4)), "an older map does not count any more");
-    assert_eq!(state.handle(&put(5, "t"), START), Handled::NewerEpoch);
+    assert_eq!(state.handle(&put(5, "t"), START), RequestOutcome::NewerEpoch);
     assert!(state.set_map(complete_map(5)));
-    assert_eq!(state.handle(&put(4, "t"), START), Handled::Reply(StoreReply::StaleEpoch { epoch: Epoch(5) }));
+    assert_eq!(
+        state.handle(&put(4, "t"), START),
+        RequestOutcome::Reply(StoreReply::StaleEpoch { epoch: Epoch(5) })
+    );
 }
 
 #[test]
 fn no_reply_is_sent_before_its_epoch_is_on_disk() {
     let mut state = state();
-    let Handled::AfterSync { record: first, .. } = state.handle(&put(4, "t"), START) else { panic!() };
+    let RequestOutcome::AfterSync { record: first, .. } = state.handle(&put(4, "t"), START) else { panic!() };
     state.set_map(complete_map(5));
     let epoch_record = state.next_record() - 1;
     assert!(first < epoch_record);
     for request in [put(5, "t"), get(5, "t"), get(5, "other")] {
-        let Handled::AfterSync { record, .. } = state.handle(&request, START) else { panic!() };
+        let RequestOutcome::AfterSync { record, .. } = state.handle(&request, START) else { panic!() };
         assert!(record >= epoch_record);
     }
 }
@@ -146,27 +157,30 @@
 fn partitions_placed_elsewhere_are_neither_served_nor_stored() {
     let mut state = state();
     state.handle(&put(4, "t"), START);
-    state.set_map(map(5, &[replica(2, true), replica(3, true), replica(4, false)], &[SELF]));
+    state.set_map(map(5, &[replica(2, true), replica(3, true), replica(4, false)], &[OWN_STORE]));
     assert!(state.live_bytes() > 0, "a source keeps what it has");
-    assert_eq!(state.handle(&put(5, "t"), START), Handled::Reply(StoreReply::StaleEpoch { epoch: Epoch(5) }));
+    assert_eq!(
+        state.handle(&put(5, "t"), START),
+        RequestOutcome::Reply(StoreReply::StaleEpoch { epoch: Epoch(5) })
+    );
     let copy = StoreRequest::CopyPartition { epoch: Epoch(5), partition: partition_of("t"), cursor: 0 };
     assert!(matches!(reply(state.handle(&copy, START)), StoreReply::Page { next: None, .. }));
     state.set_map(map(6, &[replica(2, true), replica(3, true), replica(4, true)], &[]));
     assert_eq!(state.live_bytes(), 0);
-    assert_eq!(state.handle(&copy, START), Handled::Reply(StoreReply::StaleEpoch { epoch: Epoch(6) }));
+    assert_eq!(state.handle(&copy, START), RequestOutcome::Reply(StoreReply::StaleEpoch { epoch: Epoch(6) }));
 }
 
 #[test]
 fn an_incomplete_replica_says_so_and_is_no_source() {
-    let mut state = StoreState::new(NodeIdentity(SELF), LIMITS);
-    state.set_map(map(2, &[replica(SELF, false), replica(2, true), replica(3, true)], &[]));
+    let mut state = StoreState::new(NodeIdentity(OWN_STORE), LIMITS);
+    state.set_map(map(2, &[replica(OWN_STORE, false), replica(2, true), replica(3, true)], &[]));
     assert_eq!(reply(state.handle(&put(2, "t"), START)), StoreReply::Stored { is_complete: false });
     assert!(matches!(
         reply(state.handle(&get(2, "u"), START)),
         StoreReply::Turn { is_complete: false, turn: None, .. }
     ));
     let copy = StoreRequest::CopyPartition { epoch: Epoch(2), partition: Partition(0), cursor: 0 };
-    assert_eq!(state.handle(&copy, START), Handled::Reply(StoreReply::StaleEpoch { epoch: Epoch(2) }));
+    assert_eq!(state.handle(&copy, START), RequestOutcome::Reply(StoreReply::StaleEpoch { epoch: Epoch(2) }));
     assert_eq!(state.required_transfers().len(), usize::from(STORE_PARTITIONS));
 }
 
@@ -176,8 +190,8 @@
     let mut state = state();
     state.handle(&put(4, "t"), START);
     let copy = StoreRequest::CopyPartition { epoch: Epoch(5), partition: partition_of("t"), cursor: 0 };
-    assert_eq!(state.handle(&copy, START), Handled::NewerEpoch);
-    state.set_map(map(5, &[replica(SELF, true), replica(2, true), replica(4, false)], &[]));
+    assert_eq!(state.handle(&copy, START), RequestOutcome::NewerEpoch);
+    state.set_map(map(5, &[replica(OWN_STORE, true), replica(2, true), replica(4, false)], &[]));
     assert!(matches!(reply(state.handle(&copy, START)), StoreReply::Page { .. }));
 }
 
@@ -200,9 +214,11 @@
 #[test]
 fn a_retried_write_waits_for_the_first_and_writes_nothing() {
     let mut state = state();
-    let Handled::AfterSync { record, .. } = state.handle(&count(4, 7, 1, 50), START) else { panic!() };
+    let RequestOutcome::AfterSync { record, .. } = state.handle(&count(4, 7, 1, 50), START) else { panic!() };
     let next = state.next_record();
-    let Handled::AfterSync { record: again, .. } = state.handle(&count(4, 7, 1, 50), START) else { panic!() };
+    let RequestOutcome::AfterSync { record: again, .. } = state.handle(&count(4, 7, 1, 50), START) else {
+        panic!()
+    };
     assert_eq!((again, state.next_record()), (record, next));
 }
 
@@ -212,8 +228,8 @@
     state.handle(&put(4, "t"), START);
     state.handle(&count(4, 7, 1, 50), START);
     let kept = Duration::from_millis(keep_ms(60_000));
-    assert!(is_there(&mut state, "t", START + Duration::from_millis(keep_ms(60_000) - 1)));
-    assert!(!is_there(&mut state, "t", START + kept));
+    assert!(has_turn(&mut state, "t", START + Duration::from_millis(keep_ms(60_000) - 1)));
+    assert!(!has_turn(&mut state, "t", START + kept));
     (0..STORE_PARTITIONS).for_each(|partition| state.expire(Partition(partition), START + kept));
     assert!(state.live_bytes() > 0, "the count is kept longer");
     (0..STORE_PARTITIONS).for_each(|partition| state.expire(Partition(partition), START + COUNT_RETENTION));
@@ -230,7 +246,7 @@
     let ids = vec!["t".to_owned(), "unknown".to_owned()];
     let extend = StoreRequest::ExtendTurns { epoch: Epoch(4), partition, ids, retention_ms: 60_000 };
     assert_eq!(reply(state.handle(&extend, later)), StoreReply::Stored { is_complete: true });
-    assert!(is_there(&mut state, "t", later + Duration::from_millis(keep_ms(60_000) - 1)));
+    assert!(has_turn(&mut state, "t", later + Duration::from_millis(keep_ms(60_000) - 1)));
 }
 
 #[test]
@@ -241,7 +257,7 @@
     let later = Duration::from_secs(1000);
     let mut state = restarted(&records, later);
     state.set_map(complete_map(4));
-    assert!(is_there(&mut state, "t", later + Duration::from_millis(keep_ms(60_000) - 1)));
+    assert!(has_turn(&mut state, "t", later + Duration::from_millis(keep_ms(60_000) - 1)));
 }
 
 #[test]
@@ -286,7 +302,7 @@
     source.handle(&put(4, "t"), START);
     source.handle(&count(4, 7, 3, 50), START);
     let mut copy = StoreState::new(NodeIdentity(9), LIMITS);
-    copy.set_map(map(4, &[replica(SELF, true), replica(2, true), replica(9, false)], &[]));
+    copy.set_map(map(4, &[replica(OWN_STORE, true), replica(2, true), replica(9, false)], &[]));
     copy.handle(&count(4, 7, 2, 80), START);
     copy.handle(&count(4, 8, 1, 1), START);
     for partition in [partition_of("t"), partition_of("p")] {
@@ -295,7 +311,7 @@
         let record = copy.merge_page(PartitionPage::from_wire(counts, turns), START);
         assert_eq!(record, copy.next_record() - 1);
     }
-    assert!(is_there(&mut copy, "t", START));
+    assert!(has_turn(&mut copy, "t", START));
     let found = entries(copy.handle(&count(4, 8, 1, 1), START));
     assert!(found.contains(&CountEntry { holder: 7, sequence: 3, taken: 50 }));
     assert_eq!(found.len(), 2);
@@ -319,20 +335,21 @@
 
 #[test]
 fn a_full_store_rejects_writes_and_serves_reads() {
-    let mut state = StoreState::new(NodeIdentity(SELF), StoreLimits { memory_bytes: 1000, disk_bytes: 1000 });
+    let mut state =
+        StoreState::new(NodeIdentity(OWN_STORE), StoreLimits { memory_bytes: 1000, disk_bytes: 1000 });
     state.set_map(complete_map(4));
-    let full = Handled::Reply(StoreReply::Failed { code: ResultCode::DISK_FULL.0 });
+    let full = RequestOutcome::Reply(StoreReply::Failed { code: ResultCode::DISK_FULL.0 });
     let large = StoreRequest::PutTurn { epoch: Epoch(4), turn: turn("large", 1000) };
-    assert!(matches!(state.handle(&large, START), Handled::AfterSync { .. }));
+    assert!(matches!(state.handle(&large, START), RequestOutcome::AfterSync { .. }));
     assert_eq!(state.handle(&put(4, "t"), START), full);
-    assert!(matches!(state.handle(&count(4, 7, 1, 1), START), Handled::AfterSync { .. }));
+    assert!(matches!(state.handle(&count(4, 7, 1, 1), START), RequestOutcome::AfterSync { .. }));
     state.set_disk_status(1000, false);
     assert_eq!(state.handle(&count(4, 7, 2, 1), START), full);
-    assert!(is_there(&mut state, "large", START));
+    assert!(has_turn(&mut state, "large", START));
     state.set_disk_status(999, true);
     assert_eq!(state.handle(&count(4, 7, 2, 1), START), full);
     state.set_disk_status(999, false);
-    assert!(matches!(state.handle(&count(4, 7, 2, 1), START), Handled::AfterSync { .. }));
+    assert!(matches!(state.handle(&count(4, 7, 2, 1), START), RequestOutcome::AfterSync { .. }));
 }
 
 #[test]
@@ -341,18 +358,24 @@
     for partition in [STORE_PARTITIONS, u16::MAX] {
         let copy =
             StoreRequest::CopyPartition { epoch: Epoch(4), partition: Partition(partition), cursor: 0 };
-        assert_eq!(state.handle(&copy, START), Handled::Reply(StoreReply::StaleEpoch { epoch: Epoch(4) }));
+        assert_eq!(
+            state.handle(&copy, START),
+            RequestOutcome::Reply(StoreReply::StaleEpoch { epoch: Epoch(4) })
+        );
         let extend = StoreRequest::ExtendTurns {
             epoch: Epoch(4),
             partition: Partition(partition),
             ids: Vec::new(),
             retention_ms: 1,
         };
-        assert_eq!(state.handle(&extend, START), Handled::Reply(StoreReply::StaleEpoch { epoch: Epoch(4) }));
+        assert_eq!(
+            state.handle(&extend, START),
+            RequestOutcome::Reply(StoreReply::StaleEpoch { epoch: Epoch(4) })
+        );
     }
 }
 
 #[test]
 fn a_record_that_can_not_be_decoded_is_an_error() {
-    assert!(StoreState::new(NodeIdentity(SELF), LIMITS).replay(0, &[1, 2, 3], START).is_err());
+    assert!(StoreState::new(NodeIdentity(OWN_STORE), LIMITS).replay(0, &[1, 2, 3], START).is_err());
 }
--- a/crates/store/tests/transfer_plan.rs
+++ b/crates/store/tests/transfer_plan.rs
@@ -6,7 +6,7 @@
     ids::NodeIdentity,
 };
 
-const SELF: u64 = 50;
+const OWN_STORE: u64 = 50;
 
 /// A partition with this store in it, not complete; others as given.
 fn partition(complete: &[u64], incomplete: &[u64], sources: &[u64]) -> PartitionReplicas {
@@ -15,7 +15,7 @@
         .iter()
         .map(replica(true))
         .chain(incomplete.iter().map(replica(false)))
-        .chain([Replica { store: NodeIdentity(SELF), is_complete: false }])
+        .chain([Replica { store: NodeIdentity(OWN_STORE), is_complete: false }])
         .collect();
     PartitionReplicas { replicas, sources: sources.iter().copied().map(NodeIdentity).collect() }
 }
@@ -26,9 +26,9 @@
     for _ in 0..50 {
         let Some(NextPage { store, .. }) = plan.next_page() else { break };
         if down.contains(&store.0) {
-            plan.page_failed(store);
+            plan.record_failure(store);
         } else {
-            plan.page_received(store, None);
+            plan.record_page(store, None);
             read.push(store.0);
         }
     }
@@ -37,35 +37,35 @@
 
 #[test]
 fn with_three_replicas_two_others_are_read() {
-    let mut plan = TransferPlan::new(&partition(&[1, 2], &[], &[]), NodeIdentity(SELF));
+    let mut plan = TransferPlan::new(&partition(&[1, 2], &[], &[]), NodeIdentity(OWN_STORE));
     assert_eq!(read(&mut plan, &[]), [1, 2]);
     assert!(plan.is_complete());
 }
 
 #[test]
 fn with_five_replicas_three_others_are_read() {
-    let mut plan = TransferPlan::new(&partition(&[1, 2, 3, 4], &[], &[]), NodeIdentity(SELF));
+    let mut plan = TransferPlan::new(&partition(&[1, 2, 3, 4], &[], &[]), NodeIdentity(OWN_STORE));
     assert_eq!(read(&mut plan, &[2]), [1, 3, 4]);
     assert!(plan.is_complete());
 }
 
 #[test]
 fn with_two_replicas_the_other_one_is_read() {
-    let mut plan = TransferPlan::new(&partition(&[1], &[], &[]), NodeIdentity(SELF));
+    let mut plan = TransferPlan::new(&partition(&[1], &[], &[]), NodeIdentity(OWN_STORE));
     assert_eq!(read(&mut plan, &[]), [1]);
     assert!(plan.is_complete());
 }
 
 #[test]
 fn a_former_replica_stands_in_for_one_that_is_down() {
-    let mut plan = TransferPlan::new(&partition(&[1, 2], &[], &[3]), NodeIdentity(SELF));
+    let mut plan = TransferPlan::new(&partition(&[1, 2], &[], &[3]), NodeIdentity(OWN_STORE));
     assert_eq!(read(&mut plan, &[1]), [2, 3]);
     assert!(plan.is_complete());
 }
 
 #[test]
 fn incomplete_replicas_are_not_read() {
-    let mut plan = TransferPlan::new(&partition(&[1], &[2], &[]), NodeIdentity(SELF));
+    let mut plan = TransferPlan::new(&partition(&[1], &[2], &[]), NodeIdentity(OWN_STORE));
     assert!(!plan.has_enough_sources());
     assert_eq!(read(&mut plan, &[]), [1]);
     assert!(!plan.is_complete());
@@ -74,30 +74,30 @@
 
 #[test]
 fn pages_follow_each_other_and_a_failure_keeps_what_was_read() {
-    let mut plan = TransferPlan::new(&partition(&[1, 2], &[], &[3]), NodeIdentity(SELF));
-    plan.page_received(NodeIdentity(1), Some(40));
+    let mut plan = TransferPlan::new(&partition(&[1, 2], &[], &[3]), NodeIdentity(OWN_STORE));
+    plan.record_page(NodeIdentity(1), Some(40));
     assert_eq!(plan.next_page(), Some(NextPage { store: NodeIdentity(1), cursor: 40 }));
-    plan.page_failed(NodeIdentity(1));
+    plan.record_failure(NodeIdentity(1));
     assert_eq!(plan.next_page(), Some(NextPage { store: NodeIdentity(2), cursor: 0 }));
-    plan.page_received(NodeIdentity(2), None);
-    plan.page_failed(NodeIdentity(3));
+    plan.record_page(NodeIdentity(2), None);
+    plan.record_failure(NodeIdentity(3));
     assert_eq!(plan.next_page(), Some(NextPage { store: NodeIdentity(1), cursor: 40 }));
 }
 
 #[test]
 fn a_source_that_the_map_drops_stays_read() {
-    let mut plan = TransferPlan::new(&partition(&[1, 2], &[], &[3]), NodeIdentity(SELF));
-    plan.page_received(NodeIdentity(3), None);
-    plan.page_received(NodeIdentity(1), Some(7));
-    plan.set_sources(&partition(&[1, 2], &[], &[]), NodeIdentity(SELF));
+    let mut plan = TransferPlan::new(&partition(&[1, 2], &[], &[3]), NodeIdentity(OWN_STORE));
+    plan.record_page(NodeIdentity(3), None);
+    plan.record_page(NodeIdentity(1), Some(7));
+    plan.set_sources(&partition(&[1, 2], &[], &[]), NodeIdentity(OWN_STORE));
     assert_eq!(plan.next_page(), Some(NextPage { store: NodeIdentity(1), cursor: 7 }));
-    plan.page_received(NodeIdentity(1), None);
+    plan.record_page(NodeIdentity(1), None);
     assert!(plan.is_complete());
 }
 
 #[test]
 fn an_empty_partition_is_never_complete() {
-    let plan = TransferPlan::new(&PartitionReplicas::default(), NodeIdentity(SELF));
+    let plan = TransferPlan::new(&PartitionReplicas::default(), NodeIdentity(OWN_STORE));
     assert!(!plan.is_complete());
     assert_eq!(plan.next_page(), None);
 }
