--- a/crates/store-client/src/calls.rs
+++ b/crates/store-client/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of the replicas of a partition: each is retried on its own, so that none waits for another.
+//! Calls to the replicas of a partition. Each call is retried independently, so a slow replica does not delay the others.
 
 use opalrun_net::{RpcClient, reachability::PeerCount};
 use opalrun_wire::{
@@ -12,26 +12,26 @@
     time::{Instant, sleep},
 };
 
-/// Backoff before a replica that did not reply, or could not serve the request, is called again.
+/// Backoff before a call is retried, after a replica did not reply or could not serve the request.
 const RETRY_BACKOFF: Duration = Duration::from_millis(25);
-/// Time-out of one call; a replica that is slower is called again, in case the reply was lost.
+/// Time-out of one attempt of a call, after which it is retried in case the reply was lost.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// The peer, as the log names it.
+/// Kind of peer, as shown in log messages.
 const STORE: &str = "store";
 
-/// A connection to one store.
+/// Connection to one store.
 type Connection = Rc<RpcClient<StoreRequest, StoreReply>>;
 
-/// A connection to each store of the map.
+/// Connections to all stores of the store map.
 #[derive(Default)]
 pub struct StoreConnections {
-    // Shared by all operations; no borrow lasts over an await.
+    // Shared by all operations; no borrow is held across an await.
     connections: RefCell<HashMap<NodeIdentity, Connection>>,
 }
 
 impl StoreConnections {
-    /// Applies the stores of a map: connections to others are dropped.
+    /// Updates the connections to the stores of a map. Connections to other stores are dropped.
     pub fn set_stores(&self, map: &StoreMap) {
         let mut connections = self.connections.borrow_mut();
         connections.retain(|identity, _| map.stores.iter().any(|store| store.identity == *identity));
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Stores that can't be reached, and attempts that failed at those of the map.
+    /// Returns the number of stores of the map that can't be reached, and of failed attempts to connect to them.
     pub fn peer_count(&self) -> PeerCount {
         self.connections.borrow().values().map(|connection| connection.peer_count()).sum()
     }
@@ -57,19 +57,20 @@
     }
 }
 
-/// The reply of a replica to a call of the kind `T`.
+/// Reply of a replica to a call.
 #[derive(Debug)]
 pub struct ReplicaReply<T> {
-    /// The call.
+    /// Tag that the caller gave to the call.
     pub call: T,
-    /// The replica's store.
+    /// Identity of the store that replied.
     pub store: NodeIdentity,
-    /// The reply.
+    /// Content of the reply.
     pub reply: StoreReply,
 }
 
-/// Calls in flight. Dropping it ends their retries: each task ends when the call that it waits for has ended. A request
-/// that was sent already may still be served, which is harmless, as all of them are idempotent.
+/// Calls in flight, each tagged with a value of type `T`. Dropping this ends the retries: each task ends when its current
+/// attempt has ended. A request that was already sent may still be served, which is harmless, as all requests are
+/// idempotent.
 pub struct ReplicaCalls<T> {
     connections: Rc<StoreConnections>,
     deadline: Instant,
@@ -78,20 +79,21 @@
 }
 
 impl<T: Copy + 'static> ReplicaCalls<T> {
-    /// No calls yet; their retries end at `deadline`.
+    /// Creates an empty set of calls, which are retried until `deadline`.
     pub fn new(connections: Rc<StoreConnections>, deadline: Instant) -> Self {
         let (sender, replies) = mpsc::unbounded_channel();
         Self { connections, deadline, sender, replies }
     }
 
-    /// Calls all replicas of a partition.
+    /// Sends a request to all replicas of a partition.
     pub fn send_to_all(&self, call: T, partition: &PartitionReplicas, request: &Rc<StoreRequest>) {
         for replica in &partition.replicas {
             self.send(call, replica.store, request);
         }
     }
 
-    /// Calls one store, with retries until it replies with a result, or that it knows a newer map.
+    /// Sends a request to one store. Retries until the store replies with a result, or that it knows a newer epoch than
+    /// that of the request. Does nothing if the store is not in the map.
     pub fn send(&self, call: T, store: NodeIdentity, request: &Rc<StoreRequest>) {
         let Some(connection) = self.connections.get(store) else { return };
         let (sender, request, deadline) = (self.sender.clone(), request.clone(), self.deadline);
@@ -107,7 +109,7 @@
                     }
                     Ok(StoreReply::Failed { .. }) | Err(_) => sleep(RETRY_BACKOFF).await,
                     Ok(reply) => {
-                        // The operation may have ended without this reply.
+                        // Fails if the operation has ended without this reply, which is then not needed.
                         let _ = sender.send(ReplicaReply { call, store, reply });
                         return;
                     }
@@ -120,7 +122,7 @@
     pub async fn next_reply(&mut self) -> ReplicaReply<T> {
         match self.replies.recv().await {
             Some(reply) => reply,
-            // Unreachable: this type owns a sender.
+            // Unreachable: `self.sender` keeps the channel open.
             None => std::future::pending().await,
         }
     }
--- a/crates/store-client/src/client.rs
+++ b/crates/store-client/src/client.rs
@@ -1,4 +1,4 @@
-//! The client: the state that all operations share.
+//! The client, with the state that all operations share.
 
 use crate::{
     calls::{ReplicaCalls, StoreConnections},
@@ -18,43 +18,43 @@
     time::{Instant, timeout_at},
 };
 
-/// What a lease was granted on.
+/// Result of a successful lease acquisition.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseGrant {
-    /// Units that all other holders have taken of the program's budget.
+    /// Units of the program's budget that all other holders together have taken.
     pub others_taken: u64,
 }
 
-/// A gatekeeper's client of the stores. All of it runs on one thread, inside a `tokio::task::LocalSet`.
+/// Client of the stores for one gatekeeper. It runs on one thread, inside a `tokio::task::LocalSet`.
 ///
-/// It is shared by all operations that are in progress, so its state is in cells; no borrow lasts over an await.
+/// It is shared by all operations in progress, so its state is in cells; no borrow is held across an await.
 pub struct StoreClient {
     pub(crate) holder: u64,
     pub(crate) zone: String,
     pub(crate) connections: Rc<StoreConnections>,
     pub(crate) layouts: Layouts,
     pub(crate) started: Instant,
-    /// The sequence of the last write of an entry, over all programs, so that none is used twice.
+    /// Sequence number of the last operation on a count. It is shared by all programs, so no number is used twice.
     sequence: Cell<u64>,
     pub(crate) operations: Operations,
     pub(crate) reverts: Reverts,
-    /// For how long the stores retain the turns that this client has written or read.
+    /// Times until which the stores retain the turns that this client has written or read.
     pub(crate) known_retention: RefCell<KnownRetention>,
-    /// Writes that run in the background.
+    /// Number of writes that run in the background.
     background_writes: Cell<usize>,
-    /// Notified when one of them ends.
+    /// Notified when a background write ends.
     background_write_ended: Notify,
 }
 
 impl StoreClient {
-    /// Stores that can't be reached, and attempts to connect to them that failed.
+    /// Returns the number of stores that can't be reached, and of failed attempts to connect to stores.
     #[must_use]
     pub fn peer_count(&self) -> PeerCount {
         self.connections.peer_count()
     }
 
-    /// A client that writes counts as `holder` (drawn at each start of the gatekeeper's proxy) and reads turns from
-    /// stores in `zone` first.
+    /// Creates a client that writes counts as `holder`, a number drawn at each start of the gatekeeper's proxy. It prefers
+    /// stores in `zone` for reading turns.
     #[must_use]
     pub fn new(holder: u64, zone: &str) -> Rc<Self> {
         Rc::new(Self {
@@ -72,13 +72,13 @@
         })
     }
 
-    /// The holder's number.
+    /// Returns the number of the holder as which this client writes counts.
     #[must_use]
     pub fn holder(&self) -> u64 {
         self.holder
     }
 
-    /// Applies a newer store map; an older one is ignored. Operations that wait for it continue.
+    /// Applies a store map if it is newer than the current one. Operations that wait for a newer map continue.
     pub fn set_map(&self, map: StoreMap) {
         let map = Rc::new(map);
         if map.epoch > self.layouts.map().epoch {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Waits until all writes that run in the background have ended; `false` where that takes longer than `time_limit`.
+    /// Waits until all background writes have ended; returns false if that takes longer than `time_limit`.
     pub async fn flush(&self, time_limit: Duration) -> bool {
         let deadline = Instant::now() + time_limit;
         loop {
@@ -101,8 +101,8 @@
         }
     }
 
-    /// Runs an operation in the newest layout of a partition, and anew in a later one when the partition has moved
-    /// meanwhile; `None` at the deadline.
+    /// Runs an operation in the current layout of a partition. When the layout becomes outdated, the operation is dropped
+    /// and restarted in the new layout. Returns `None` at the deadline.
     pub(crate) async fn run_in_layout<T, F>(
         &self,
         partition: Partition,
@@ -125,19 +125,19 @@
         timeout_at(deadline, running).await.ok()
     }
 
-    /// Calls of stores that end at `deadline`.
+    /// Creates a set of calls to stores, which are retried until `deadline`.
     pub(crate) fn calls<T: Copy + 'static>(&self, deadline: Instant) -> ReplicaCalls<T> {
         ReplicaCalls::new(self.connections.clone(), deadline)
     }
 
-    /// The sequence of the next operation on a count.
+    /// Returns the sequence number for the next operation on a count.
     pub(crate) fn next_sequence(&self) -> u64 {
         let sequence = self.sequence.get() + 1;
         self.sequence.set(sequence);
         sequence
     }
 
-    /// Runs a write in the background. The write ends by itself at its deadline; [`flush`](Self::flush) waits for it.
+    /// Runs a write in the background. The write must end by itself at its deadline; [`flush`](Self::flush) waits for it.
     pub(crate) fn spawn_write(self: &Rc<Self>, write: impl Future<Output = ()> + 'static) {
         let in_progress = BackgroundWrite::begin(self);
         tokio::task::spawn_local(async move {
@@ -147,7 +147,7 @@
     }
 }
 
-/// A write that runs in the background; it is counted until this is dropped.
+/// Guard that counts a background write for as long as it exists.
 struct BackgroundWrite {
     client: Rc<StoreClient>,
 }
--- a/crates/store-client/src/counts.rs
+++ b/crates/store-client/src/counts.rs
@@ -1,4 +1,4 @@
-//! Operations on the counts of programs: acquiring and reducing a holder's lease of a program's budget.
+//! Operations on the counts of programs: acquires and reduces a holder's lease of a program's budget.
 
 use crate::{
     CountError, LeaseGrant, StoreClient,
@@ -14,24 +14,26 @@
 use std::{future::pending, rc::Rc, time::Duration};
 use tokio::time::{Instant, sleep_until};
 
-/// How long the replicas beyond a quorum may still reply to the first round before the second one begins.
+/// Delay between a quorum of replies to the first round and the start of the second one. If all other replicas reply in
+/// this time, the second round is not needed.
 const SECOND_ROUND_DELAY: Duration = Duration::from_millis(3);
-/// Time-out of the write of a reduced entry, retries included.
+/// Time-out of the write of a reduced entry, including retries.
 const REDUCTION_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl StoreClient {
-    /// Leases units of a program's budget: writes that this holder has taken `wanted` units of it in all, where it has
-    /// leased `leased` so far, and reads what all other holders have taken.
+    /// Acquires a lease of `wanted` units of a program's budget in total, by a holder that currently leases `leased` units:
+    /// writes that this holder has taken `wanted` units, and reads how many units all other holders have taken.
     ///
-    /// The caller may use `wanted` units only where `wanted + others_taken` is within the budget; what is beyond it must
-    /// be given back by [`reduce_lease`](Self::reduce_lease). On an error, and where the future is dropped, the entry is
-    /// reverted to `leased` in the background, and the caller still has `leased` units and no more.
+    /// The caller may use `wanted` units only if `wanted + others_taken` is within the budget; it must give back the excess
+    /// by [`reduce_lease`](Self::reduce_lease). On an error, or if the future is dropped, the entry is reverted to `leased`
+    /// in the background, and the caller still leases `leased` units.
     ///
-    /// Only one operation on a program is in progress at a time: a later one of the same program ends this one with
+    /// Only one operation on a program is valid at a time: a later one on the same program makes this one fail with
     /// [`CountError::Superseded`].
     ///
     /// # Errors
-    /// [`CountError::Unavailable`] where no quorum has replied within `time_limit`: nothing is granted.
+    /// [`CountError::Unavailable`] if no quorum has replied within `time_limit`, [`CountError::Superseded`] as above. No
+    /// units are granted then.
     pub async fn acquire_lease(
         self: &Rc<Self>,
         program: &str,
@@ -56,8 +58,9 @@
         Ok(grant)
     }
 
-    /// Writes that this holder has taken `taken` units only: the others were given back and are not used any more. Runs
-    /// in the background, with retries, until a quorum has the entry or a later operation supersedes it.
+    /// Writes that this holder has taken only `taken` units; the caller must have stopped using the others. Runs in the
+    /// background, with retries for a limited time, until a quorum has replied. If a later operation on the same program
+    /// supersedes this one, the stores keep the later entry.
     pub fn reduce_lease(self: &Rc<Self>, program: &str, taken: u64) {
         self.write_reduced(Operation::begin(self, program), taken);
     }
@@ -79,7 +82,7 @@
         });
     }
 
-    /// Acquires a lease in one layout of the partition.
+    /// Acquires a lease in one layout of the partition. Returns only on success; the caller drops the future at a time-out.
     async fn acquire_in(
         &self,
         layout: &Layout,
@@ -115,7 +118,7 @@
         }
     }
 
-    /// Writes an entry in one layout of the partition, until a quorum has it.
+    /// Writes an entry in one layout of the partition; returns once a quorum has it.
     async fn write_in(&self, layout: &Layout, program: &str, entry: CountEntry, deadline: Instant) {
         let request = write_count(layout, program, entry);
         let mut calls = self.calls(deadline);
@@ -130,8 +133,8 @@
         }
     }
 
-    /// A store knows a newer map. Waits for ever where this client has one by now: [`run_in_layout`](Self::run_in_layout) drops
-    /// this operation and begins it anew in the newer layout.
+    /// Handles the reply of a store that knows a newer map. If this client has a newer map by now, waits forever, so that
+    /// [`run_in_layout`](Self::run_in_layout) drops this operation and restarts it in the newer layout.
     pub(crate) async fn handle_stale_layout(&self, layout: &Layout) {
         layout.set_stale();
         if self.layouts.is_outdated(layout) {
@@ -145,10 +148,10 @@
     Rc::new(StoreRequest::WriteCount { epoch: layout.epoch, program: program.to_owned(), entry })
 }
 
-/// Waits until a moment; for ever where there is none.
-async fn wait_until(moment: Option<Instant>) {
-    match moment {
-        Some(moment) => sleep_until(moment).await,
+/// Waits until `deadline`; forever if it is `None`.
+async fn wait_until(deadline: Option<Instant>) {
+    match deadline {
+        Some(deadline) => sleep_until(deadline).await,
         None => pending().await,
     }
 }
--- a/crates/store-client/src/layout.rs
+++ b/crates/store-client/src/layout.rs
@@ -1,4 +1,4 @@
-//! The store map that operations use, and waiting for a newer one.
+//! The store map that operations use, and waiting for changes of a partition's placement.
 
 use opalrun_wire::{
     feed::{PartitionReplicas, StoreMap},
@@ -10,27 +10,27 @@
 };
 use tokio::sync::Notify;
 
-/// The placement of a partition as of an epoch of the store map.
+/// Placement of a partition in an epoch of the store map.
 #[derive(Debug, Clone)]
 pub struct Layout {
-    /// The partition's number.
+    /// Number of the partition.
     pub number: Partition,
-    /// The epoch of the map.
+    /// Epoch of the store map.
     pub epoch: Epoch,
-    /// Its replicas.
+    /// Replicas of the partition, and the sources that they catch up from.
     pub partition: PartitionReplicas,
-    /// A store has said that it knows a newer map.
+    /// Whether a store has rejected a request because it knows a newer map.
     is_stale: Cell<bool>,
 }
 
 impl Layout {
-    /// Records that a store has said that it knows a newer map.
+    /// Records that a store has rejected a request because it knows a newer map.
     pub fn set_stale(&self) {
         self.is_stale.set(true);
     }
 }
 
-/// The newest store map.
+/// The newest store map, and the notification of its changes.
 #[derive(Default)]
 pub struct Layouts {
     map: RefCell<Rc<StoreMap>>,
@@ -38,7 +38,7 @@
 }
 
 impl Layouts {
-    /// Applies a newer map; returns whether it was newer.
+    /// Applies a map if it is newer than the current one; returns whether it was.
     pub fn set(&self, map: Rc<StoreMap>) -> bool {
         if map.epoch <= self.map.borrow().epoch {
             return false;
@@ -48,12 +48,12 @@
         true
     }
 
-    /// The map.
+    /// Returns the newest map received so far; an empty one of epoch 0 before the first.
     pub fn map(&self) -> Rc<StoreMap> {
         self.map.borrow().clone()
     }
 
-    /// The placement of a partition; waits for the first map.
+    /// Returns the current placement of a partition; waits for the first map if there is none yet.
     pub async fn get(&self, number: Partition) -> Layout {
         loop {
             let changed = self.changed.notified();
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Waits until the partition is placed otherwise than `layout` says, or until there is any newer map where a store
-    /// has said that it knows one.
+    /// Waits until the partition's placement differs from `layout`. If the layout is marked stale, any newer map ends the
+    /// wait as well.
     pub async fn wait_until_outdated(&self, layout: &Layout) {
         loop {
             let changed = self.changed.notified();
@@ -82,12 +82,12 @@
         current.partition != layout.partition || (layout.is_stale.get() && current.epoch > layout.epoch)
     }
 
-    /// Lets waiting operations check again whether their layout is outdated.
+    /// Wakes all waiting operations, so that they check again whether their layout is outdated.
     pub fn notify_waiters(&self) {
         self.changed.notify_waiters();
     }
 
-    /// Whether a store is in a zone.
+    /// Whether the map places a store in a zone.
     pub fn is_in_zone(&self, store: NodeIdentity, zone: &str) -> bool {
         self.map.borrow().stores.iter().any(|node| node.identity == store && node.zone == zone)
     }
--- a/crates/store-client/src/lease_acquisition.rs
+++ b/crates/store-client/src/lease_acquisition.rs
@@ -1,39 +1,39 @@
-//! Acquiring a lease: the decision what a holder's block of a program's budget may be granted on.
+//! Lease acquisition: decides when a holder may be granted units of a program's budget.
 //!
-//! The count of a program is a set of entries, one of each holder, with the units that the holder has taken of the budget.
-//! To acquire units a holder increases its entry at the replicas and reads the entries of all others.
+//! The count of a program is a set of entries, one per holder, each with the units of the budget that the holder has taken.
+//! To acquire units, a holder increases its entry at the replicas and reads the entries of all other holders.
 //!
 //! # Safety: grants never sum to more than the budget
 //!
-//! An acquisition writes its entry to the replicas, and each that has it on disk replies with all entries that it knows.
-//! A grant rests either
+//! An acquisition writes its entry to the replicas. Each replica replies, once the entry is on its disk, with all entries
+//! that it has. A grant requires either
 //!
-//! - on *two rounds*: the entry is at a quorum of complete replicas, and after that a quorum has been read; or
-//! - on *one round* at *all* replicas, all of them complete: each was read at the moment when it stored the entry.
+//! - *two rounds*: the entry is at a quorum of complete replicas, and a quorum has been read after that; or
+//! - *one round* at *all* replicas, all of them complete: each was read at the moment when it stored the entry.
 //!
-//! For an acquisition X let p(X) be the moment when its entry has come to be at a majority of the replicas. *If X does not
+//! For an acquisition X, let p(X) be the time at which its entry has reached a majority of the replicas. *If X does not
 //! see the entry of Y, then p(X) < p(Y)*:
 //!
-//! - X has two rounds. Its second quorum, read after p(X), does not have Y's entry, so at that quorum Y's entry arrives
-//!   later than p(X). As any majority intersects that quorum, p(Y) is later, too.
-//! - X has one round. At every replica that Y's entry reaches it arrives later than X's. So whenever Y's entry is at
-//!   a majority, X's is at that majority already, and earlier.
+//! - X has two rounds. Its second quorum, read after p(X), does not have Y's entry, so Y's entry arrives at that quorum
+//!   later than p(X). As any majority intersects that quorum, p(Y) is later than p(X).
+//! - X has one round. At every replica that Y's entry reaches, it arrives later than X's. So whenever Y's entry has
+//!   reached a majority, X's entry reached that majority earlier.
 //!
-//! So of all grants whose units are still leased, the one with the latest p has seen the entries of all the others. What
-//! it saw of another holder is the entry of that holder's newest grant, or a later one. An entry is never below what its
-//! holder still leases: it is increased before the units are used, and reduced only after they are given up. So the sum
-//! that this last grant was checked against covers all leased units, and it was within the budget.
+//! So among all grants whose units are still leased, the one with the latest p has seen the entries of all the others. The
+//! entry that it saw of another holder is the one of that holder's newest grant, or a later one. An entry is never lower
+//! than what its holder still leases: it is increased before the units are used, and reduced only after they are given
+//! up. So the sum that the latest grant was checked against covers all leased units, and it was within the budget.
 //!
-//! An acquisition that fails, or finds too little left, leaves its holder the units that it leased before. Its entry may
-//! be too high for a while, which takes units away from nobody who was granted them.
+//! An acquisition that fails, or finds too few units left, leaves its holder with the units that it leased before. Its
+//! entry may be too high for a while, which delays other acquisitions but revokes no granted units.
 //!
-//! *Changes of the store map.* Both rounds are made in one layout of the partition. A replica that knows a newer layout
-//! serves no request of an older one, so of two acquisitions in different layouts the later one sees the earlier one's
-//! entry at the replica that their quorums share. The argument above applies with the layout's epoch ordered before the
-//! moment.
+//! *Changes of the store map.* Both rounds use one layout of the partition. A replica that knows a newer layout serves no
+//! request of an older one. So of two acquisitions in different layouts, the later one sees the earlier one's entry at the
+//! replica that their quorums share. The argument above holds if acquisitions are ordered first by the epoch of their
+//! layout and then by p.
 //!
-//! *Lost disks.* A store that lost its disk is another store, which counts only once it has caught up on what was
-//! acknowledged (see `opalrun_store::transfer`).
+//! *Lost disks.* A store that lost its disk returns with a new identity, and counts towards a quorum only once it has
+//! caught up on all acknowledged writes (see `opalrun_store::transfer`).
 //!
 //! `tests/model_check.rs` explores small instances in every order of events.
 
@@ -44,25 +44,26 @@
     store::{CountEntry, merge_count_entries},
 };
 
-/// A round of requests to all replicas.
+/// Round of requests to all replicas.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Round {
     /// Writes the entry.
     First,
-    /// Writes it again, to read all entries after it has come to a quorum.
+    /// Writes the entry again, in order to read all entries after it has reached a quorum.
     Second,
 }
 
-/// The progress of an acquisition.
+/// Progress of an acquisition.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Progress {
     /// More replies are needed.
     Waiting,
-    /// The entry is at a quorum. The second round may begin; it is not needed if all other replicas reply as well.
+    /// The entry is at a quorum. The second round may begin; it is not needed if all other replicas still reply to the
+    /// first one.
     AtQuorum,
-    /// The acquisition is decided: a lease may be granted within what the others leave of the budget.
+    /// The acquisition is complete: the holder's lease may be granted up to the budget minus `others_taken`.
     Done {
-        /// Units that all other holders have taken.
+        /// Units of the budget that all other holders together have taken.
         others_taken: u64,
     },
 }
@@ -71,10 +72,13 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LeaseAcquisition {
     holder: u64,
+    /// Replies to the first round.
     first: QuorumTracker,
+    /// Replies to the second round; `None` before it begins.
     second: Option<QuorumTracker>,
-    /// Without any reply.
+    /// Tracker without replies, from which the second round's is cloned.
     without_replies: QuorumTracker,
+    /// The newest entry of each holder in all replies so far.
     entries: Vec<CountEntry>,
 }
 
@@ -86,15 +90,15 @@
         Self { holder, first: without_replies.clone(), second: None, without_replies, entries: Vec::new() }
     }
 
-    /// Begins the second round. To be called at [`Progress::AtQuorum`], and before any request of the round is sent.
+    /// Begins the second round. To be called at [`Progress::AtQuorum`], before any request of the round is sent.
     pub fn start_second_round(&mut self) {
         if self.first.is_quorum() && self.second.is_none() {
             self.second = Some(self.without_replies.clone());
         }
     }
 
-    /// A replica has replied to a request of a round: it has the entry on disk and knows these entries. `is_complete` is what it
-    /// says of itself.
+    /// Records a replica's reply to a request of a round: the replica has the holder's entry on disk, and `entries` are all
+    /// that it has. `is_complete` is the replica's own statement in the reply.
     pub fn record_reply(
         &mut self,
         round: Round,
@@ -110,7 +114,7 @@
         }
     }
 
-    /// Its progress.
+    /// Returns the progress of the acquisition.
     #[must_use]
     pub fn progress(&self) -> Progress {
         let read_after_write = self.second.as_ref().is_some_and(QuorumTracker::is_quorum);
--- a/crates/store-client/src/lib.rs
+++ b/crates/store-client/src/lib.rs
@@ -1,9 +1,10 @@
-//! The gatekeepers' client of the stores: leases of programs' budgets, and retained turns.
+//! Client of the stores for gatekeepers: leases of programs' budgets, and retained turns.
 //!
-//! An operation goes to all replicas of its partition and is done once a quorum of complete replicas has replied, so it
-//! never waits for a store that is slow, down or partitioned.
+//! A write is sent to all replicas of its partition, and completes once a quorum of complete replicas has replied. A read
+//! starts at the nearest replica and falls back to all of them. So no operation waits for a store that is slow, down or
+//! partitioned.
 //!
-//! [`lease_acquisition`] decides, without I/O, when a lease is granted, and argues why grants never exceed a budget;
+//! [`lease_acquisition`] decides, without I/O, when a lease is granted, and explains why the grants never exceed a budget;
 //! [`StoreClient`] sends the requests.
 #![forbid(unsafe_code)]
 
--- a/crates/store-client/src/operation.rs
+++ b/crates/store-client/src/operation.rs
@@ -1,24 +1,24 @@
-//! Operations on counts that are in progress: which is the newest on a program, and which entries are to be reverted.
+//! Operations on counts in progress: the newest operation on each program, and the entries to revert after a failure.
 
 use crate::StoreClient;
 use opalrun_wire::store::CountEntry;
 use std::{cell::RefCell, collections::HashMap, rc::Rc};
 use tokio::sync::mpsc;
 
-/// The newest operation on each program that has any in progress.
+/// The newest operation on each program with operations in progress.
 #[derive(Default)]
 pub struct Operations {
-    // Shared by the operations, each of which removes itself when it is dropped. No borrow lasts over an await.
+    // Shared by the operations, each of which removes itself when it is dropped. No borrow is held across an await.
     newest: RefCell<HashMap<String, NewestOperation>>,
 }
 
 struct NewestOperation {
     sequence: u64,
-    /// Operations on the program that are in progress, superseded ones included.
+    /// Number of operations in progress on the program, superseded ones included.
     in_progress: usize,
 }
 
-/// An operation on a program's count that is in progress, until it is dropped.
+/// Guard of an operation on a program's count; the operation is in progress until the guard is dropped.
 pub struct Operation {
     client: Rc<StoreClient>,
     program: String,
@@ -26,7 +26,7 @@
 }
 
 impl Operation {
-    /// Begins an operation with the next sequence. It supersedes those before it on the same program.
+    /// Begins an operation with the next sequence number. It supersedes all earlier operations on the same program.
     pub fn begin(client: &Rc<StoreClient>, program: &str) -> Self {
         let sequence = client.next_sequence();
         let mut newest = client.operations.newest.borrow_mut();
@@ -36,7 +36,7 @@
         Self { client: client.clone(), program: program.to_owned(), sequence }
     }
 
-    /// The program.
+    /// Returns the name of the program.
     pub fn program(&self) -> &str {
         &self.program
     }
@@ -47,7 +47,7 @@
         newest.get(&self.program).is_some_and(|newest| newest.sequence == self.sequence)
     }
 
-    /// The entry that it writes: this holder has taken so many units.
+    /// Returns the entry with which the operation writes that this holder has taken `taken` units.
     pub fn entry(&self, taken: u64) -> CountEntry {
         CountEntry { holder: self.client.holder, sequence: self.sequence, taken }
     }
@@ -65,8 +65,8 @@
     }
 }
 
-/// A lease acquisition without a grant yet. Where it is dropped without one, also because its caller has cancelled it,
-/// the entry is reverted to the units leased before.
+/// Guard of a lease acquisition that is not granted yet. If it is dropped without a grant, because the acquisition has
+/// failed or its caller has cancelled it, the entry is reverted to the units leased before.
 pub struct PendingAcquisition {
     operation: Operation,
     leased: u64,
@@ -74,17 +74,17 @@
 }
 
 impl PendingAcquisition {
-    /// Begins an acquisition by a holder that has leased `leased` units so far.
+    /// Begins an acquisition by a holder that currently leases `leased` units.
     pub fn begin(client: &Rc<StoreClient>, program: &str, leased: u64) -> Self {
         Self { operation: Operation::begin(client, program), leased, is_granted: false }
     }
 
-    /// The operation.
+    /// Returns the operation that writes the entry of the acquisition.
     pub fn operation(&self) -> &Operation {
         &self.operation
     }
 
-    /// The units are granted: the entry stays as it was written.
+    /// Marks the acquisition as granted: the entry is not reverted.
     pub fn mark_granted(mut self) {
         self.is_granted = true;
     }
@@ -101,16 +101,17 @@
     }
 }
 
-/// An entry that is to be written as it was before an acquisition that failed.
+/// Reverts a holder's entry to its units before a failed acquisition.
 struct Revert {
     operation: Operation,
+    /// Units that the holder leased before the acquisition.
     leased: u64,
 }
 
-/// Reverts on their way to the task that writes them: a drop, in which they begin, can't write.
+/// Queue of reverts to the task that writes them. Reverts are created in a `drop`, which can't run asynchronous writes.
 pub struct Reverts {
     sender: mpsc::UnboundedSender<Revert>,
-    /// Until the task is started.
+    /// `None` once the task has started, which owns the receiver from then on.
     receiver: RefCell<Option<mpsc::UnboundedReceiver<Revert>>>,
 }
 
@@ -123,11 +124,12 @@
 
 impl Reverts {
     fn push(&self, revert: Revert) {
-        // The task ends only with the client.
+        // Can't fail: the task, or this queue before the task starts, holds the receiver for as long as the client exists.
         let _ = self.sender.send(revert);
     }
 
-    /// Starts the task unless it runs. It ends when the client, which owns the channel's sender, is dropped.
+    /// Starts the task that writes reverts, unless it runs already. The task ends when the client, which owns the sender of
+    /// the channel, is dropped.
     pub fn start(&self) {
         let Some(mut receiver) = self.receiver.take() else { return };
         tokio::task::spawn_local(async move {
--- a/crates/store-client/src/quorum.rs
+++ b/crates/store-client/src/quorum.rs
@@ -1,8 +1,8 @@
-//! Tracks which replicas have replied, and whether those that are complete make a quorum.
+//! Tracks which replicas have replied, and whether the complete ones among them form a quorum.
 
 use opalrun_wire::{feed::PartitionReplicas, ids::NodeIdentity};
 
-/// The replies of a partition's replicas to one request.
+/// Tracks the replies of a partition's replicas to one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QuorumTracker {
     replicas: Vec<ReplicaStatus>,
@@ -12,13 +12,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct ReplicaStatus {
     store: NodeIdentity,
-    /// By the map, and by what the replica says of itself.
+    /// Whether the replica is complete according to the store map and, once it has replied, to its own reply.
     is_complete: bool,
     has_replied: bool,
 }
 
 impl QuorumTracker {
-    /// No replies yet.
+    /// Creates a tracker without replies.
     #[must_use]
     pub fn new(partition: &PartitionReplicas) -> Self {
         let replicas = partition
@@ -33,8 +33,8 @@
         Self { replicas, quorum: partition.quorum() }
     }
 
-    /// Records the reply of a replica; `is_complete` is what it says of itself. Only a replica that is complete by both the map
-    /// and its own reply counts.
+    /// Records the reply of a replica; `is_complete` is the replica's own statement in the reply. A replica counts towards
+    /// the quorum only if it is complete according to both the store map and its reply.
     pub fn record(&mut self, store: NodeIdentity, is_complete: bool) {
         if let Some(replica) = self.replicas.iter_mut().find(|replica| replica.store == store) {
             replica.has_replied = true;
--- a/crates/store-client/src/retention.rs
+++ b/crates/store-client/src/retention.rs
@@ -1,23 +1,25 @@
-//! For how long the stores retain turns that this client has written or read, so that it knows which turns of a chain
-//! have to be retained longer when another turn builds on them.
+//! Tracks until when the stores retain the turns that this client has written or read. When a new turn is written, this
+//! tells which of its ancestors need their retention extended.
 
 #[cfg(test)]
 mod tests;
 
 use std::{collections::HashMap, time::Duration};
 
-/// Number of turns from which on those that have expired are removed here.
+/// Minimum number of turns at which expired ones are removed from the map.
 const MIN_SWEEP_SIZE: usize = 1024;
 
-/// Until when turns are retained at least, by the monotonic clock.
+/// Minimum retention of turns at the stores. All times are on the client's monotonic clock.
 #[derive(Debug, Default)]
 pub struct KnownRetention {
+    /// Time until which a turn is retained at least, by the turn's id.
     until: HashMap<Box<str>, Duration>,
+    /// Number of turns at which expired ones are removed next, if it is above [`MIN_SWEEP_SIZE`].
     sweep_size: usize,
 }
 
 impl KnownRetention {
-    /// Records that a turn is retained until `until` at least.
+    /// Records that a turn is retained at least until `until`.
     pub fn record(&mut self, id: &str, until: Duration, now: Duration) {
         if self.until.len() >= self.sweep_size.max(MIN_SWEEP_SIZE) {
             self.until.retain(|_, until| *until > now);
@@ -31,7 +33,7 @@
         }
     }
 
-    /// Those of the turns that are not known to be retained until `wanted`.
+    /// Returns those of the turns that are not known to be retained until `wanted`.
     #[must_use]
     pub fn not_retained_until<'a>(&self, ids: &'a [String], wanted: Duration) -> Vec<&'a String> {
         ids.iter().filter(|id| self.until.get(id.as_str()).is_none_or(|until| *until < wanted)).collect()
--- a/crates/store-client/src/turns.rs
+++ b/crates/store-client/src/turns.rs
@@ -9,34 +9,34 @@
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 use tokio::time::{Instant, sleep};
 
-/// After this time without a reply of the nearest replica the others are asked as well.
+/// Delay after which a read that the nearest replica has not answered is also sent to the other replicas (hedged request).
 const HEDGE_DELAY: Duration = Duration::from_millis(6);
-/// Longest time for which a write may be in flight before its reply arrives here.
+/// Upper bound on the time between a store's execution of a write and the arrival of its reply at this client.
 const MAX_WRITE_TIME: Duration = Duration::from_secs(5);
-/// Time-out of the extension of a chain's turns, retries included.
+/// Time-out of extending the retention of a chain's turns, including retries.
 const EXTENSION_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A turn that was read.
+/// A turn read from a store.
 struct FoundTurn {
     turn: Turn,
-    /// For how long the store that replied still retains it.
+    /// Remaining retention of the turn at the store that replied.
     remaining: Duration,
 }
 
-/// The stores to read from.
+/// Order in which the replicas of a partition are read.
 struct ReadOrder {
-    /// Asked first. Without replicas it is 0, which is no store's identity.
+    /// Read first. If the partition has no replicas, this is 0, which is not the identity of any store.
     nearest: NodeIdentity,
-    /// Asked when the nearest one has not replied in time, or lacks the turn.
+    /// Read if the nearest replica has not replied within [`HEDGE_DELAY`], or does not have the turn.
     others: Vec<NodeIdentity>,
 }
 
 impl StoreClient {
-    /// Writes a turn; returns when a quorum of complete replicas has it on disk. It is idempotent. The turns that it builds
-    /// on are retained as long as it.
+    /// Writes a turn; returns once a quorum of complete replicas has it on disk. The write is idempotent. The retention of
+    /// the turn's ancestors is extended in the background so that they do not expire before it.
     ///
     /// # Errors
-    /// [`TurnError::Unavailable`] where no quorum has replied within `time_limit`: the turn may or may not be stored.
+    /// [`TurnError::Unavailable`] if no quorum has replied within `time_limit`: the turn may or may not be stored.
     pub async fn put_turn(self: &Rc<Self>, turn: &Turn, time_limit: Duration) -> Result<(), TurnError> {
         let deadline = Instant::now() + time_limit;
         self.extend_chain(turn);
@@ -51,10 +51,11 @@
         Ok(())
     }
 
-    /// Reads a turn. `None` is certain: a quorum of complete replicas lacks it.
+    /// Reads a turn. Returns `None` only if a quorum of complete replicas has replied that it does not have the turn.
     ///
     /// # Errors
-    /// [`TurnError::Unavailable`] where neither is certain within `time_limit`.
+    /// [`TurnError::Unavailable`] if within `time_limit` neither a replica has returned the turn nor a quorum has replied
+    /// that it is absent.
     pub async fn get_turn(
         self: &Rc<Self>,
         id: &str,
@@ -71,7 +72,8 @@
         Ok(found.map(|found| found.turn))
     }
 
-    /// Reads a turn in one layout of its partition: first at the nearest replica, soon at all of them.
+    /// Reads a turn in one layout of its partition: first from the nearest replica, and from all others if that one does
+    /// not return the turn within [`HEDGE_DELAY`].
     async fn get_in(&self, layout: &Layout, id: &str, deadline: Instant) -> Option<FoundTurn> {
         let request = Rc::new(StoreRequest::GetTurn { epoch: layout.epoch, id: id.to_owned() });
         let mut calls = self.calls(deadline);
@@ -105,7 +107,8 @@
         None
     }
 
-    /// The order in which replicas are read: complete ones first, of these the ones in this zone first.
+    /// Returns the order in which replicas are read: complete replicas before incomplete ones, replicas in this client's
+    /// zone before those in other zones, and random among equals.
     fn read_order(&self, layout: &Layout) -> ReadOrder {
         let mut replicas = layout.partition.replicas.clone();
         fastrand::shuffle(&mut replicas);
@@ -116,7 +119,7 @@
         ReadOrder { nearest: stores.next().unwrap_or_default(), others: stores.collect() }
     }
 
-    /// Sends a write to all replicas in one layout of the partition and waits for a quorum.
+    /// Sends a write to all replicas in one layout of the partition; returns once a quorum has replied.
     async fn store_in(&self, layout: &Layout, request: Rc<StoreRequest>, deadline: Instant) {
         let mut calls = self.calls(deadline);
         let mut quorum = QuorumTracker::new(&layout.partition);
@@ -130,7 +133,7 @@
         }
     }
 
-    /// Extends the retention of the turns that a new one builds on, as far as they would expire before it.
+    /// Extends the retention of a turn's ancestors in the background, unless they are known to be retained long enough.
     fn extend_chain(self: &Rc<Self>, turn: &Turn) {
         let wanted = self.started.elapsed() + Duration::from_millis(turn.retention_ms);
         let mut by_partition: BTreeMap<Partition, Vec<String>> = BTreeMap::new();
@@ -142,7 +145,7 @@
         }
     }
 
-    /// Extends the retention of turns of one partition, in the background.
+    /// Extends the retention of turns of one partition in the background.
     fn extend(self: &Rc<Self>, partition: Partition, ids: Vec<String>, retention_ms: u64) {
         let client = self.clone();
         self.spawn_write(async move {
@@ -162,14 +165,15 @@
         });
     }
 
-    /// Records that the stores retain a turn for `remaining` from now on at least.
+    /// Records that the stores retain a turn for at least `remaining` from now.
     fn record_retention(&self, id: &str, remaining: Duration) {
         let now = self.started.elapsed();
         self.known_retention.borrow_mut().record(id, now + remaining, now);
     }
 }
 
-/// For how long the stores retain a turn at least once it is known that they have written or extended it.
+/// Returns the minimum time for which stores retain a turn from the moment when this client receives the reply to the
+/// write or the extension.
 fn retention_after_write(retention_ms: u64) -> Duration {
     Duration::from_millis(keep_ms(retention_ms)).saturating_sub(MAX_WRITE_TIME)
 }
--- a/crates/store/src/draining.rs
+++ b/crates/store/src/draining.rs
@@ -1,9 +1,10 @@
-//! Draining: before a store ends whose replicas another store can take over, its partitions are moved away.
+//! Draining: before a store shuts down, its partitions are moved to other stores if there is one that can take them over.
 //!
-//! A store that just ends leaves each of its partitions with one replica less until its heartbeats time out and others
-//! have caught up. If another store loses its disk in that time, too few replicas are left to catch up from. So a store
-//! that was told to end asks control, and runs until the store map names it no more, if there is another store that can
-//! take over its partitions. If it was only to be started again, there is none, and it ends at once.
+//! A store that just shuts down leaves each of its partitions with one replica less until its heartbeats time out and
+//! other stores have caught up. If another store loses its disk in that time, too few replicas are left to catch up from.
+//! So on SIGTERM a store asks control for a decision. If another store can take over its partitions, it keeps running
+//! until the store map no longer places any partition on it. Otherwise, as when the store is only restarted, it shuts down
+//! immediately.
 
 use crate::{StoreServer, state::is_placed_on};
 use opalrun_net::feed_client::FeedClient;
@@ -14,24 +15,24 @@
     time::{Instant, timeout},
 };
 
-/// Time-out of control's decision; without one the store ends.
+/// Time-out for control's decision, including retried requests; without a decision the store shuts down.
 const DECISION_TIMEOUT: Duration = Duration::from_millis(900);
-/// Time-out of one request for the decision, after which control is asked again.
+/// Time-out of one request for the decision, after which it is sent again.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
-/// Period in which the request is repeated while the store drains: the control process that is followed may be another
-/// one by then, which takes a store that it does not know to be draining for one that has started again.
+/// Period at which the request is repeated while the store drains. The feed may have switched to another control process,
+/// which would take a store that it does not know to be draining for one that has restarted.
 const REQUEST_PERIOD: Duration = Duration::from_millis(800);
 
-/// What control has decided about a store that is to end.
+/// Decision of control on a store's request to shut down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Decision {
-    /// Its partitions are being moved to other stores: it drains.
+    /// The store's partitions are being moved to other stores: the store drains.
     Drain,
-    /// Nothing is moved: it ends.
-    EndNow,
+    /// No partition is moved: the store shuts down immediately.
+    ShutDownNow,
 }
 
-/// The draining of a store. Clones share the decision.
+/// Draining state of a store. Clones share the decision.
 #[derive(Debug, Clone)]
 pub struct Draining {
     decision: watch::Sender<Option<Decision>>,
@@ -44,15 +45,15 @@
 }
 
 impl Draining {
-    /// Control has decided whether the store's partitions are moved to other stores.
+    /// Records control's decision: whether the store's partitions are being moved to other stores.
     pub fn set_decision(&self, is_moving: bool) {
-        self.decision.send_replace(Some(if is_moving { Decision::Drain } else { Decision::EndNow }));
+        self.decision.send_replace(Some(if is_moving { Decision::Drain } else { Decision::ShutDownNow }));
     }
 
-    /// Returns when the store may end: once the store map names it no more, or at once where control moves nothing or
-    /// does not answer.
+    /// Waits until the store may shut down: until the store map no longer places any partition on it, or, if control moves
+    /// no partition or does not answer, until the decision or its time-out.
     pub async fn drain(&self, feed: &FeedClient, server: &StoreServer) {
-        if self.request_decision(feed, server.identity()).await == Decision::EndNow {
+        if self.request_decision(feed, server.identity()).await == Decision::ShutDownNow {
             return;
         }
         tracing::info!(store = server.identity().0, "store is draining");
@@ -74,10 +75,10 @@
             feed.request_shutdown(identity);
             let set_decision = decisions.wait_for(Option::is_some);
             if let Ok(Ok(decision)) = timeout(REQUEST_TIMEOUT, set_decision).await {
-                return decision.unwrap_or(Decision::EndNow);
+                return decision.unwrap_or(Decision::ShutDownNow);
             }
         }
-        Decision::EndNow
+        Decision::ShutDownNow
     }
 }
 
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors that end a store.
+//! Errors that end the store process.
 
 use opalrun_net::NetError;
 use opalrun_settings::SettingsError;
@@ -6,43 +6,43 @@
 use opalrun_wire::{ResultCode, frame::FrameError};
 use snafu::Snafu;
 
-/// Why a store ends.
+/// Error that ends the store process.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StoreError {
-    /// The settings lack something that a store needs.
+    /// A setting that the store role requires is missing.
     #[snafu(display("{source}"))]
     Settings {
-        /// The cause.
+        /// Error of the settings.
         source: SettingsError,
     },
     /// The data directory can't be read or written.
     #[snafu(display("{source}"))]
     Storage {
-        /// The cause.
+        /// Error of the storage layer.
         source: StorageError,
     },
-    /// A record of the log has the right checksum, but is no record of this version.
+    /// A log record has a valid checksum, but this version can't decode it.
     #[snafu(display("{}: record {number} of the log can't be read: {source}", ResultCode::DISK_CORRUPT))]
     Record {
-        /// The record's number.
+        /// Number of the record in the log.
         number: u64,
-        /// The cause.
+        /// Error of the decoder.
         source: FrameError,
     },
-    /// The content of the file with the store's identity has another length than this version writes.
+    /// The content of the identity file does not have the length that this version writes.
     #[snafu(display("{}: the file with the store's identity can't be read", ResultCode::DISK_CORRUPT))]
     Identity,
-    /// The store can't listen on its address.
+    /// The store can't listen on its peer address.
     #[snafu(display("{source}"))]
     Listen {
-        /// The cause.
+        /// Error of the listener.
         source: NetError,
     },
-    /// The disk failed while the store ran.
-    #[snafu(display("{code}: the disk takes no more writes"))]
+    /// A write to the log failed while the store was running.
+    #[snafu(display("{code}: writing to the log failed"))]
     DiskFailed {
-        /// The result code of the failure.
+        /// Result code of the failed write.
         code: ResultCode,
     },
 }
--- a/crates/store/src/identity.rs
+++ b/crates/store/src/identity.rs
@@ -1,5 +1,5 @@
-//! A store's identity: drawn at its first start on an empty disk, and stored there. A store that lost its disk draws
-//! another one, so what it acknowledged before is never expected of it.
+//! A store's identity: a random number, generated at the first start on an empty disk and stored there. A store that lost
+//! its disk generates a new identity, so that no other node expects it to have the writes that it acknowledged before.
 
 use crate::error::{IdentitySnafu, StorageSnafu, StoreError};
 use opalrun_storage::{DataDirectory, VersionedFile};
@@ -8,26 +8,26 @@
 
 /// Name of the versioned file in the data directory.
 const FILE_NAME: &str = "identity";
-/// Format of the file's content.
+/// Format version of the file's content.
 const FORMAT: u32 = 1;
-/// The number, little-endian, and one byte for `bootstrap`.
+/// Length of the file's content: the number as a little-endian `u64`, and one byte for `bootstrap`.
 const CONTENT_BYTES: usize = 9;
 
-/// A store's identity.
+/// Identity of a store, as stored on its disk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Identity {
-    /// The random number that identifies the store; never 0.
+    /// Random number that identifies the store; never 0.
     pub number: NodeIdentity,
-    /// Whether the store was started with `bootstrap` in its settings when the identity was drawn: at the first start of
-    /// the whole system.
+    /// Value of the setting `bootstrap` when the identity was generated: true for the stores that were started with the
+    /// first start of the whole system.
     pub bootstrap: bool,
 }
 
 impl Identity {
-    /// The identity on the disk; `None` on an empty one.
+    /// Reads the identity from the data directory; `None` if the directory has no identity file.
     ///
     /// # Errors
-    /// [`StoreError::Storage`] where the disk can't be read, [`StoreError::Identity`] where the file has another content.
+    /// [`StoreError::Storage`] if the disk can't be read, [`StoreError::Identity`] if the file can't be decoded.
     pub fn load(directory: &DataDirectory) -> Result<Option<Self>, StoreError> {
         let file = VersionedFile::new(directory, FILE_NAME, FORMAT);
         match file.read().context(StorageSnafu)? {
@@ -36,10 +36,11 @@
         }
     }
 
-    /// The identity on the disk; on an empty one a new identity is drawn and stored before it is used.
+    /// Reads the identity from the data directory. If it has none, generates a new identity and writes it to disk before
+    /// returning it.
     ///
     /// # Errors
-    /// As for [`load`](Self::load), and [`StoreError::Storage`] where the disk can't be written.
+    /// Those of [`load`](Self::load), and [`StoreError::Storage`] if the disk can't be written.
     pub fn load_or_create(directory: &DataDirectory, bootstrap: bool) -> Result<Self, StoreError> {
         if let Some(known) = Self::load(directory)? {
             return Ok(known);
--- a/crates/store/src/inspect.rs
+++ b/crates/store/src/inspect.rs
@@ -1,4 +1,4 @@
-//! A summary of a store's data directory for operators: numbers and sizes, never contents.
+//! Summary of a store's data directory for operators. It shows counts and sizes, never the stored content.
 
 use crate::{
     Identity, StoreError,
@@ -14,62 +14,63 @@
 use snafu::{OptionExt, Snafu};
 use std::path::PathBuf;
 
-/// What a store has on disk.
+/// Summary of a store's state on disk.
 #[derive(Facet, Debug, Clone, PartialEq, Eq)]
 pub struct StoreOnDisk {
-    /// Its identity.
+    /// Identity of the store.
     pub identity: NodeIdentity,
-    /// Whether its disk was empty at the first start of the whole system.
+    /// Whether the identity was generated at the first start of the whole system.
     pub bootstrap: bool,
-    /// The highest epoch of the store map that it has learned.
+    /// Highest epoch of the store map that the store has learned.
     pub epoch: Epoch,
     /// Size of the log in bytes.
     pub log_bytes: u64,
-    /// The number of the log's oldest record.
+    /// Number of the oldest record in the log.
     pub first_record: u64,
-    /// The number that the next record gets.
+    /// Number that the next record will get.
     pub next_record: u64,
-    /// Bytes of memory of the live data, an estimate.
+    /// Estimated size of the live data in memory, in bytes.
     pub live_bytes: u64,
-    /// The partitions of which it has data. Some may be placed on another store by now; only the store map says so.
+    /// Partitions of which the log holds data. Some may no longer be placed on this store; only the store map, which is
+    /// not stored here, tells which.
     pub partitions: Vec<PartitionOnDisk>,
 }
 
-/// What is on disk of a partition.
+/// Summary of a partition's data on disk.
 #[derive(Facet, Debug, Clone, PartialEq, Eq)]
 pub struct PartitionOnDisk {
-    /// Its number.
+    /// Number of the partition.
     pub partition: Partition,
-    /// Programs with a count.
+    /// Number of programs with a count.
     pub programs: u64,
-    /// Turns.
+    /// Number of retained turns.
     pub turns: u64,
-    /// Bytes of memory of its live data, an estimate.
+    /// Estimated size of the partition's live data in memory, in bytes.
     pub bytes: u64,
 }
 
-/// Why a data directory can't be inspected.
+/// Error of inspecting a data directory.
 #[derive(Debug, Snafu)]
 pub enum InspectError {
-    /// The directory has no identity of a store.
-    #[snafu(display("{}: {}: no store has kept its state here", ResultCode::STATE_MISSING, path.display()))]
+    /// The directory has no identity file of a store.
+    #[snafu(display("{}: {}: the directory holds no state of a store", ResultCode::STATE_MISSING, path.display()))]
     Missing {
-        /// The directory.
+        /// Path of the directory.
         path: PathBuf,
     },
-    /// The state can't be read.
+    /// The identity or the log can't be read.
     #[snafu(transparent)]
     Unreadable {
-        /// The cause.
+        /// Error of reading the state.
         source: StoreError,
     },
 }
 
-/// Inspects a data directory. Nothing is changed if it was opened on a
-/// [`ReadOnlyDisk`](opalrun_storage::ReadOnlyDisk).
+/// Summarises a data directory. Opening the log may repair it on disk, so open the directory on a
+/// [`ReadOnlyDisk`](opalrun_storage::ReadOnlyDisk) to leave it unchanged.
 ///
 /// # Errors
-/// [`InspectError::Missing`] where no store has run in it, [`InspectError::Unreadable`] where its state can't be read.
+/// [`InspectError::Missing`] if no store has run on the directory, [`InspectError::Unreadable`] if its state can't be read.
 pub fn inspect(directory: &DataDirectory) -> Result<StoreOnDisk, InspectError> {
     let identity = Identity::load(directory)?.context(MissingSnafu { path: directory.path() })?;
     let unlimited = StoreLimits { memory_bytes: usize::MAX, disk_bytes: u64::MAX };
--- a/crates/store/src/journal.rs
+++ b/crates/store/src/journal.rs
@@ -1,4 +1,4 @@
-//! The thread that writes the log, as its disk operations block: all records that wait are written with one sync.
+//! The log writer: a thread of its own, because disk operations block. It writes all queued records with one sync.
 
 use opalrun_storage::{RecordLog, StorageError};
 use opalrun_wire::ResultCode;
@@ -10,23 +10,23 @@
 };
 use tokio::sync::watch;
 
-/// Backoff before records are written again to a disk that was full.
+/// Backoff before a write that failed on a full disk is retried.
 const FULL_DISK_BACKOFF: Duration = Duration::from_millis(100);
 
-/// The progress of the log's thread.
+/// Progress of the log writer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct JournalStatus {
-    /// All records with lower numbers are on disk.
+    /// Number of the first record that is not synced yet: all records with lower numbers are on disk.
     pub synced: u64,
     /// Size of the log in bytes.
     pub bytes: u64,
-    /// The disk is full; records that were handed over are written once it has room.
+    /// Whether the disk is full. Queued records are written once it has free space.
     pub is_full: bool,
-    /// The disk has failed with this result code: nothing more is written.
+    /// Result code of the write that failed; nothing is written after it.
     pub failed: Option<ResultCode>,
 }
 
-/// A handle to the log's thread. The thread ends, and closes the log, once this is dropped.
+/// Handle of the log writer. When it is dropped, the thread closes the log and ends.
 #[derive(Debug)]
 pub struct Journal {
     commands: Sender<Command>,
@@ -40,7 +40,7 @@
 }
 
 impl Journal {
-    /// Starts the thread, which writes to `log`.
+    /// Starts the writer thread on `log`.
     #[must_use]
     pub fn start(log: RecordLog) -> Self {
         let (commands, received) = channel();
@@ -51,28 +51,28 @@
         Self { commands, status }
     }
 
-    /// Hands over records. They are durable once [`wait_synced`](Self::wait_synced) returns for the last of them.
+    /// Queues records for writing. They are durable once [`wait_synced`](Self::wait_synced) returns for the last of them.
     pub fn write(&self, records: Vec<AlignedVec>) {
-        // A thread that has ended has said why in its status.
+        // Fails only if the thread has ended, and then `JournalStatus::failed` holds the reason.
         let _ = self.commands.send(Command::Write(records));
     }
 
-    /// Drops the log's oldest segments, as far as they contain only records before the number `record`, once everything
-    /// that was handed over earlier is written.
+    /// Deletes the oldest segments of the log that contain only records with numbers below `record`, after all records
+    /// queued so far are written.
     pub fn drop_before(&self, record: u64) {
         let _ = self.commands.send(Command::DropBefore(record));
     }
 
-    /// The thread's progress by now.
+    /// Returns the current progress of the writer.
     #[must_use]
     pub fn status(&self) -> JournalStatus {
         *self.status.borrow()
     }
 
-    /// Waits until a record is on disk.
+    /// Waits until the record with the number `record` is synced to disk.
     ///
     /// # Errors
-    /// The result code with which the disk failed.
+    /// The result code of the write that failed.
     pub async fn wait_synced(&self, record: u64) -> Result<(), ResultCode> {
         let mut status = self.status.clone();
         let status = status.wait_for(|status| status.synced > record || status.failed.is_some()).await;
@@ -83,13 +83,13 @@
         }
     }
 
-    /// Follows the thread's progress. The channel is closed once the thread has ended and closed the log.
+    /// Subscribes to the progress of the writer. The channel closes once the thread has closed the log and ended.
     #[must_use]
     pub fn watch(&self) -> watch::Receiver<JournalStatus> {
         self.status.clone()
     }
 
-    /// Waits until the disk has failed; returns the result code.
+    /// Waits until a write to the disk fails; returns its result code.
     pub async fn wait_failed(&self) -> ResultCode {
         let mut status = self.status.clone();
         let status = status.wait_for(|status| status.failed.is_some()).await;
@@ -97,7 +97,7 @@
     }
 }
 
-/// The state of the thread.
+/// State of the writer thread.
 struct Writer {
     log: RecordLog,
     received: Receiver<Command>,
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Runs all commands that wait: writes their records with one sync, then drops the oldest segments as far as the last
-    /// command allows.
+    /// Runs all queued commands: writes their records with one sync, then deletes the segments that the last
+    /// [`Command::DropBefore`] releases.
     fn run_batch(&mut self, first: Command) -> Result<(), StorageError> {
         let mut records = Vec::new();
         let mut drop_before = None;
@@ -141,7 +141,7 @@
         Ok(())
     }
 
-    /// Writes records; on a full disk again until it has room for them.
+    /// Appends records and syncs the log. Retries after [`FULL_DISK_BACKOFF`] for as long as the disk is full.
     fn write(&mut self, records: &[AlignedVec]) -> Result<(), StorageError> {
         loop {
             for record in records {
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,10 +1,11 @@
 //! The store role: a replica of the partitions that the store map places on it.
 //!
-//! A store keeps two kinds of data, each keyed to a partition: the counts of programs (the quota that each gatekeeper has
-//! leased of a program's budget) and retained turns. Gatekeepers write to all replicas of a partition and wait for
-//! a quorum; stores do not talk to each other, but for [`transfer`]. What is acknowledged is in the log on disk.
+//! A store holds two kinds of data, both sharded into partitions: counts (per program, the units of its budget that each
+//! gatekeeper has leased) and retained turns. Gatekeepers write to all replicas of a partition and wait for a quorum.
+//! Stores talk to each other only during a partition [`transfer`]. A write is acknowledged once its record is synced to
+//! the log on disk.
 //!
-//! [`state`] is the state machine without I/O; [`StoreServer`] drives it; [`run`] is the process around it.
+//! [`state`] holds the state machine, without I/O; [`StoreServer`] drives it; [`run`] runs the whole process.
 #![forbid(unsafe_code)]
 
 mod draining;
--- a/crates/store/src/metrics.rs
+++ b/crates/store/src/metrics.rs
@@ -1,9 +1,9 @@
-//! Metrics of a store for scrapers: all are read at the time of the scrape.
+//! Metrics of a store. All values are read at the time of the scrape.
 
 use crate::StoreServer;
 use opalrun_metrics::Scrape;
 
-/// Adds a store's metrics to a scrape.
+/// Adds the metrics of a store to a scrape.
 pub fn scrape(server: &StoreServer, scrape: &mut Scrape) {
     let state = server.state();
     let status = server.journal().status();
--- a/crates/store/src/process.rs
+++ b/crates/store/src/process.rs
@@ -1,4 +1,4 @@
-//! The role: a store process from its start to SIGTERM.
+//! The store process, from its start to SIGTERM.
 
 use crate::{
     Identity, StoreError, StoreServer,
@@ -20,21 +20,21 @@
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 use tokio::time::{MissedTickBehavior, interval, timeout};
 
-/// Period in which expired data is dropped and the log is compacted.
+/// Period of the maintenance step, which removes expired items and compacts the log.
 const MAINTENANCE_PERIOD: Duration = Duration::from_secs(1);
-/// Share of the machine's memory that data may take.
+/// Fraction of the machine's memory that the data may use.
 const MEMORY_SHARE: f64 = 0.4;
-/// Share of the machine's disk that the log may take: the rest is left for its compaction.
+/// Fraction of the machine's disk that the log may use; the rest is left for its compaction.
 const DISK_SHARE: f64 = 0.8;
-/// Bytes of a megabyte, the unit of the settings of memory and disk.
+/// Bytes per megabyte, the unit of the memory and disk settings.
 const MEGABYTE: f64 = 1_000_000.0;
-/// Part of the time between SIGTERM and SIGKILL in which a store may drain.
+/// Fraction of the time between SIGTERM and SIGKILL that draining may take.
 const DRAIN_SHARE: f64 = 0.8;
 
-/// Runs the role until SIGTERM.
+/// Runs a store process until SIGTERM.
 ///
 /// # Errors
-/// Where the disk can't be used or the address can't be listened on.
+/// Returned if a required setting is missing, the disk can't be used, or the store can't listen on its address.
 pub async fn run(settings: Settings) -> Result<(), StoreError> {
     let data_dir = settings.required_data_dir().context(SettingsSnafu)?;
     let directory = DataDirectory::open(data_dir).context(StorageSnafu)?;
@@ -67,7 +67,7 @@
     }
 }
 
-/// Serves gatekeepers and other stores.
+/// Serves the requests of gatekeepers and of other stores.
 pub async fn serve(listener: Listener, server: Rc<StoreServer>) {
     serve_rpc(listener, move |request| {
         let server = server.clone();
@@ -76,7 +76,8 @@
     .await;
 }
 
-/// Subscribes to the change feed of control, which delivers the store map and shows control that this store is alive.
+/// Subscribes to control's change feed. It delivers the store map, and the subscription shows control that this store is
+/// alive.
 fn start_feed(
     settings: &Settings,
     identity: Identity,
@@ -125,7 +126,7 @@
     }
 }
 
-/// What a store takes of a machine with these limits.
+/// Derives the store's limits from the memory and disk of the machine.
 fn store_limits(limits: &Limits) -> StoreLimits {
     StoreLimits {
         memory_bytes: (limits.memory_mb * MEGABYTE * MEMORY_SHARE) as usize,
--- a/crates/store/src/record.rs
+++ b/crates/store/src/record.rs
@@ -1,7 +1,8 @@
 //! The records of a store's log.
 //!
-//! A later record about the same program or turn replaces an earlier one, so replaying the log from any of its records
-//! on yields the newest state of everything that was written since.
+//! Each record holds the full state of one program's count or one turn, and a later record about the same program or turn
+//! replaces an earlier one. So replaying any suffix of the log restores the newest state of every item that has a record
+//! in that suffix.
 #![allow(
     missing_docs,
     reason = "the types that rkyv derives have undocumented fields; every type here is documented"
@@ -14,29 +15,29 @@
 };
 use rkyv::{Archive, Deserialize, Serialize, util::AlignedVec};
 
-/// A record of the log. Its encoding is stored: golden files in `tests/golden` hold every variant.
+/// A record of the log. The encoding is persistent: the golden files in `tests/golden` cover every variant.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, Eq)]
 pub enum Record {
-    /// The store has learned this epoch of the store map and accepts no older map.
+    /// Highest epoch of the store map that the store has learned; older maps are rejected from then on.
     Epoch(Epoch),
-    /// A program's count: all entries.
+    /// The count of a program.
     Program {
-        /// The program.
+        /// Name of the program.
         program: String,
-        /// Its entries, one of each holder.
+        /// All entries of the count, one per holder.
         entries: Vec<CountEntry>,
     },
     /// A retained turn.
     Turn {
-        /// The turn.
+        /// Content of the turn.
         turn: Turn,
-        /// Milliseconds for which it is retained from the writing, or the replay, of this record on.
+        /// Retention in milliseconds, counted from when the record was written, or from its replay at a start.
         keep_ms: u64,
     },
 }
 
 impl Record {
-    /// The record's bytes.
+    /// Encodes the record.
     #[must_use]
     pub fn encode(&self) -> AlignedVec {
         frame::encode(self)
@@ -45,7 +46,7 @@
     /// Decodes a record.
     ///
     /// # Errors
-    /// [`FrameError::Unreadable`] where the bytes are no record.
+    /// [`FrameError::Unreadable`] if the bytes are not a valid record.
     pub fn decode(bytes: &[u8]) -> Result<Self, FrameError> {
         frame::decode(bytes)
     }
--- a/crates/store/src/server.rs
+++ b/crates/store/src/server.rs
@@ -1,4 +1,4 @@
-//! The driver of a store's state machine: feeds it requests, store maps and pages, and hands its records to the log.
+//! Driver of the store's state machine: passes requests, store maps and pages to it, and its records to the log.
 
 use crate::{
     error::{RecordSnafu, StorageSnafu, StoreError},
@@ -23,31 +23,31 @@
     time::{Instant, timeout_at},
 };
 
-/// Time-out of a request from a newer epoch that waits for the store map.
+/// Time-out for a newer store map to arrive, after a request from an epoch that this store has not learned yet.
 const MAP_TIMEOUT: Duration = Duration::from_millis(300);
-/// The log's name in the data directory.
+/// Name of the log in the data directory.
 const LOG_NAME: &str = "store";
-/// Size of a segment of the log.
+/// Size of a log segment.
 const SEGMENT_BYTES: u64 = 4 << 20;
-/// The log is compacted when it is larger than twice the live data plus this many bytes.
+/// The log is compacted while it is larger than twice the live data plus this size.
 const COMPACTION_SLACK_BYTES: u64 = 12 << 20;
-/// Bytes of data that one step of the compaction writes anew, about.
+/// Approximate size of the records that one compaction step rewrites.
 const COMPACTION_STEP_BYTES: usize = 256 << 10;
-/// Partitions in which one step of the maintenance drops what has expired.
+/// Number of partitions from which one maintenance step removes expired items.
 const EXPIRY_STEP_PARTITIONS: u16 = STORE_PARTITIONS / 8;
 
-/// A store's state with its log.
+/// State of a store together with its log.
 ///
-/// It is shared by the tasks of all requests, the replicator, the change feed and the metrics of one thread, so its state
-/// is a `RefCell`. A borrow ends within the method that takes it, or with the expression that calls [`Self::state`]; none
-/// lasts over an await.
+/// Shared by the request tasks, the replicator, the change feed and the metrics, which all run on one thread, so the state
+/// is in a `RefCell`. A borrow ends within the method that takes it, or with the expression that calls [`Self::state`];
+/// no borrow is held across an await.
 pub struct StoreServer {
     identity: NodeIdentity,
     state: RefCell<StoreState>,
     journal: Journal,
     started: Instant,
     map_changed: Notify,
-    /// The partition in which expired data is dropped next.
+    /// First partition from which the next maintenance step removes expired items.
     expire_next: Cell<u16>,
 }
 
@@ -55,7 +55,7 @@
     /// Opens the log, replays its records, and starts the thread that writes it.
     ///
     /// # Errors
-    /// [`StoreError::Storage`] or [`StoreError::Record`] where the log can't be read.
+    /// [`StoreError::Storage`] if the log can't be read, [`StoreError::Record`] if one of its records can't be decoded.
     pub fn open(
         directory: &DataDirectory,
         identity: NodeIdentity,
@@ -72,25 +72,25 @@
         }))
     }
 
-    /// The store's identity.
+    /// Returns the identity of this store.
     #[must_use]
     pub fn identity(&self) -> NodeIdentity {
         self.identity
     }
 
-    /// The state. The borrow must end before the caller awaits anything.
+    /// Borrows the state. The borrow must end before the caller awaits anything.
     #[must_use]
     pub fn state(&self) -> Ref<'_, StoreState> {
         self.state.borrow()
     }
 
-    /// The log.
+    /// Returns the handle of the log writer.
     #[must_use]
     pub fn journal(&self) -> &Journal {
         &self.journal
     }
 
-    /// Applies a newer store map; returns whether it was newer.
+    /// Applies a store map if it is newer than the current one; returns whether it was.
     pub fn set_map(&self, map: Rc<StoreMap>) -> bool {
         let is_newer = self.state.borrow_mut().set_map(map);
         self.submit();
@@ -105,7 +105,7 @@
         self.map_changed.notified()
     }
 
-    /// Serves a request; replies once what it wrote is on disk.
+    /// Serves a request. Returns the reply once the records that it depends on are synced to disk.
     pub async fn serve(&self, request: StoreRequest) -> StoreReply {
         let deadline = Instant::now() + MAP_TIMEOUT;
         loop {
@@ -120,15 +120,15 @@
         }
     }
 
-    /// Merges a page of another store and waits until it is on disk; returns whether it is.
+    /// Merges a page of another store and waits until it is synced to disk; returns false if the disk failed.
     pub async fn merge_page(&self, page: PartitionPage) -> bool {
         let record = self.state.borrow_mut().merge_page(page, self.started.elapsed());
         self.submit();
         self.journal.wait_synced(record).await.is_ok()
     }
 
-    /// Drops what has expired in some of the partitions, and compacts the log in a small step. To be called every
-    /// second.
+    /// Runs one maintenance step: removes expired items from the next eighth of the partitions, and compacts the log by
+    /// a small step if it has grown too large. To be called every second.
     pub fn maintain(&self) {
         let now = self.started.elapsed();
         let mut state = self.state.borrow_mut();
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Hands new records to the log's thread.
+    /// Passes pending records to the log writer.
     fn submit(&self) {
         let mut state = self.state.borrow_mut();
         if state.has_pending_records() {
@@ -176,7 +176,7 @@
 /// Opens the log in `directory` and replays its records.
 ///
 /// # Errors
-/// [`StoreError::Storage`] where the log can't be read, [`StoreError::Record`] where one of its records can't.
+/// [`StoreError::Storage`] if the log can't be read, [`StoreError::Record`] if one of its records can't be decoded.
 pub(crate) fn replay_log(
     directory: &DataDirectory,
     identity: NodeIdentity,
--- a/crates/store/src/state/compaction.rs
+++ b/crates/store/src/state/compaction.rs
@@ -1,4 +1,5 @@
-//! Compaction of the log: the oldest items are written anew at its end, so that its oldest part can be dropped.
+//! Compaction of the log: rewrites the items with the oldest records at the end of the log, so that its oldest segments
+//! can be deleted.
 
 use super::{Item, StoreState, partition::PartitionData, remaining_ms};
 use crate::record::Record;
@@ -7,7 +8,7 @@
 use std::time::Duration;
 
 impl StoreState {
-    /// The number of the oldest record that is still needed: those before it may be dropped from the log.
+    /// Returns the number of the oldest record that is still needed. Records with lower numbers may be deleted.
     #[must_use]
     pub fn oldest_record(&self) -> u64 {
         let items = self.partitions.iter().filter_map(PartitionData::oldest_record);
@@ -15,7 +16,8 @@
         items.chain(epoch).min().unwrap_or(self.next_record)
     }
 
-    /// Writes the oldest items anew, about `bytes` of them, so that the oldest part of the log can be dropped.
+    /// Rewrites the items with the oldest records, until the rewritten records have about `bytes` bytes or all records that
+    /// existed at the call are rewritten. Expired items are removed instead.
     pub fn rewrite_oldest(&mut self, bytes: usize, now: Duration) {
         let end = self.next_record;
         let target = self.pending_bytes() + bytes;
--- a/crates/store/src/state/merge.rs
+++ b/crates/store/src/state/merge.rs
@@ -1,4 +1,4 @@
-//! Merging counts and turns, as gatekeepers write them and as pages of other stores bring them.
+//! Merging of counts and turns, from writes of gatekeepers and from pages of other stores.
 
 use super::{COUNT_RETENTION, PartitionPage, ProgramEntries, StoreState, TransferredTurn, duration_ms};
 use crate::record::Record;
@@ -9,7 +9,8 @@
 use std::time::Duration;
 
 impl StoreState {
-    /// Merges a page of another store. Returns the number of the record after which all of it is on disk.
+    /// Merges a page of another store. Returns the number of the last record that must be synced before the whole page is
+    /// durable.
     pub fn merge_page(&mut self, page: PartitionPage, now: Duration) -> u64 {
         for ProgramEntries { program, entries } in page.counts {
             self.merge_count(&program, &entries, now);
@@ -20,8 +21,8 @@
         self.next_record.saturating_sub(1)
     }
 
-    /// Merges entries into a program's count; the highest sequence of each holder wins. Returns the number of the record
-    /// that holds the result.
+    /// Merges entries into a program's count; for each holder, the entry with the highest sequence number wins. Returns the
+    /// number of the record that holds the result.
     pub(super) fn merge_count(&mut self, program: &str, entries: &[CountEntry], now: Duration) -> u64 {
         let partition = partition_of(program).position();
         let expires = now + COUNT_RETENTION;
@@ -38,7 +39,7 @@
         number
     }
 
-    /// Retains a turn for `keep_ms` milliseconds at least. Returns the number of the record that holds it.
+    /// Retains a turn for at least `keep_ms` milliseconds from `now`. Returns the number of the record that holds it.
     pub(super) fn retain_turn(&mut self, turn: Turn, keep_ms: u64, now: Duration) -> u64 {
         let partition = partition_of(&turn.id).position();
         let expires = now + Duration::from_millis(keep_ms);
--- a/crates/store/src/state/mod.rs
+++ b/crates/store/src/state/mod.rs
@@ -1,14 +1,14 @@
-//! A store's state machine, without I/O: it takes requests, store maps and pages of partition transfers with the time,
-//! and says which records to write to the log and what to reply once they are on disk.
+//! The store's state machine, without I/O. Its inputs are requests, store maps and pages of partition transfers, each with
+//! the current time; its outputs are the records to write to the log and the replies to send once those are on disk.
 //!
-//! All times are [`Duration`]s since the process started, by a monotonic clock that the caller reads.
+//! All times are [`Duration`]s since the start of the process, on a monotonic clock that the caller reads.
 //!
 //! # Epochs
 //!
-//! Once a store has learned an epoch of the store map, it serves no request about a partition from an epoch in which that
-//! partition was placed otherwise. The epoch is written to the log before anything is answered in it, so this is true
-//! after a restart as well. So an operation that got its quorum in an old epoch comes entirely before each operation of
-//! a newer epoch that shares a replica with it, and any two quorums share one.
+//! Once a store has learned an epoch of the store map, it serves no request about a partition from an older epoch in which
+//! the partition had a different placement. The epoch is written to the log before any reply is sent in it, so this also
+//! holds after a restart. Hence an operation that reached its quorum in an old epoch precedes every operation of a newer
+//! epoch that shares a replica with it, and any two quorums share a replica.
 
 mod compaction;
 mod merge;
@@ -33,60 +33,60 @@
 pub use store_map::RequiredTransfer;
 pub(crate) use store_map::is_placed_on;
 
-/// A program's count is forgotten this long after its last write.
+/// Retention of a program's count, from its last write.
 pub const COUNT_RETENTION: Duration = Duration::from_mins(10);
-/// Bytes of data above which a page of a partition transfer ends; its last item may exceed it.
+/// Target size of a page of a partition transfer, in bytes of item data. A page ends with the item that reaches it.
 pub const PAGE_BYTES: usize = 64 << 10;
 
-/// The outcome of a request.
+/// Outcome of a request.
 #[derive(Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// The reply may be sent at once.
+    /// The reply may be sent immediately.
     Reply(StoreReply),
-    /// The reply may be sent once this record and all before it are on disk.
+    /// The reply may be sent once all records up to `record` are synced to disk.
     AfterSync {
-        /// The record's number.
+        /// Number of the last record that must be synced.
         record: u64,
-        /// The reply.
+        /// Reply to send after the sync.
         reply: StoreReply,
     },
-    /// The request comes from a newer epoch: handle it again once the map has arrived, or reply
-    /// [`StoreState::stale_epoch_reply`] where it does not arrive in time.
+    /// The request is from an epoch that this store has not learned yet. The caller handles it again once a newer map has
+    /// arrived, or replies [`StoreState::stale_epoch_reply`] after a time-out.
     NewerEpoch,
 }
 
-/// Limits of what a store takes.
+/// Capacity limits of a store.
 #[derive(Debug, Clone, Copy)]
 pub struct StoreLimits {
-    /// Bytes of data in memory from which on turns are rejected.
+    /// Size of the data in memory, in bytes, at which writes of turns are rejected.
     pub memory_bytes: usize,
-    /// Bytes of the log from which on all writes are rejected.
+    /// Size of the log, in bytes, at which all writes are rejected.
     pub disk_bytes: u64,
 }
 
-/// A store's state.
+/// State of a store.
 #[derive(Debug)]
 pub struct StoreState {
     identity: NodeIdentity,
     limits: StoreLimits,
-    /// The highest epoch ever learned; a map below it is ignored.
+    /// Highest epoch ever learned; maps with a lower epoch are ignored.
     epoch: Epoch,
-    /// The number of the record that holds it.
+    /// Number of the log record that holds `epoch`.
     epoch_record: u64,
     map: Option<Rc<StoreMap>>,
-    /// By partition.
+    /// Placement epochs of each partition, indexed by partition number.
     partition_epochs: Vec<PartitionEpochs>,
-    /// By partition.
+    /// Data of each partition, indexed by partition number.
     partitions: Vec<PartitionData>,
     next_record: u64,
-    /// Records that are not handed to the log yet, the last of them the one before `next_record`.
+    /// Records not handed to the log yet; the last one has the number `next_record - 1`.
     pending: Vec<AlignedVec>,
     log_bytes: u64,
     is_disk_full: bool,
 }
 
 impl StoreState {
-    /// The state of a store with an empty log.
+    /// Creates the state of a store with an empty log.
     #[must_use]
     pub fn new(identity: NodeIdentity, limits: StoreLimits) -> Self {
         Self {
@@ -104,11 +104,11 @@
         }
     }
 
-    /// Applies a record of the log at a start. What is retained for a time is retained for all of it from `now` on, since
-    /// nobody knows for how long the store was down.
+    /// Applies a record of the log during the replay at a start. Counts and turns are retained for their full retention
+    /// time from `now`, because the store does not know for how long it was down.
     ///
     /// # Errors
-    /// [`FrameError::Unreadable`] where the bytes are no record.
+    /// [`FrameError::Unreadable`] if the bytes are not a valid record.
     pub fn replay(&mut self, number: u64, bytes: &[u8], now: Duration) -> Result<(), FrameError> {
         self.next_record = number + 1;
         match Record::decode(bytes)? {
@@ -128,71 +128,71 @@
         Ok(())
     }
 
-    /// Sets the number of the next record, once the log is replayed.
+    /// Sets the number of the next record. To be called after the log is replayed.
     pub fn set_next_record(&mut self, next_record: u64) {
         self.next_record = next_record;
     }
 
-    /// The highest epoch known.
+    /// Returns the highest epoch learned so far.
     #[must_use]
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// The map in force.
+    /// Returns the newest store map received since the start, if any.
     #[must_use]
     pub fn map(&self) -> Option<&Rc<StoreMap>> {
         self.map.as_ref()
     }
 
-    /// The reply to a request of an epoch that can't be served.
+    /// Returns the reply to a request that can't be served in its epoch: the highest epoch that this store has learned.
     #[must_use]
     pub fn stale_epoch_reply(&self) -> StoreReply {
         StoreReply::StaleEpoch { epoch: self.epoch }
     }
 
-    /// Records that are to be written to the log, in order, from number `next_record - len` on.
+    /// Takes the pending records, to be written to the log in order. The first has the number `next_record - len`.
     pub fn take_pending_records(&mut self) -> Vec<AlignedVec> {
         std::mem::take(&mut self.pending)
     }
 
-    /// Whether records wait to be written.
+    /// Whether there are records that [`take_pending_records`](Self::take_pending_records) would return.
     #[must_use]
     pub fn has_pending_records(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// The number that the next record gets.
+    /// Returns the number that the next record will get.
     #[must_use]
     pub fn next_record(&self) -> u64 {
         self.next_record
     }
 
-    /// Updates what is known of the disk: the log's size in bytes, and whether writes fail as the disk is full.
+    /// Updates the status of the disk: the size of the log in bytes, and whether writes fail because the disk is full.
     pub fn set_disk_status(&mut self, log_bytes: u64, is_full: bool) {
         self.log_bytes = log_bytes;
         self.is_disk_full = is_full;
     }
 
-    /// Drops what has expired at `now` in one of the partitions.
+    /// Removes the items of a partition that have expired at `now`.
     pub fn expire(&mut self, partition: Partition, now: Duration) {
         if let Some(data) = self.partitions.get_mut(partition.position()) {
             data.expire(now);
         }
     }
 
-    /// The sizes of the partitions, by number.
+    /// Iterates over the sizes of all partitions, in order of their numbers.
     pub fn sizes(&self) -> impl Iterator<Item = PartitionSize> + '_ {
         self.partitions.iter().map(PartitionData::size)
     }
 
-    /// Bytes of data in memory, an estimate.
+    /// Returns the estimated size of the data in memory, in bytes.
     #[must_use]
     pub fn live_bytes(&self) -> usize {
         self.partitions.iter().map(PartitionData::bytes).sum()
     }
 
-    /// Appends a record to those that wait for the log; returns its number.
+    /// Appends a record to the pending records; returns its number.
     fn append(&mut self, record: &Record) -> u64 {
         self.pending.push(record.encode());
         self.next_record += 1;
@@ -200,12 +200,12 @@
     }
 }
 
-/// Milliseconds from `now` until something expires; 0 if it has.
+/// Milliseconds from `now` until `expires`; 0 if that has passed.
 fn remaining_ms(expires: Duration, now: Duration) -> u64 {
     duration_ms(expires.saturating_sub(now))
 }
 
-/// A duration in whole milliseconds.
+/// Converts a duration to whole milliseconds.
 fn duration_ms(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/store/src/state/page.rs
+++ b/crates/store/src/state/page.rs
@@ -1,9 +1,9 @@
-//! A page of a partition, as one store hands it to another.
+//! Pages of a partition transfer.
 
 use opalrun_wire::store::{CountEntry, Turn};
 use std::time::Duration;
 
-/// A page of a partition from another store.
+/// Page of a partition, received from another store.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PartitionPage {
     /// Counts of programs.
@@ -15,24 +15,24 @@
 /// A program with all entries of its count.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProgramEntries {
-    /// The program.
+    /// Name of the program.
     pub program: String,
     /// The newest entry of each holder.
     pub entries: Vec<CountEntry>,
 }
 
-/// A retained turn of another store.
+/// A retained turn, received from another store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TransferredTurn {
-    /// The turn.
+    /// Content of the turn.
     pub turn: Turn,
-    /// For how long the other store still retains it.
+    /// Remaining retention of the turn at the source when it sent the page.
     pub remaining: Duration,
 }
 
 impl PartitionPage {
-    /// The page that a [`StoreReply::Page`](opalrun_wire::store::StoreReply::Page) carries: programs with their entries,
-    /// and turns with the milliseconds for which they are still retained.
+    /// Converts the fields of a [`StoreReply::Page`](opalrun_wire::store::StoreReply::Page): programs with the entries of
+    /// their counts, and turns with their remaining retention in milliseconds.
     #[must_use]
     pub fn from_wire(counts: Vec<(String, Vec<CountEntry>)>, turns: Vec<(Turn, u64)>) -> Self {
         let counts = counts.into_iter().map(|(program, entries)| ProgramEntries { program, entries });
--- a/crates/store/src/state/partition.rs
+++ b/crates/store/src/state/partition.rs
@@ -1,4 +1,4 @@
-//! The data of one partition: counts and retained turns, in the order of the log records that hold their newest state.
+//! In-memory data of one partition: counts and retained turns, ordered by the log records that hold their newest state.
 
 use opalrun_wire::store::{CountEntry, Turn};
 use std::{
@@ -7,62 +7,65 @@
     time::Duration,
 };
 
-/// Estimate of the bytes of memory that an item takes beside its data.
+/// Estimated memory overhead of an item beyond its data, in bytes.
 const ITEM_OVERHEAD_BYTES: usize = 160;
 
-/// The data of a partition. Each item is keyed by the number of the log record that holds its newest state.
+/// Data of a partition. Each item is keyed by the number of the log record that holds its newest state.
 #[derive(Debug, Default)]
 pub struct PartitionData {
     items: BTreeMap<u64, Item>,
+    /// Record number of each program's count, by the program's name.
     programs: HashMap<Rc<str>, u64>,
+    /// Record number of each turn, by the turn's id.
     turns: HashMap<Rc<str>, u64>,
+    /// Sum of [`Item::bytes`] over all items.
     bytes: usize,
 }
 
-/// The size of a partition's data.
+/// Size of a partition's data.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PartitionSize {
-    /// Programs with a count.
+    /// Number of programs with a count.
     pub programs: usize,
-    /// Turns.
+    /// Number of retained turns, including expired ones that are not removed yet.
     pub turns: usize,
-    /// Bytes of memory, an estimate.
+    /// Estimated size in memory, in bytes.
     pub bytes: usize,
 }
 
-/// A program's count or a turn.
+/// Item of a partition.
 #[derive(Debug)]
 pub enum Item {
-    /// A program's count.
+    /// The count of a program.
     Program(ProgramCount),
-    /// A turn.
+    /// A retained turn.
     Turn(RetainedTurn),
 }
 
-/// The count of a program.
+/// Count of a program: the units of its budget that each holder has taken.
 #[derive(Debug)]
 pub struct ProgramCount {
-    /// The program.
+    /// Name of the program, shared with the index.
     pub program: Rc<str>,
     /// The newest entry of each holder.
     pub entries: Vec<CountEntry>,
-    /// When it expires, by the monotonic clock.
+    /// Time at which the count expires, on the monotonic clock.
     pub expires: Duration,
 }
 
-/// A turn and until when it is retained.
+/// A turn and its time of expiry.
 #[derive(Debug)]
 pub struct RetainedTurn {
-    /// Its id, shared with the index.
+    /// Id of the turn, shared with the index.
     pub id: Rc<str>,
-    /// The turn.
+    /// Content of the turn.
     pub turn: Turn,
-    /// When it expires, by the monotonic clock.
+    /// Time at which the turn expires, on the monotonic clock.
     pub expires: Duration,
 }
 
 impl Item {
-    /// Bytes of memory, an estimate.
+    /// Returns the estimated size in memory, in bytes.
     #[must_use]
     pub fn bytes(&self) -> usize {
         let data = match self {
@@ -72,7 +75,7 @@
         data + ITEM_OVERHEAD_BYTES
     }
 
-    /// When it expires, by the monotonic clock.
+    /// Returns the time at which the item expires, on the monotonic clock.
     #[must_use]
     pub fn expires(&self) -> Duration {
         match self {
@@ -88,25 +91,25 @@
 }
 
 impl PartitionData {
-    /// Bytes of memory, an estimate.
+    /// Returns the estimated size in memory, in bytes.
     #[must_use]
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Its size.
+    /// Returns the number of items of each kind and their size in memory.
     #[must_use]
     pub fn size(&self) -> PartitionSize {
         PartitionSize { programs: self.programs.len(), turns: self.turns.len(), bytes: self.bytes }
     }
 
-    /// The lowest record that some item still needs.
+    /// Returns the lowest number of a log record that holds the newest state of an item; `None` without items.
     #[must_use]
     pub fn oldest_record(&self) -> Option<u64> {
         self.items.first_key_value().map(|(number, _)| *number)
     }
 
-    /// A program's count, with the number of its record.
+    /// Returns the count of a program with the number of its log record.
     #[must_use]
     pub fn program(&self, program: &str) -> Option<(u64, &ProgramCount)> {
         let number = *self.programs.get(program)?;
@@ -116,7 +119,7 @@
         }
     }
 
-    /// A turn that has not expired, with the number of its record.
+    /// Returns a turn that has not expired at `now`, with the number of its log record.
     #[must_use]
     pub fn turn(&self, id: &str, now: Duration) -> Option<(u64, &RetainedTurn)> {
         let number = *self.turns.get(id)?;
@@ -126,7 +129,7 @@
         }
     }
 
-    /// Inserts a program's count with the number of its record, in place of an older state of it.
+    /// Inserts the count of a program, which the log record `number` holds. Replaces the older state of the count, if any.
     pub fn put_program(&mut self, number: u64, program: &str, entries: Vec<CountEntry>, expires: Duration) {
         let known = self.programs.get(program).copied();
         if let Some(known) = known {
@@ -137,8 +140,8 @@
         self.insert(number, Item::Program(ProgramCount { program, entries, expires }));
     }
 
-    /// Inserts a turn with the number of its record, in place of an older state of it. It is retained as long as that at
-    /// least.
+    /// Inserts a turn, which the log record `number` holds. Replaces the older state of the turn, if any, and never
+    /// shortens its retention.
     pub fn put_turn(&mut self, number: u64, turn: Turn, expires: Duration) {
         let known = self.turns.get(turn.id.as_str()).copied();
         let known_expires =
@@ -149,7 +152,7 @@
         self.insert(number, Item::Turn(RetainedTurn { id, turn, expires }));
     }
 
-    /// Retains a program's count until `expires` at least.
+    /// Extends the retention of a program's count to at least `expires`.
     pub fn extend_program(&mut self, program: &str, expires: Duration) {
         let Some(number) = self.programs.get(program) else { return };
         if let Some(Item::Program(count)) = self.items.get_mut(number) {
@@ -157,7 +160,7 @@
         }
     }
 
-    /// Retains a turn until `expires` at least.
+    /// Extends the retention of a turn to at least `expires`.
     pub fn extend_turn(&mut self, id: &str, expires: Duration) {
         let Some(number) = self.turns.get(id) else { return };
         if let Some(Item::Turn(retained)) = self.items.get_mut(number) {
@@ -165,7 +168,7 @@
         }
     }
 
-    /// Removes the item at a record and returns it.
+    /// Removes and returns the item whose newest state the log record `number` holds.
     pub fn remove(&mut self, number: u64) -> Option<Item> {
         let item = self.items.remove(&number)?;
         self.bytes -= item.bytes();
@@ -176,7 +179,7 @@
         Some(item)
     }
 
-    /// Removes what has expired at `now`.
+    /// Removes all items that have expired at `now`.
     pub fn expire(&mut self, now: Duration) {
         let expired: Vec<u64> =
             self.items.iter().filter(|(_, item)| item.expires() <= now).map(|(number, _)| *number).collect();
@@ -185,7 +188,7 @@
         }
     }
 
-    /// The items from the record `number` on, in order.
+    /// Iterates over the items whose log record has the number `number` or a higher one, in order of the numbers.
     pub fn items_from(&self, number: u64) -> impl Iterator<Item = (u64, &Item)> {
         self.items.range(number..).map(|(number, item)| (*number, item))
     }
--- a/crates/store/src/state/requests.rs
+++ b/crates/store/src/state/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of gatekeepers and of other stores.
+//! Handling of requests from gatekeepers and from other stores.
 
 use super::{Item, PAGE_BYTES, RequestOutcome, StoreState, remaining_ms};
 use opalrun_wire::{
@@ -9,13 +9,13 @@
 };
 use std::time::Duration;
 
-/// What the epoch of a request means for it.
+/// Result of checking the epoch of a request.
 enum EpochCheck {
-    /// It can be served, by a replica that is complete or not.
+    /// The request can be served; `is_complete` says whether this store's replica of the partition is complete.
     Current { is_complete: bool },
-    /// This store does not know the epoch yet.
+    /// This store has not learned the epoch yet.
     Newer,
-    /// The partition was placed otherwise in that epoch, or is not placed on this store.
+    /// The partition had a different placement in that epoch, or has no replica on this store.
     Stale,
 }
 
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Serves a request about a partition where its epoch is current; `serve` gets whether this replica is complete.
+    /// Serves a request about a partition if its epoch is current. `serve` is passed whether this store's replica of the
+    /// partition is complete.
     fn serve_in_epoch(
         &mut self,
         epoch: Epoch,
@@ -59,7 +60,7 @@
     ) -> RequestOutcome {
         match self.check_epoch(epoch, partition) {
             EpochCheck::Current { is_complete } => match serve(self, is_complete) {
-                // Nothing is sent before the epoch in which it is true is on disk.
+                // The epoch of a reply must be on disk before the reply is sent.
                 RequestOutcome::AfterSync { record, reply } => {
                     RequestOutcome::AfterSync { record: record.max(self.epoch_record), reply }
                 }
@@ -91,8 +92,8 @@
         }
     }
 
-    /// A page may be read from a complete replica, or a former one, that knows the requesting store's epoch or a newer
-    /// one: from then on it accepts no write of an older epoch that the transfer could miss.
+    /// Serves a page of a partition transfer, if this store is a complete or former replica that has learned the requesting
+    /// store's epoch or a newer one: from then on it accepts no write of an older epoch, which the transfer could miss.
     fn copy_partition(
         &mut self,
         epoch: Epoch,
@@ -111,11 +112,12 @@
             return RequestOutcome::Reply(self.stale_epoch_reply());
         }
         let reply = self.page(partition, cursor, now);
-        // The page must be on disk first, so that a restart does not give the numbers of its records to others.
+        // The records of the page must be on disk first. Otherwise a restart could give their numbers, which serve as
+        // cursors, to other records.
         RequestOutcome::AfterSync { record: self.next_record.saturating_sub(1), reply }
     }
 
-    /// A page of a partition that begins at the record `cursor`.
+    /// Returns the page of a partition that begins at the record number `cursor`.
     fn page(&self, partition: Partition, cursor: u64, now: Duration) -> StoreReply {
         let (mut counts, mut turns, mut next) = (Vec::new(), Vec::new(), None);
         let mut bytes = 0;
@@ -173,7 +175,8 @@
         }
     }
 
-    /// The extension is kept in memory only: after a restart everything is retained for its full time anew.
+    /// Extends the retention of turns, in memory only: after a restart every turn is retained for its full retention time
+    /// again.
     fn extend_turns(
         &mut self,
         is_complete: bool,
@@ -189,14 +192,14 @@
         RequestOutcome::AfterSync { record: self.epoch_record, reply: StoreReply::Stored { is_complete } }
     }
 
-    /// The reply to a write where the disk or the log's limit has no room for it.
+    /// Returns the reply that rejects a write if the disk is full or the log has reached its size limit.
     fn disk_full_reply(&self) -> Option<RequestOutcome> {
         let is_full = self.is_disk_full || self.log_bytes >= self.limits.disk_bytes;
         is_full.then_some(RequestOutcome::Reply(StoreReply::Failed { code: ResultCode::DISK_FULL.0 }))
     }
 }
 
-/// Whether replicas of a partition may catch up from a store: a complete replica, or a former one.
+/// Whether replicas of a partition may catch up from a store, as it is a complete replica or a former one.
 fn is_source(partition: &PartitionReplicas, store: NodeIdentity) -> bool {
     partition.sources.contains(&store)
         || partition.replicas.iter().any(|replica| replica.store == store && replica.is_complete)
--- a/crates/store/src/state/store_map.rs
+++ b/crates/store/src/state/store_map.rs
@@ -1,4 +1,5 @@
-//! The store map: which epoch is known, since when each partition is placed as it is, and what has to be transferred.
+//! Handling of store maps: the highest epoch learned, the epoch in which the placement of each partition last changed, and
+//! the partitions that this store has to catch up on.
 
 use super::{StoreState, partition::PartitionData};
 use crate::record::Record;
@@ -8,27 +9,27 @@
 };
 use std::rc::Rc;
 
-/// Since which epochs a partition is placed as it is.
+/// Epochs in which the placement of a partition last changed.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct PartitionEpochs {
-    /// Since this epoch nothing about its placement has changed.
+    /// Epoch of the last change of the placement: of the replicas, of their completeness, or of the sources.
     pub(super) unchanged_since: Epoch,
-    /// Since this epoch its replicas are the same stores, complete or not.
+    /// Epoch of the last change of the set of stores that are replicas, whether complete or not.
     replicas_since: Epoch,
 }
 
-/// A partition that this store has to catch up on, as its replica is not complete.
+/// A partition of which this store is an incomplete replica, so that it has to catch up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequiredTransfer {
-    /// The partition.
+    /// Number of the partition.
     pub partition: Partition,
-    /// Since this epoch its replicas are the same stores: a transfer that began in an older one does not count.
+    /// Epoch in which the replicas of the partition last changed. A transfer that began in an older epoch is not valid.
     pub replicas_since: Epoch,
 }
 
 impl StoreState {
-    /// Applies a newer store map; returns whether it was newer. The data of partitions that are not placed on this store
-    /// any more are dropped.
+    /// Applies a store map if it is newer than the current one; returns whether it was. Discards the data of partitions
+    /// that are no longer placed on this store.
     pub fn set_map(&mut self, map: Rc<StoreMap>) -> bool {
         let current = self.map.as_ref().map(|map| map.epoch);
         if map.epoch < self.epoch || current.is_some_and(|current| map.epoch <= current) {
@@ -44,7 +45,7 @@
         true
     }
 
-    /// Partitions of which this store is a replica that is not complete.
+    /// Returns the partitions of which this store is an incomplete replica.
     #[must_use]
     pub fn required_transfers(&self) -> Vec<RequiredTransfer> {
         let Some(map) = &self.map else { return Vec::new() };
@@ -73,7 +74,7 @@
             if old.map(replica_stores) != new.map(replica_stores) {
                 epochs.replicas_since = map.epoch;
             }
-            // Without the map of the epoch before, nobody knows what has changed in between.
+            // Without the map of the preceding epoch, a change of the placement in between can't be ruled out.
             if previous.is_none() {
                 *epochs = PartitionEpochs { unchanged_since: map.epoch, replicas_since: map.epoch };
             }
@@ -85,7 +86,7 @@
         for (number, data) in self.partitions.iter_mut().enumerate() {
             let is_placed_here =
                 map.partitions.get(number).is_some_and(|partition| is_placed_on(partition, self.identity));
-            // Before control has placed the partitions for the first time the map has none.
+            // The map has no partitions until control has placed them for the first time.
             if !is_placed_here && !map.partitions.is_empty() {
                 *data = PartitionData::default();
             }
@@ -93,7 +94,7 @@
     }
 }
 
-/// Whether a store is a replica of a partition, or a source for its replicas.
+/// Whether a store is a replica of a partition, or a source that its replicas catch up from.
 pub(crate) fn is_placed_on(partition: &PartitionReplicas, store: NodeIdentity) -> bool {
     partition.sources.contains(&store) || partition.replicas.iter().any(|replica| replica.store == store)
 }
--- a/crates/store/src/transfer/mod.rs
+++ b/crates/store/src/transfer/mod.rs
@@ -1,8 +1,8 @@
-//! Partition transfer: how a replica that is not complete catches up from the replicas that are.
+//! Partition transfer: how an incomplete replica catches up from complete ones.
 //!
-//! [`TransferPlan`] decides, without I/O, which page to request from which store, and argues why the result has all that
-//! was acknowledged. [`Replicator`] fetches the pages and merges them; `report` reports complete
-//! partitions to control.
+//! [`TransferPlan`] decides, without I/O, which page to request from which store; its module explains why the result
+//! contains every acknowledged write. [`Replicator`] fetches the pages and merges them. `report` reports partitions that
+//! are complete to control.
 
 mod plan;
 mod replicator;
--- a/crates/store/src/transfer/plan.rs
+++ b/crates/store/src/transfer/plan.rs
@@ -1,35 +1,37 @@
-//! What a replica that is not complete has to transfer, and from whom.
+//! Plan of a partition transfer: which pages an incomplete replica requests, and from which stores.
 //!
-//! # Safety: the transfer covers everything that was acknowledged
+//! # Safety: the transfer covers every acknowledged write
 //!
 //! A partition has `n` replicas and a quorum of `q = n / 2 + 1`. A write is acknowledged once `q` complete replicas have it
-//! on disk. The receiving store reads all pages of the partition from `n - q + 1` sources: complete replicas, or former
-//! ones which the store map still lists as sources, that know the epoch in which the receiving store became a replica.
+//! on disk. The receiving store reads all pages of the partition from `n - q + 1` sources. A source is a complete replica,
+//! or a former one that the store map still lists as a source, and it has learned the epoch in which the receiving store
+//! became a replica.
 //!
-//! *Writes of earlier epochs.* Before it replies, each of these sources has learned the new epoch and accepts writes of an
-//! older one no more. So a write acknowledged in an older epoch reached its quorum before the pages were read. Of the
-//! `n` stores that counted then, `q` have it; any `n - q + 1` of them include one of those. A store that lost its disk
-//! counts neither among the sources nor among those that are read, and with `n = 2 x hosts_lost + 1` there are
-//! `n - hosts_lost = n - q + 1` left to read even when `hosts_lost` disks are gone: then all that are left are read, and
-//! as `q > hosts_lost`, one of them has the write.
+//! *Writes of earlier epochs.* Before it replies, each source has learned the new epoch and no longer accepts writes of an
+//! older one. So a write acknowledged in an older epoch reached its quorum before the pages were read. Of the `n` complete
+//! replicas of that time, `q` have the write, and any `n - q + 1` of them include one of those. A store that lost its disk
+//! is not a source. With `n = 2 x hosts_lost + 1`, `n - hosts_lost = n - q + 1` sources are left even after `hosts_lost`
+//! disks are lost. In that case all of them are read, and as `q > hosts_lost`, one of them has the write.
 //!
-//! *Writes of the new epoch* go to the receiving store as well, but don't wait for it: they are acknowledged by `q` other
-//! replicas that are complete. The receiving store counts afterwards as one more that may or may not have such a write,
-//! just as any replica that was slow, so the next quorum intersects one that has it.
+//! *Writes of the new epoch* are also sent to the receiving store, but don't wait for it: they are acknowledged by `q`
+//! other replicas that are complete. Once its transfer is complete, the receiving store counts as a replica that may or
+//! may not have such a write, like any slow replica, so the next quorum intersects a replica that has it.
 //!
-//! *A further change of the replicas* during the transfer would break the last point (a disk with such a write may be
-//! gone, and the transfer may lack it). So a transfer counts only if it began in the epoch in which the replicas last
-//! changed, or later: here a transfer restarts with each change of the replicas, and control ignores reports from before.
+//! *A further change of the replicas* during the transfer would break the last point: a disk with such a write may be
+//! lost, and the transfer may lack the write. So a transfer is valid only if it began in the epoch in which the replicas
+//! last changed, or later. The store restarts its transfer on each change of the replicas, and control ignores reports of
+//! transfers that began before the change.
 
 use opalrun_wire::{feed::PartitionReplicas, ids::NodeIdentity};
 
-/// The plan of one partition's transfer: which page to request next, and whether it is complete.
+/// Plan of one partition's transfer: tracks the progress at each source and selects the next page to request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TransferPlan {
-    /// Sources that must be read to their last page.
+    /// Number of sources that must be read to their last page.
     required_sources: usize,
+    /// Sources in ascending order of their identities.
     sources: Vec<Source>,
-    /// The source that failed last: those after it are tried before it.
+    /// The source whose request failed last: sources with higher identities are tried before it.
     last_failed: Option<NodeIdentity>,
 }
 
@@ -43,14 +45,14 @@
 /// The next page to request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NextPage {
-    /// The identity of the source.
+    /// Identity of the source.
     pub store: NodeIdentity,
-    /// Where the page begins: the lowest number of a log record of the source that it contains.
+    /// Start of the page: the lowest number of a log record of the source that the page may contain.
     pub cursor: u64,
 }
 
 impl TransferPlan {
-    /// The plan by which the store `identity` catches up on a partition that is placed like this.
+    /// Creates the plan by which the store `identity` catches up on a partition with the given placement.
     #[must_use]
     pub fn new(partition: &PartitionReplicas, identity: NodeIdentity) -> Self {
         let complete =
@@ -64,19 +66,19 @@
         Self { required_sources, sources, last_failed: None }
     }
 
-    /// Whether enough sources were read.
+    /// Whether the required number of sources have been read to their last page.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         self.sources.iter().filter(|source| source.is_read).count() >= self.required_sources
     }
 
-    /// Whether the store map names enough sources.
+    /// Whether the store map lists at least the required number of sources.
     #[must_use]
     pub fn has_enough_sources(&self) -> bool {
         self.sources.len() >= self.required_sources
     }
 
-    /// The next page; `None` where the transfer is complete or no source is left.
+    /// Returns the next page to request; `None` if the transfer is complete or every source has been read.
     #[must_use]
     pub fn next_page(&self) -> Option<NextPage> {
         if self.is_complete() {
@@ -88,7 +90,8 @@
         Some(NextPage { store: source.store, cursor: source.cursor })
     }
 
-    /// A page of a source was merged; its next one begins at `next`, if there is one.
+    /// Records that a page of a source was merged. The next page of the source begins at `next`; `None` after its last
+    /// page.
     pub fn record_page(&mut self, store: NodeIdentity, next: Option<u64>) {
         if let Some(source) = self.sources.iter_mut().find(|source| source.store == store) {
             match next {
@@ -98,12 +101,13 @@
         }
     }
 
-    /// A source did not reply: another one is requested from before it is retried.
+    /// Records that a request to a source failed: the other sources are tried before it is retried.
     pub fn record_failure(&mut self, store: NodeIdentity) {
         self.last_failed = Some(store);
     }
 
-    /// Applies a changed placement of the partition. Sources that were read stay read.
+    /// Applies a changed placement of the partition. Sources that have been read to their last page still count, even if
+    /// the new placement no longer lists them.
     pub fn set_sources(&mut self, partition: &PartitionReplicas, identity: NodeIdentity) {
         let mut updated = Self::new(partition, identity);
         for known in &self.sources {
--- a/crates/store/src/transfer/replicator.rs
+++ b/crates/store/src/transfer/replicator.rs
@@ -1,4 +1,4 @@
-//! Fetches the partitions of which this store is an incomplete replica, a few at a time.
+//! Runs the transfers of the partitions of which this store is an incomplete replica, a few at a time.
 
 use crate::{
     server::StoreServer,
@@ -24,27 +24,27 @@
     time::sleep,
 };
 
-/// Partitions that are transferred at a time. Each has one page of [`PAGE_BYTES`](crate::state::PAGE_BYTES) in flight,
-/// so transfers take a bounded part of the link and the disk.
+/// Maximum number of concurrent transfers. Each has one page of [`PAGE_BYTES`](crate::state::PAGE_BYTES) in flight, which
+/// bounds the use of the link and of the disk.
 const MAX_CONCURRENT_TRANSFERS: usize = 4;
 /// Time-out of the request for a page.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Backoff after a page that did not come, and while too few sources are left.
+/// Backoff after a failed request for a page, and while the store map lists too few sources.
 const RETRY_BACKOFF: Duration = Duration::from_millis(50);
 
-/// A store that is read from, as the log names it.
+/// Kind of peer that transfers read from, as shown in log messages.
 const SOURCE: &str = "source store";
 
-/// A partition that is complete here, to be reported to control.
+/// A completed transfer of a partition, to be reported to control.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CompletedTransfer {
-    /// The epoch of the store map in which the transfer began.
+    /// Epoch of the store map in which the transfer began.
     pub epoch: Epoch,
-    /// The partition.
+    /// Number of the partition.
     pub partition: Partition,
 }
 
-/// The transfers to a store. It owns their tasks: dropping it ends them.
+/// Runs the transfers of partitions to this store. It owns their tasks: dropping it aborts them.
 pub struct Replicator {
     server: Rc<StoreServer>,
     sources: Rc<SourceClients>,
@@ -53,29 +53,32 @@
     completed: watch::Sender<Vec<CompletedTransfer>>,
 }
 
-/// The transfer of one partition.
+/// Transfer of one partition.
 struct Transfer {
+    /// Epoch in which the replicas of the partition last changed when the transfer was queued.
     replicas_since: Epoch,
     progress: Progress,
 }
 
 enum Progress {
-    /// Not started: enough others are running.
+    /// Waits for one of the [`MAX_CONCURRENT_TRANSFERS`] running transfers to end.
     Queued,
     Running(AbortHandle),
     Completed {
+        /// Epoch in which the transfer began.
         epoch: Epoch,
     },
 }
 
-/// What the task of a transfer ends with.
+/// Result of the task that runs a transfer.
 struct FinishedTask {
     required: RequiredTransfer,
+    /// Epoch in which the transfer began.
     epoch: Epoch,
 }
 
 impl Replicator {
-    /// A replicator that has transferred nothing yet.
+    /// Creates a replicator without any transfers.
     #[must_use]
     pub fn new(server: Rc<StoreServer>) -> Self {
         Self {
@@ -87,14 +90,14 @@
         }
     }
 
-    /// Follows the partitions that are complete here and that the map does not call complete yet. A change is notified
-    /// where one was added.
+    /// Subscribes to the list of completed transfers of partitions that the store map does not show as complete on this
+    /// store yet. Subscribers are notified only when a transfer is added to the list.
     #[must_use]
     pub fn completed(&self) -> watch::Receiver<Vec<CompletedTransfer>> {
         self.completed.subscribe()
     }
 
-    /// Transfers what each store map requires, for as long as it is polled. Must run inside a `tokio::task::LocalSet`.
+    /// Runs the transfers that the newest store map requires; never returns. Must run inside a `tokio::task::LocalSet`.
     pub async fn run(mut self) {
         let server = self.server.clone();
         loop {
@@ -115,7 +118,7 @@
         }
     }
 
-    /// Begins and ends transfers as the store's map requires.
+    /// Aborts transfers that the store map no longer requires, and queues those that it newly requires.
     fn apply_map(&mut self) {
         let required = self.server.state().required_transfers();
         self.transfers.retain(|partition, transfer| {
@@ -130,7 +133,7 @@
             let queued = Transfer { replicas_since, progress: Progress::Queued };
             self.transfers.entry(partition).or_insert(queued);
         }
-        // Nobody waits to hear that there are fewer.
+        // Subscribers need no notification when the list only shrinks.
         let completed = self.list_completed();
         self.completed.send_if_modified(|known| {
             *known = completed;
@@ -160,7 +163,7 @@
 
     fn finish(&mut self, finished: &FinishedTask) {
         let RequiredTransfer { partition, replicas_since } = finished.required;
-        // A transfer for replicas of before the last map may have ended before it could be aborted.
+        // A transfer that the last map made invalid may have ended before it was aborted.
         let current = self.transfers.get_mut(&partition);
         if let Some(transfer) = current.filter(|transfer| transfer.replicas_since == replicas_since) {
             transfer.progress = Progress::Completed { epoch: finished.epoch };
@@ -178,10 +181,10 @@
     }
 }
 
-/// One client a source, shared by the transfers that read from it.
+/// RPC clients of the sources, one per address, shared by the transfers that read from the same source.
 #[derive(Default)]
 struct SourceClients {
-    // Shared by the tasks of the transfers; no borrow lasts over an await.
+    // Shared by the tasks of the transfers; no borrow is held across an await.
     by_address: RefCell<HashMap<SocketAddr, SourceClient>>,
 }
 
@@ -194,21 +197,21 @@
     }
 }
 
-/// The task that transfers one partition.
+/// Task that transfers one partition.
 struct TransferTask {
     server: Rc<StoreServer>,
     sources: Rc<SourceClients>,
     partition: Partition,
 }
 
-/// A page that was merged.
+/// Result of merging a page.
 struct MergedPage {
-    /// Where the source's next page begins; `None` after its last.
+    /// Cursor of the source's next page; `None` after its last page.
     next: Option<u64>,
 }
 
 impl TransferTask {
-    /// Transfers the partition; returns the epoch in which that began.
+    /// Transfers the partition; returns the epoch in which the transfer began.
     async fn run(self) -> Epoch {
         let (map, layout) = self.layout();
         let mut plan = TransferPlan::new(&layout, self.server.identity());
@@ -218,12 +221,12 @@
         map.epoch
     }
 
-    /// Requests the next page from the sources that the newest map names, and merges it.
+    /// Requests the next page from a source that the newest store map lists, and merges it.
     async fn transfer_next_page(&self, plan: &mut TransferPlan, epoch: Epoch) {
         let (map, layout) = self.layout();
         plan.set_sources(&layout, self.server.identity());
         let Some(page) = plan.next_page() else {
-            // Too few sources are left: the map may name others later.
+            // Too few sources: a later map may list more.
             sleep(RETRY_BACKOFF).await;
             return;
         };
@@ -241,7 +244,7 @@
         (map, layout)
     }
 
-    /// Fetches a page and merges it; `None` where it did not come or could not be written.
+    /// Fetches a page and merges it; `None` if the request failed or the page could not be written to disk.
     async fn fetch(&self, map: &StoreMap, epoch: Epoch, page: NextPage) -> Option<MergedPage> {
         let source = map.stores.iter().find(|store| store.identity == page.store)?;
         let client = self.sources.get(source.address.parse().ok()?);
--- a/crates/store/src/transfer/report.rs
+++ b/crates/store/src/transfer/report.rs
@@ -1,4 +1,4 @@
-//! Reports to control which partitions are complete here.
+//! Reports completed transfers to control.
 
 use super::CompletedTransfer;
 use opalrun_net::feed_client::FeedClient;
@@ -12,12 +12,13 @@
     time::{Instant, MissedTickBehavior, interval, sleep},
 };
 
-/// Period in which completed transfers are reported again until the store map shows them.
+/// Period at which a completed transfer is reported again until the store map shows the replica as complete.
 const REPORT_PERIOD: Duration = Duration::from_millis(500);
-/// How long a report waits for further completed transfers to go with it.
+/// Delay of a report after a transfer has completed, so that others that complete in this time are reported together.
 const REPORT_DELAY: Duration = Duration::from_millis(20);
 
-/// Reports completed transfers of the store `identity` to control, again and again until the store map shows them.
+/// Reports the completed transfers of the store `identity` to control, every [`REPORT_PERIOD`] until the store map shows
+/// the replicas as complete. Never returns.
 pub async fn report_completed(
     feed: &FeedClient,
     mut completed: watch::Receiver<Vec<CompletedTransfer>>,
@@ -38,8 +39,8 @@
     }
 }
 
-/// The partitions, by the epoch in which their transfer began, that were not reported within the last period; they are
-/// noted as reported now.
+/// Returns the partitions that were not reported within the last [`REPORT_PERIOD`], grouped by the epoch in which their
+/// transfer began, and records them as reported at `now`.
 fn take_due(
     completed: &[CompletedTransfer],
     reported: &mut HashMap<CompletedTransfer, Instant>,
