--- a/crates/store-client/tests/lease_acquisition.rs
+++ b/crates/store-client/tests/lease_acquisition.rs
@@ -1,5 +1,5 @@
-//! Acquisitions of several holders at the same replicas, in random orders of deliveries: grants never sum to more than the
-//! budget, whatever is late, lost or sent twice.
+//! Runs lease acquisitions of several holders at the same replicas, with messages delivered in random order, lost or
+//! delivered twice, and checks that the grants never sum to more than the budget.
 
 use opalrun_store_client::lease_acquisition::{LeaseAcquisition, Progress, Round};
 use opalrun_wire::{
@@ -10,7 +10,7 @@
 
 const REPLICAS: usize = 3;
 const HOLDERS: usize = 3;
-/// Enough for one holder less than there are: where all of them are granted a unit, the budget is exceeded.
+/// One unit less than there are holders, so the budget is exceeded if every holder is granted a unit.
 const BUDGET: u64 = HOLDERS as u64 - 1;
 const RUNS: u64 = 60_000;
 
@@ -23,7 +23,7 @@
     PartitionReplicas { replicas, sources: Vec::new() }
 }
 
-/// A message in flight.
+/// Request in flight.
 #[derive(Clone, Copy)]
 struct Write {
     holder: usize,
@@ -57,7 +57,7 @@
 impl World {
     fn new(seed: u64) -> Self {
         let mut choices = fastrand::Rng::with_seed(seed);
-        // In some runs one replica is not complete: it replies, but does not count.
+        // In some runs the last replica is incomplete: it replies, but does not count towards a quorum.
         let complete = [true, true, choices.bool()];
         let holders = (0..HOLDERS)
             .map(|number| Holder {
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Loses a message, or gives units back and acquires them anew.
+    /// Loses a request, or gives a holder's units back and starts a new acquisition.
     fn lose_or_reduce(&mut self) {
         if self.choices.bool() {
             if !self.writes.is_empty() {
@@ -193,8 +193,8 @@
         }
         one_round += world.one_round_grants;
     }
-    assert!(one_round > RUNS / 4, "one round is enough at times: {one_round}");
-    assert!(full > RUNS, "the budget is used: {full}");
+    assert!(one_round > RUNS / 4, "too few grants after one round: {one_round}");
+    assert!(full > RUNS, "too few steps with the whole budget leased: {full}");
 }
 
 #[test]
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn all_complete_replicas_grant_in_one_round_also_late() {
+fn replies_of_all_complete_replicas_grant_in_one_round_even_after_the_second_began() {
     let mut acquisition = LeaseAcquisition::new(1, &partition([true; REPLICAS]));
     (0..2).for_each(|store| acquisition.record_reply(Round::First, NodeIdentity(store), true, &[]));
     acquisition.start_second_round();
@@ -231,17 +231,17 @@
 }
 
 #[test]
-fn an_incomplete_replica_counts_towards_no_quorum() {
+fn an_incomplete_replica_does_not_count_towards_a_quorum() {
     let mut acquisition = LeaseAcquisition::new(1, &partition([true, true, false]));
     acquisition.record_reply(Round::First, NodeIdentity(0), true, &[]);
     acquisition.record_reply(Round::First, NodeIdentity(2), true, &[]);
     assert_eq!(acquisition.progress(), Progress::Waiting);
-    // It may say of itself that it is not complete, though the map says that it is.
+    // A replica may report that it is incomplete although the map shows it as complete.
     acquisition.record_reply(Round::First, NodeIdentity(1), false, &[]);
     assert_eq!(acquisition.progress(), Progress::Waiting);
 }
 
 #[test]
-fn no_replicas_grant_nothing() {
+fn a_partition_without_replicas_grants_nothing() {
     assert_eq!(LeaseAcquisition::new(1, &PartitionReplicas::default()).progress(), Progress::Waiting);
 }
--- a/crates/store-client/tests/model_check.rs
+++ b/crates/store-client/tests/model_check.rs
@@ -1,7 +1,8 @@
-//! Raises of a program's count at small bounds, in every order of events: writes arrive late, again or never, replies are lost,
-//! holders give units back, give acquisitions up, or are lost with what they hold.
+//! Model check of lease acquisitions of one program with few holders, in every order of events: writes arrive late, more
+//! than once or never, replies are lost, and holders give units back, cancel acquisitions, or fail with units leased.
 //!
-//! A reply that arrives does so at once. A later one would only grant later what others can't see before either way.
+//! A reply that is not lost arrives immediately. Delaying it would only delay the grant, and other holders can't observe
+//! the grant in either case.
 
 use opalrun_model_check::{Model, Outcome, explore};
 use opalrun_store_client::lease_acquisition::{LeaseAcquisition, Progress, Round};
@@ -13,51 +14,52 @@
 use std::{collections::BTreeSet, error::Error, fmt};
 
 const REPLICAS: usize = 3;
-/// Bound on the states that are explored.
+/// Maximum number of states of a complete exploration.
 const MAX_STATES: usize = 1_000_000;
-/// States that are explored where all are too many: always, and when larger bounds are asked for.
+/// Maximum number of states of a partial exploration, used where the state space is too large.
 const NEAREST_STATES: usize = 15_000;
+/// Maximum number of states of a partial exploration if the large model check is requested.
 const LARGE_STATES: usize = 1_500_000;
 
-/// Whether larger bounds are asked for.
+/// Whether the environment requests the large model check.
 fn is_large() -> bool {
     std::env::var_os("OPALRUN_MODEL_CHECK").is_some_and(|value| value == "large")
 }
 
-/// Bounds on what may happen.
+/// Bounds of the explored state space.
 #[derive(Clone)]
 struct Bounds {
     budget: u64,
-    /// Acquisitions that each holder begins.
+    /// Maximum number of acquisitions that each holder begins.
     acquisitions: Vec<u32>,
     /// Whether holders give units back.
     holders_reduce: bool,
-    /// Whether holders give acquisitions up.
+    /// Whether holders cancel acquisitions.
     holders_cancel: bool,
-    /// The first holder has given units back before, and that may still be on its way.
+    /// Whether the first holder's write of a reduced entry is still in flight at the start.
     late_reduction: bool,
-    /// Holders that may be lost.
-    losses: u32,
-    /// Replicas that are complete.
+    /// Maximum number of holders that fail.
+    failures: u32,
+    /// Whether each replica is complete.
     complete: [bool; REPLICAS],
-    /// A defect made on purpose.
+    /// Defect injected into the protocol.
     defect: Option<Defect>,
 }
 
-/// Mistakes that the check has to find.
+/// Defects of the protocol that the model check must detect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Defect {
-    /// Grants as soon as a quorum has the entry, on what was read meanwhile.
+    /// A holder is granted units once a quorum has its entry, based on the entries read by then.
     GrantOnWriteQuorum,
-    /// Reduces the entry before the units are given up.
+    /// A holder reduces its entry before it stops using the units.
     ReduceBeforeGivingUp,
-    /// A replica takes an older entry in place of a newer one.
+    /// A replica replaces a newer entry by an older one.
     OlderEntryWins,
-    /// The units of a lost holder are taken out of the count.
-    ForgetLostHolder,
+    /// The units of a failed holder are removed from the count.
+    RemoveFailedHolder,
 }
 
-/// A holder's entry on its way to a replica. It may be delivered any number of times.
+/// Write of a holder's entry in flight to a replica. It may be delivered any number of times.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Write {
     holder: usize,
@@ -71,32 +73,32 @@
 struct Holder {
     sequence: u64,
     leased: u64,
-    /// The acquisition under way, and the units that it asks for in all.
+    /// The acquisition in progress, and the total units that it requests.
     acquisition: Option<(LeaseAcquisition, u64)>,
     acquisitions_left: u32,
-    is_lost: bool,
+    has_failed: bool,
 }
 
 #[derive(Debug, Clone)]
 struct State {
     replicas: [Vec<(u64, u64)>; REPLICAS],
     holders: Vec<Holder>,
-    /// Everything that was sent and might still arrive.
+    /// All writes that were sent. Each may still arrive, for the first time or again.
     writes: BTreeSet<Write>,
-    losses_left: u32,
+    failures_left: u32,
 }
 
 #[derive(Debug, Clone)]
 enum Event {
     Acquire(usize),
     SecondRound(usize),
-    /// A write arrives, and its reply does.
+    /// A write reaches its replica, and the reply reaches the holder.
     Deliver(Write),
-    /// A write arrives, and its reply is lost.
+    /// A write reaches its replica, and the reply is lost.
     DeliverWithoutReply(Write),
     Cancel(usize),
     Reduce(usize),
-    Lose(usize),
+    Fail(usize),
 }
 
 struct Count(Bounds);
@@ -119,14 +121,14 @@
             leased: 0,
             acquisition: None,
             acquisitions_left: *acquisitions,
-            is_lost: false,
+            has_failed: false,
         };
         let holders: Vec<Holder> = self.0.acquisitions.iter().map(holder).collect();
         let mut state = State {
             replicas: std::array::from_fn(|_| vec![(0, 0); holders.len()]),
             holders,
             writes: BTreeSet::new(),
-            losses_left: self.0.losses,
+            failures_left: self.0.failures,
         };
         if self.0.late_reduction {
             Self::write_leased(&mut state, 0);
@@ -134,7 +136,7 @@
         state
     }
 
-    /// Sends a holder's entry to all replicas. What it sent before may still arrive.
+    /// Sends a holder's entry to all replicas. Its earlier writes may still arrive.
     fn send(state: &mut State, holder: usize, is_second: bool, taken: u64) {
         let sequence = state.holders[holder].sequence;
         let write = |replica| Write { holder, is_second, replica, sequence, taken };
@@ -142,11 +144,11 @@
     }
 
     fn begin_acquisition(&self, state: &mut State, holder: usize) {
-        let known = &mut state.holders[holder];
-        let wanted = known.leased + 1;
-        known.acquisitions_left -= 1;
-        known.sequence += 1;
-        known.acquisition = Some((LeaseAcquisition::new(holder as u64, &self.partition()), wanted));
+        let holder_state = &mut state.holders[holder];
+        let wanted = holder_state.leased + 1;
+        holder_state.acquisitions_left -= 1;
+        holder_state.sequence += 1;
+        holder_state.acquisition = Some((LeaseAcquisition::new(holder as u64, &self.partition()), wanted));
         Self::send(state, holder, false, wanted);
     }
 
@@ -156,20 +158,21 @@
         Self::send(state, holder, false, leased);
     }
 
-    /// Whether a replica would take an entry.
+    /// Whether a write would change the replica's entry of the holder.
     fn changes_entry(&self, state: &State, write: &Write) -> bool {
-        let known = state.replicas[write.replica][write.holder];
-        known.0 < write.sequence || self.0.defect == Some(Defect::OlderEntryWins) && known.0 != write.sequence
+        let stored = state.replicas[write.replica][write.holder];
+        stored.0 < write.sequence
+            || self.0.defect == Some(Defect::OlderEntryWins) && stored.0 != write.sequence
     }
 
-    /// A replica takes an entry, unless it knows a newer one.
+    /// Stores an entry at a replica, unless the replica has a newer one.
     fn store(&self, state: &mut State, write: &Write) {
         if self.changes_entry(state, write) {
             state.replicas[write.replica][write.holder] = (write.sequence, write.taken);
         }
     }
 
-    /// Hands a replica's reply to the acquisition that it belongs to, if that is still in progress.
+    /// Delivers a replica's reply to the acquisition that it belongs to, if that is still in progress.
     fn deliver_reply(&self, state: &mut State, write: &Write) {
         let entries = state.replicas[write.replica].clone();
         let holder = &mut state.holders[write.holder];
@@ -184,9 +187,9 @@
             sequence: *sequence,
             taken: *taken,
         };
-        // Nobody writes an entry with sequence 0.
-        let known = entries.iter().enumerate().filter(|(_, (sequence, _))| *sequence > 0);
-        let entries: Vec<CountEntry> = known.map(entry).collect();
+        // Sequence 0 marks a holder without an entry at this replica.
+        let present = entries.iter().enumerate().filter(|(_, (sequence, _))| *sequence > 0);
+        let entries: Vec<CountEntry> = present.map(entry).collect();
         acquisition.record_reply(
             round,
             NodeIdentity(write.replica as u64),
@@ -208,18 +211,18 @@
     }
 
     fn reduce(&self, state: &mut State, holder: usize) {
-        let known = &mut state.holders[holder];
+        let holder_state = &mut state.holders[holder];
         if self.0.defect == Some(Defect::ReduceBeforeGivingUp) {
-            known.sequence += 1;
-            let less = known.leased - 1;
-            return Self::send(state, holder, false, less);
+            holder_state.sequence += 1;
+            let reduced = holder_state.leased - 1;
+            return Self::send(state, holder, false, reduced);
         }
-        known.leased -= 1;
+        holder_state.leased -= 1;
         Self::write_leased(state, holder);
     }
 }
 
-/// More units are granted than the budget has.
+/// Violation of the invariant: the leased units sum to more than the budget.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct BudgetExceeded {
     leased: u64,
@@ -228,7 +231,7 @@
 
 impl fmt::Display for BudgetExceeded {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} units are leased of {}", self.leased, self.budget)
+        write!(f, "{} units are leased of a budget of {}", self.leased, self.budget)
     }
 }
 
@@ -241,7 +244,7 @@
 
     fn events(&self, state: &State) -> Vec<Event> {
         let mut events = Vec::new();
-        for (number, holder) in state.holders.iter().enumerate().filter(|(_, holder)| !holder.is_lost) {
+        for (number, holder) in state.holders.iter().enumerate().filter(|(_, holder)| !holder.has_failed) {
             match &holder.acquisition {
                 None if holder.acquisitions_left > 0 => events.push(Event::Acquire(number)),
                 None => {}
@@ -254,14 +257,14 @@
                     }
                 }
             }
-            // Giving back is worth looking at while others may still be granted it.
+            // A reduction only matters while another holder may still acquire the units.
             let others_acquire =
                 state.holders.iter().any(|other| other.acquisition.is_some() || other.acquisitions_left > 0);
             if self.0.holders_reduce && holder.acquisition.is_none() && holder.leased > 0 && others_acquire {
                 events.push(Event::Reduce(number));
             }
-            if state.losses_left > 0 {
-                events.push(Event::Lose(number));
+            if state.failures_left > 0 {
+                events.push(Event::Fail(number));
             }
         }
         for write in &state.writes {
@@ -296,11 +299,11 @@
                 Self::write_leased(state, *holder);
             }
             Event::Reduce(holder) => self.reduce(state, *holder),
-            Event::Lose(holder) => {
-                state.losses_left -= 1;
+            Event::Fail(holder) => {
+                state.failures_left -= 1;
                 state.holders[*holder].acquisition = None;
-                state.holders[*holder].is_lost = true;
-                if self.0.defect == Some(Defect::ForgetLostHolder) {
+                state.holders[*holder].has_failed = true;
+                if self.0.defect == Some(Defect::RemoveFailedHolder) {
                     state.replicas.iter_mut().for_each(|entries| entries[*holder].1 = 0);
                 }
             }
@@ -308,7 +311,7 @@
     }
 
     fn check(&self, state: &State) -> Result<(), BudgetExceeded> {
-        // What a lost holder leases may be in use by its turns.
+        // The units of a failed holder count as leased: its turns may still use them.
         let leased: u64 = state.holders.iter().map(|holder| holder.leased).sum();
         let budget = self.0.budget;
         if leased > budget { Err(BudgetExceeded { leased, budget }) } else { Ok(()) }
@@ -329,31 +332,32 @@
     holders_reduce: false,
     holders_cancel: false,
     late_reduction: false,
-    losses: 0,
+    failures: 0,
     complete: [true; REPLICAS],
     defect: None,
 };
 
-/// Explores everything, and expects that no rule is broken.
+/// Explores all states within the bounds, and expects no violation.
 fn assert_holds_in_all_states(bounds: Bounds) {
     let outcome = check(bounds, MAX_STATES);
     assert_eq!(outcome.violation, None);
     assert!(outcome.is_exhausted);
 }
 
+/// Explores the states with a defect injected, and expects a violation.
 fn assert_defect_is_found(bounds: Bounds, defect: Defect) {
     let outcome = check(Bounds { defect: Some(defect), ..bounds }, MAX_STATES);
-    let violation = outcome.violation.unwrap_or_else(|| panic!("{defect:?} was not found"));
+    let violation = outcome.violation.unwrap_or_else(|| panic!("{defect:?} was not detected"));
     println!("{defect:?}: {} after {:?}", violation.rule, violation.events);
 }
 
 #[test]
-fn two_holders_that_acquire_once() {
+fn two_holders_that_acquire_once_stay_within_the_budget() {
     assert_holds_in_all_states(Bounds { acquisitions: vec![1, 1], ..SMALL });
 }
 
 #[test]
-fn two_holders_that_give_back() {
+fn two_holders_that_reduce_and_cancel_stay_within_the_budget() {
     assert_holds_in_all_states(Bounds {
         acquisitions: vec![1, 1],
         holders_reduce: true,
@@ -363,31 +367,31 @@
 }
 
 #[test]
-fn two_holders_of_whom_one_is_lost() {
-    assert_holds_in_all_states(Bounds { acquisitions: vec![1, 1], losses: 1, ..SMALL });
+fn two_holders_of_which_one_fails_stay_within_the_budget() {
+    assert_holds_in_all_states(Bounds { acquisitions: vec![1, 1], failures: 1, ..SMALL });
 }
 
 #[test]
-fn an_incomplete_replica() {
+fn two_holders_with_an_incomplete_replica_stay_within_the_budget() {
     assert_holds_in_all_states(Bounds { acquisitions: vec![1, 1], complete: [true, true, false], ..SMALL });
 }
 
 #[test]
-fn two_holders_and_a_late_return() {
+fn two_holders_with_a_late_reduction_stay_within_the_budget() {
     assert_holds_in_all_states(Bounds { acquisitions: vec![1, 1], late_reduction: true, ..SMALL });
 }
 
-/// Too many states to reach all of them: so many of the nearest.
+/// Partial exploration: the state space is too large to explore completely, so only the states nearest to the start are.
 #[test]
-fn three_holders_to_a_depth() {
+fn three_holders_stay_within_the_budget_in_the_nearest_states() {
     let max_states = if is_large() { LARGE_STATES } else { NEAREST_STATES };
     let outcome = check(Bounds { budget: 2, acquisitions: vec![1, 1, 1], ..SMALL }, max_states);
     assert_eq!(outcome.violation, None);
 }
 
-/// Takes a minute in an optimised build, so it is asked for.
+/// Runs only if the large model check is requested: it takes a minute in an optimised build.
 #[test]
-fn two_holders_that_acquire_twice() {
+fn two_holders_that_acquire_twice_stay_within_the_budget() {
     if is_large() {
         assert_holds_in_all_states(Bounds { acquisitions: vec![2, 1], ..SMALL });
         assert_holds_in_all_states(Bounds { acquisitions: vec![2, 1], holders_reduce: true, ..SMALL });
@@ -395,7 +399,7 @@
 }
 
 #[test]
-fn grant_on_write_quorum_is_found() {
+fn a_grant_on_the_write_quorum_is_detected() {
     assert_defect_is_found(
         Bounds { budget: 2, acquisitions: vec![1, 1, 1], ..SMALL },
         Defect::GrantOnWriteQuorum,
@@ -403,12 +407,15 @@
 }
 
 #[test]
-fn a_forgotten_lost_holder_is_found() {
-    assert_defect_is_found(Bounds { acquisitions: vec![1, 1], losses: 1, ..SMALL }, Defect::ForgetLostHolder);
+fn removing_the_units_of_a_failed_holder_is_detected() {
+    assert_defect_is_found(
+        Bounds { acquisitions: vec![1, 1], failures: 1, ..SMALL },
+        Defect::RemoveFailedHolder,
+    );
 }
 
 #[test]
-fn reducing_before_giving_up_is_found() {
+fn reducing_the_entry_before_giving_up_units_is_detected() {
     assert_defect_is_found(
         Bounds { acquisitions: vec![1, 1], holders_reduce: true, ..SMALL },
         Defect::ReduceBeforeGivingUp,
@@ -416,7 +423,7 @@
 }
 
 #[test]
-fn an_older_entry_that_wins_is_found() {
+fn an_older_entry_that_replaces_a_newer_one_is_detected() {
     assert_defect_is_found(
         Bounds { acquisitions: vec![1, 1], late_reduction: true, ..SMALL },
         Defect::OlderEntryWins,
--- a/crates/store/tests/cluster/counts.rs
+++ b/crates/store/tests/cluster/counts.rs
@@ -1,4 +1,4 @@
-//! Counts of programs.
+//! Lease acquisition and reduction on the counts of programs.
 
 use crate::harness::{Control, SHORT_TIMEOUT, TEST_TIMEOUT, TestStore, run, three_stores};
 use opalrun_store_client::{CountError, LeaseGrant, StoreClient};
@@ -27,7 +27,7 @@
             Ok(LeaseGrant { others_taken: 50 })
         );
 
-        // When one gives units back, the others see that, on this program alone.
+        // When one holder gives units back, then the others see that, and other programs are not affected.
         first.reduce_lease("p", 20);
         assert!(first.flush(TEST_TIMEOUT).await);
         assert_eq!(
@@ -39,14 +39,14 @@
 }
 
 #[test]
-fn a_count_outlives_one_store_and_the_restart_of_all() {
+fn a_count_survives_the_loss_of_one_store_and_the_restart_of_the_others() {
     run(async {
         let ([one, two, three], control, client) = three_stores().await;
-        // Given a lease that two of three stores have.
+        // Given a lease that is stored on two of three stores.
         drop(one);
         client.acquire_lease("p", 0, 70, TEST_TIMEOUT).await.unwrap();
 
-        // When both restart, then another holder sees it.
+        // When both restart, then another holder sees the lease.
         let (two, three) = (two.restart().await, three.restart().await);
         let other = StoreClient::new(12, "zone-1");
         control.publish_to_all(&[&two, &three], &[&other]);
@@ -67,11 +67,11 @@
         control.publish_to_all(&[&one, &two, &three], &[&client, &other]);
         client.acquire_lease("p", 0, 10, TEST_TIMEOUT).await.unwrap();
 
-        // When two stores know no map for a while, as after a restart, then one alone is no quorum.
+        // When two stores have no map, as after a restart, then the third one alone is not a quorum.
         let (two, three) = (two.restart().await, three.restart().await);
         assert_eq!(client.acquire_lease("p", 10, 90, SHORT_TIMEOUT).await, Err(CountError::Unavailable));
 
-        // And once they know it, the entry is as before.
+        // And once they have received the map, the entry is reverted to the units leased before.
         control.publish_to_all(&[&two, &three], &[]);
         assert!(client.flush(TEST_TIMEOUT).await);
         assert_eq!(other.acquire_lease("p", 0, 1, TEST_TIMEOUT).await, Ok(LeaseGrant { others_taken: 10 }));
@@ -96,13 +96,13 @@
             let mut acquisition = std::pin::pin!(client.acquire_lease("p", 5, 500, TEST_TIMEOUT));
             let first_poll =
                 std::future::poll_fn(|cx| std::task::Poll::Ready(acquisition.as_mut().poll(cx))).await;
-            assert!(first_poll.is_pending(), "it can't be done at once");
-            // Its requests go out meanwhile; it is not polled again, so it can't complete.
+            assert!(first_poll.is_pending(), "an acquisition can't complete without waiting for replies");
+            // The requests are sent in the meantime. The future is not polled again, so it can't complete.
             for _ in 0..20 {
                 tokio::task::yield_now().await;
             }
         }
-        // then another holder soon sees the entry of before.
+        // then another holder eventually sees the reverted entry.
         while other.acquire_lease("p", 0, 1, TEST_TIMEOUT).await != Ok(LeaseGrant { others_taken: 5 }) {
             tokio::task::yield_now().await;
         }
--- a/crates/store/tests/cluster/harness.rs
+++ b/crates/store/tests/cluster/harness.rs
@@ -1,4 +1,4 @@
-//! Stores on loopback, and a map that the tests change as control would.
+//! Test stores on loopback, and a fake control whose store map the tests change.
 
 use opalrun_net::Listener;
 use opalrun_storage::DataDirectory;
@@ -17,24 +17,26 @@
 use tempfile::TempDir;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// Long enough for any operation that can succeed.
+/// Time-out of operations that are expected to succeed.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
-/// For operations that can't succeed.
+/// Time-out of operations that are expected to fail.
 pub const SHORT_TIMEOUT: Duration = Duration::from_millis(150);
 
 const LIMITS: StoreLimits = StoreLimits { memory_bytes: 100 << 20, disk_bytes: 100 << 20 };
 
-/// A store with its folder, on a thread of its own. Dropping it ends its connections, as the end of its process would.
+/// A store with its data directory, on a thread of its own. Dropping it closes its connections, as the end of its process
+/// would.
 pub struct TestStore {
     pub identity: NodeIdentity,
     pub address: SocketAddr,
-    folder: Arc<TempDir>,
+    data_dir: Arc<TempDir>,
     maps: mpsc::UnboundedSender<StoreMap>,
-    done: watch::Receiver<Vec<CompletedTransfer>>,
+    completed: watch::Receiver<Vec<CompletedTransfer>>,
     thread: Option<JoinHandle<()>>,
 }
 
-/// Three new stores that hold everything, the map that says so, and a gatekeeper's client that knows it.
+/// Starts three stores that are complete replicas of all partitions, and a gatekeeper's client, and publishes a map to all
+/// of them.
 pub async fn three_stores() -> ([TestStore; 3], Control, Rc<StoreClient>) {
     let stores = [
         TestStore::start(NodeIdentity(1)).await,
@@ -48,55 +50,58 @@
 }
 
 impl TestStore {
-    /// A store on an empty disk.
+    /// Starts a store on an empty data directory.
     pub async fn start(identity: NodeIdentity) -> Self {
         Self::start_on(identity, Arc::new(TempDir::new().unwrap()), "127.0.0.1:0".parse().unwrap()).await
     }
 
-    async fn start_on(identity: NodeIdentity, folder: Arc<TempDir>, address: SocketAddr) -> Self {
+    async fn start_on(identity: NodeIdentity, data_dir: Arc<TempDir>, address: SocketAddr) -> Self {
         let (maps, map_receiver) = mpsc::unbounded_channel();
-        let (done_sender, done) = watch::channel(Vec::new());
+        let (completed_sender, completed) = watch::channel(Vec::new());
         let (ready_sender, ready) = oneshot::channel();
-        let directory = DataDirectory::open(folder.path()).unwrap();
+        let directory = DataDirectory::open(data_dir.path()).unwrap();
         let thread = std::thread::spawn(move || {
             run_thread(async move {
                 let server = StoreServer::open(&directory, identity, LIMITS).unwrap();
                 let closed = server.journal().watch();
                 let listener = Listener::bind(address).await.unwrap();
                 ready_sender.send(listener.local_address()).unwrap();
-                run_store(server, listener, map_receiver, done_sender).await;
+                run_store(server, listener, map_receiver, completed_sender).await;
                 closed
             });
         });
         let address = ready.await.unwrap();
-        Self { identity, address, folder, maps, done, thread: Some(thread) }
+        Self { identity, address, data_dir, maps, completed, thread: Some(thread) }
     }
 
-    /// Ends the store and starts it again on the same disk and address.
+    /// Stops the store and starts it again on the same data directory and address.
     pub async fn restart(self) -> Self {
-        let (identity, folder, address) = (self.identity, self.folder.clone(), self.address);
+        let (identity, data_dir, address) = (self.identity, self.data_dir.clone(), self.address);
         drop(self);
-        Self::start_on(identity, folder, address).await
+        Self::start_on(identity, data_dir, address).await
     }
 
     pub fn set_map(&self, map: &StoreMap) {
         self.maps.send(map.clone()).unwrap();
     }
 
-    /// What it has copied.
-    pub fn done(&self) -> Vec<CompletedTransfer> {
-        self.done.borrow().clone()
+    /// Returns the completed transfers to this store.
+    pub fn completed(&self) -> Vec<CompletedTransfer> {
+        self.completed.borrow().clone()
     }
 
-    /// Waits until it has copied all partitions in this epoch or a later one.
-    pub async fn copied(&self, epoch: Epoch) -> Vec<CompletedTransfer> {
-        let mut done = self.done.clone();
-        let is_all = |done: &Vec<CompletedTransfer>| {
-            done.len() == usize::from(STORE_PARTITIONS) && done.iter().all(|copy| copy.epoch >= epoch)
+    /// Waits until the transfers of all partitions that began in `epoch` or a later one are complete; returns them.
+    pub async fn wait_completed(&self, epoch: Epoch) -> Vec<CompletedTransfer> {
+        let mut completed = self.completed.clone();
+        let is_all = |completed: &Vec<CompletedTransfer>| {
+            completed.len() == usize::from(STORE_PARTITIONS)
+                && completed.iter().all(|transfer| transfer.epoch >= epoch)
         };
-        let copied =
-            tokio::time::timeout(TEST_TIMEOUT, done.wait_for(is_all)).await.expect("a copy ends").unwrap();
-        copied.clone()
+        let transfers = tokio::time::timeout(TEST_TIMEOUT, completed.wait_for(is_all))
+            .await
+            .expect("the transfers timed out")
+            .unwrap();
+        transfers.clone()
     }
 }
 
@@ -109,12 +114,12 @@
     }
 }
 
-/// Runs a store until nobody sends it maps any more.
+/// Runs a store until the sender of its maps is dropped.
 async fn run_store(
     server: Rc<StoreServer>,
     listener: Listener,
     mut maps: mpsc::UnboundedReceiver<StoreMap>,
-    done: watch::Sender<Vec<CompletedTransfer>>,
+    completed_sender: watch::Sender<Vec<CompletedTransfer>>,
 ) {
     let replicator = Replicator::new(server.clone());
     let mut completed = replicator.completed();
@@ -126,7 +131,7 @@
     let publish_completed = async {
         loop {
             completed.changed().await.unwrap();
-            done.send_replace(completed.borrow_and_update().clone());
+            completed_sender.send_replace(completed.borrow_and_update().clone());
         }
     };
     tokio::select! {
@@ -146,13 +151,14 @@
     runtime.block_on(async { while closed.changed().await.is_ok() {} });
 }
 
-/// The stand-in of control.
+/// Fake control.
 pub struct Control {
+    /// Newest store map.
     pub map: StoreMap,
 }
 
 impl Control {
-    /// A map with these stores as whole replicas of everything.
+    /// Creates a map with these stores as complete replicas of all partitions.
     pub fn new(stores: &[&TestStore]) -> Self {
         let mut control = Self { map: StoreMap::default() };
         for store in stores {
@@ -175,14 +181,15 @@
         });
     }
 
-    /// Changes all partitions, in a new epoch.
+    /// Changes the placement of all partitions, in a new epoch.
     pub fn change(&mut self, change: impl Fn(&mut PartitionReplicas)) {
         self.map.epoch = self.map.epoch.next();
         self.map.partitions.resize_with(usize::from(STORE_PARTITIONS), PartitionReplicas::default);
         self.map.partitions.iter_mut().for_each(change);
     }
 
-    /// Puts a store that is not whole in the place of another, which stays a source where it still has its disk.
+    /// Replaces the store `old` by an incomplete replica in all partitions. `old` becomes a source if `old_is_source`, which
+    /// requires that it still has its disk.
     pub fn replace(&mut self, old: NodeIdentity, new: &TestStore, old_is_source: bool) {
         self.add_store(new);
         let new = new.identity;
@@ -199,7 +206,7 @@
         });
     }
 
-    /// Marks a store's replicas whole.
+    /// Marks all replicas of a store as complete.
     pub fn mark_complete(&mut self, store: NodeIdentity) {
         self.change(|partition| {
             partition
@@ -238,7 +245,7 @@
     }
 }
 
-/// Runs a test on one thread, as the processes do.
+/// Runs a test on a single-threaded runtime, as the processes use.
 pub fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let local = tokio::task::LocalSet::new();
--- a/crates/store/tests/cluster/main.rs
+++ b/crates/store/tests/cluster/main.rs
@@ -1,4 +1,4 @@
-//! Whole stores and their client over loopback, with a stand-in of control that keeps the map.
+//! Integration tests of stores and their client over loopback, with a fake control that publishes the store map.
 
 mod counts;
 mod harness;
--- a/crates/store/tests/cluster/partition_transfer.rs
+++ b/crates/store/tests/cluster/partition_transfer.rs
@@ -1,4 +1,4 @@
-//! Partition transfer to stores that lost their disk, are new, or replace a retired one.
+//! Partition transfer to stores that lost their disk and to stores that replace a retired one.
 
 use crate::harness::{Control, SHORT_TIMEOUT, TEST_TIMEOUT, TestStore, run, three_stores, turn};
 use opalrun_store_client::{CountError, LeaseGrant, StoreClient};
@@ -28,27 +28,27 @@
 fn a_store_that_lost_its_disk_catches_up_completely() {
     run(async {
         let ([one, two, three], mut control, client) = three_stores().await;
-        // Given data that two stores have while the third is down.
+        // Given writes that two stores have acknowledged while the third was down.
         drop(three);
         write_all(&client).await;
 
-        // When the third comes back without its disk and has caught up,
+        // When the third store returns without its disk and has caught up,
         let three = TestStore::start(NodeIdentity(33)).await;
         control.replace(NodeIdentity(3), &three, false);
         control.publish_to_all(&[&one, &two, &three], &[&client]);
-        let done = three.copied(control.map.epoch).await;
-        assert!(done.iter().all(|copy| copy.epoch == control.map.epoch));
+        let completed = three.wait_completed(control.map.epoch).await;
+        assert!(completed.iter().all(|transfer| transfer.epoch == control.map.epoch));
         control.mark_complete(NodeIdentity(33));
         control.publish_to_all(&[&one, &two, &three], &[&client]);
 
-        // then any other store may go.
+        // then no acknowledged write is lost if another store goes down.
         drop(one);
         check_all(12, &control, &[&two, &three]).await;
     });
 }
 
 #[test]
-fn an_incomplete_replica_counts_towards_no_quorum() {
+fn an_incomplete_replica_does_not_count_towards_a_quorum() {
     run(async {
         let ([one, two, three], mut control, client) = three_stores().await;
         write_all(&client).await;
@@ -58,12 +58,12 @@
         drop(two);
         control.publish_to_all(&[&one, &three], &[&client]);
         assert_eq!(client.acquire_lease("p", 0, 1, SHORT_TIMEOUT).await, Err(CountError::Unavailable));
-        assert!(three.done().is_empty(), "one source alone is not enough");
+        assert!(three.completed().is_empty(), "one source alone does not complete a transfer");
     });
 }
 
 #[test]
-fn a_retired_store_is_a_source_also_while_another_is_down() {
+fn a_retired_store_is_a_source_while_another_store_is_down() {
     run(async {
         let ([one, two, three], mut control, client) = three_stores().await;
         write_all(&client).await;
@@ -71,7 +71,7 @@
         control.replace(NodeIdentity(1), &four, true);
         drop(two);
         control.publish_to_all(&[&one, &three, &four], &[&client]);
-        four.copied(control.map.epoch).await;
+        four.wait_completed(control.map.epoch).await;
         control.mark_complete(NodeIdentity(4));
         control.publish_to_all(&[&one, &three, &four], &[&client]);
         drop(one);
@@ -87,14 +87,15 @@
         let four = TestStore::start(NodeIdentity(4)).await;
         control.replace(NodeIdentity(1), &four, true);
         control.publish_to_all(&[&one, &two, &three, &four], &[&client]);
-        let first = four.copied(control.map.epoch).await;
+        let first = four.wait_completed(control.map.epoch).await;
         drop(three);
         let three = TestStore::start(NodeIdentity(33)).await;
         control.replace(NodeIdentity(3), &three, false);
         control.publish_to_all(&[&one, &two, &three, &four], &[&client]);
-        let (second, third) = (four.copied(control.map.epoch).await, three.copied(control.map.epoch).await);
-        assert!(first.iter().all(|copy| copy.epoch < control.map.epoch));
-        assert!(second.iter().chain(&third).all(|copy| copy.epoch == control.map.epoch));
+        let (second, third) =
+            (four.wait_completed(control.map.epoch).await, three.wait_completed(control.map.epoch).await);
+        assert!(first.iter().all(|transfer| transfer.epoch < control.map.epoch));
+        assert!(second.iter().chain(&third).all(|transfer| transfer.epoch == control.map.epoch));
         control.mark_complete(NodeIdentity(4));
         control.mark_complete(NodeIdentity(33));
         control.publish_to_all(&[&two, &three, &four], &[]);
--- a/crates/store/tests/cluster/turns.rs
+++ b/crates/store/tests/cluster/turns.rs
@@ -1,11 +1,11 @@
-//! Retained turns.
+//! Writes and reads of retained turns.
 
 use crate::harness::{Control, SHORT_TIMEOUT, TEST_TIMEOUT, TestStore, run, three_stores, turn};
 use opalrun_store_client::{StoreClient, TurnError};
 use opalrun_wire::ids::NodeIdentity;
 
 #[test]
-fn a_turn_is_found_by_every_gatekeeper_and_an_unknown_one_is_absent() {
+fn a_turn_is_readable_by_another_gatekeeper_and_an_unknown_one_is_absent() {
     run(async {
         let stores = [
             TestStore::start(NodeIdentity(1)).await,
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_turn_outlives_a_lost_store_and_restarts() {
+fn a_turn_survives_the_loss_of_one_store_and_the_restart_of_the_others() {
     run(async {
         let ([one, two, three], control, client) = three_stores().await;
         drop(one);
@@ -36,14 +36,14 @@
 }
 
 #[test]
-fn one_store_alone_does_not_say_that_a_turn_is_absent() {
+fn without_a_quorum_a_turn_is_not_reported_as_absent() {
     run(async {
         let ([_one, two, three], _control, client) = three_stores().await;
         drop(two);
         drop(three);
         assert_eq!(client.get_turn("t1", SHORT_TIMEOUT).await, Err(TurnError::Unavailable));
         assert_eq!(client.put_turn(&turn("t1"), SHORT_TIMEOUT).await, Err(TurnError::Unavailable));
-        // A turn that is there may be handed on by one store alone.
+        // A reply of a single store that has the turn is enough.
         assert_eq!(client.get_turn("t1", TEST_TIMEOUT).await, Ok(Some(turn("t1"))));
     });
 }
--- a/crates/store/tests/cluster/unresponsive_replicas.rs
+++ b/crates/store/tests/cluster/unresponsive_replicas.rs
@@ -1,4 +1,4 @@
-//! A replica that takes connections and answers nothing, as one that is frozen or partitioned.
+//! Operations with replicas that accept connections but never reply, as if frozen or partitioned.
 
 use crate::harness::{Control, SHORT_TIMEOUT, TEST_TIMEOUT, TestStore, run, turn};
 use opalrun_store_client::{CountError, LeaseGrant, StoreClient, TurnError};
@@ -8,7 +8,7 @@
 };
 use std::net::TcpListener;
 
-/// Puts a replica that answers nothing in the place of a store.
+/// Adds a replica that accepts connections but never replies, in place of the store `identity` if there is one.
 fn add_unresponsive_replica(control: &mut Control, identity: NodeIdentity) -> TcpListener {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     control.map.stores.retain(|node| node.identity != identity);
@@ -28,12 +28,12 @@
 }
 
 #[test]
-fn one_unresponsive_replica_delays_nothing() {
+fn operations_succeed_with_one_unresponsive_replica() {
     run(async {
         let stores = [TestStore::start(NodeIdentity(1)).await, TestStore::start(NodeIdentity(2)).await];
         let mut control = Control::new(&stores.each_ref());
         let _unresponsive = add_unresponsive_replica(&mut control, NodeIdentity(3));
-        // The unresponsive one is the nearest.
+        // The unresponsive replica is in the clients' zone, so reads try it first.
         let (client, other) = (StoreClient::new(11, "zone-1"), StoreClient::new(12, "zone-1"));
         control.publish_to_all(&stores.each_ref(), &[&client, &other]);
         client.put_turn(&turn("t"), TEST_TIMEOUT).await.unwrap();
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn without_a_quorum_operations_end_at_their_time_limit() {
+fn without_a_quorum_operations_fail_at_their_time_limit() {
     run(async {
         let stores = [TestStore::start(NodeIdentity(1)).await];
         let mut control = Control::new(&stores.each_ref());
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_client_whose_map_is_older_waits_for_a_newer_one() {
+fn a_client_with_an_outdated_map_waits_for_a_newer_one() {
     run(async {
         let stores = [
             TestStore::start(NodeIdentity(1)).await,
@@ -109,7 +109,7 @@
         let client = StoreClient::new(11, "zone-1");
         control.publish_to_all(&stores.each_ref(), &[&client]);
         client.acquire_lease("p", 0, 1, TEST_TIMEOUT).await.unwrap();
-        // The stores miss the map between, so they take it that everything has moved, though nothing has.
+        // The stores miss the map in between, so they treat all placements as changed, though none has.
         control.change(|_| {});
         control.change(|_| {});
         control.publish_to_all(&stores.each_ref(), &[]);
--- a/crates/store/tests/disk.rs
+++ b/crates/store/tests/disk.rs
@@ -1,4 +1,4 @@
-//! The store and its disk: loss of power at every operation, and a disk that is full.
+//! Behaviour of a store on disk faults: loss of power after any number of disk operations, and a full disk.
 
 use opalrun_storage::{DataDirectory, MemoryDisk, PowerLoss};
 use opalrun_store::{Identity, StoreServer, state::StoreLimits};
@@ -12,7 +12,7 @@
 
 const LIMITS: StoreLimits = StoreLimits { memory_bytes: 1 << 30, disk_bytes: 1 << 30 };
 const WRITES: u64 = 12;
-/// A test that waits for longer waits in vain, and fails.
+/// Time-out of a test.
 const TEST_TIMEOUT: Duration = Duration::from_mins(1);
 
 fn directory(disk: &MemoryDisk) -> Result<DataDirectory, opalrun_storage::StorageError> {
@@ -53,19 +53,20 @@
 fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        tokio::time::timeout(TEST_TIMEOUT, test).await.expect("the test ends");
+        tokio::time::timeout(TEST_TIMEOUT, test).await.expect("the test timed out");
     });
 }
 
-/// Ends a store and waits until its log is closed.
+/// Drops a store and waits until its log is closed.
 async fn close(server: Rc<StoreServer>) {
     let mut status = server.journal().watch();
     drop(server);
     while status.changed().await.is_ok() {}
 }
 
-/// Starts a store and writes; returns the identity, if it came to be kept, and what was acknowledged.
-async fn write_until_the_end(disk: &MemoryDisk) -> (Option<u64>, Vec<u64>) {
+/// Starts a store and sends it [`WRITES`] writes. Returns the store's identity, if that was stored, and the numbers of the
+/// acknowledged writes.
+async fn write_all(disk: &MemoryDisk) -> (Option<u64>, Vec<u64>) {
     let Ok(directory) = directory(disk) else { return (None, Vec::new()) };
     let Ok(identity) = Identity::load_or_create(&directory, true) else { return (None, Vec::new()) };
     let Ok(server) = StoreServer::open(&directory, identity.number, LIMITS) else {
@@ -83,6 +84,7 @@
     (Some(identity.number.0), acknowledged)
 }
 
+/// Restarts a store on the disk and checks that it has the identity and all acknowledged writes.
 async fn check(disk: &MemoryDisk, identity: Option<u64>, acknowledged: &[u64]) {
     let directory = directory(disk).unwrap();
     let found = Identity::load_or_create(&directory, false).unwrap();
@@ -110,14 +112,14 @@
 }
 
 #[test]
-fn power_lost_at_every_operation_loses_nothing_acknowledged() {
+fn a_power_loss_after_any_operation_keeps_all_acknowledged_writes() {
     run(async {
         let mut max_acknowledged = 0;
         for operations in 0..40 {
             for seed in 0..6 {
                 let disk = MemoryDisk::new();
                 disk.fail_after(Some(operations));
-                let (identity, acknowledged) = write_until_the_end(&disk).await;
+                let (identity, acknowledged) = write_all(&disk).await;
                 max_acknowledged = max_acknowledged.max(acknowledged.len());
                 disk.fail_after(None);
                 disk.lose_power(match seed {
@@ -128,12 +130,12 @@
                 check(&disk, identity, &acknowledged).await;
             }
         }
-        assert_eq!(max_acknowledged as u64, WRITES, "the runs reach the end");
+        assert_eq!(max_acknowledged as u64, WRITES, "no run acknowledged all writes");
     });
 }
 
 #[test]
-fn a_full_disk_rejects_writes_until_it_has_room() {
+fn a_full_disk_rejects_writes_until_it_has_free_space() {
     run(async {
         let disk = MemoryDisk::new();
         let directory = directory(&disk).unwrap();
@@ -150,13 +152,16 @@
         let read = StoreRequest::GetTurn { epoch: Epoch(1), id: "t0".to_owned() };
         assert!(matches!(server.serve(read).await, StoreReply::Turn { turn: Some(_), .. }));
         disk.set_capacity(None);
-        assert!(matches!(first.await.unwrap(), StoreReply::Count { .. }), "what was taken is written later");
+        assert!(
+            matches!(first.await.unwrap(), StoreReply::Count { .. }),
+            "a write accepted before is completed"
+        );
         assert!(matches!(server.serve(write(2)).await, StoreReply::Stored { .. }));
     });
 }
 
 #[test]
-fn compaction_bounds_the_log_under_writes_that_replace_each_other() {
+fn compaction_bounds_the_log_under_overwrites_of_one_count() {
     run(async {
         let disk = MemoryDisk::new();
         let directory = directory(&disk).unwrap();
@@ -171,7 +176,7 @@
                 server.maintain();
             }
         }
-        assert!(disk.used() < 20 << 20, "36 MB were written, {} bytes are left", disk.used());
+        assert!(disk.used() < 20 << 20, "36 MB were written, {} bytes are in use", disk.used());
         close(server).await;
         let server = StoreServer::open(&directory, NodeIdentity(1), LIMITS).unwrap();
         server.set_map(map(1, 1));
--- a/crates/store/tests/golden.rs
+++ b/crates/store/tests/golden.rs
@@ -1,4 +1,4 @@
-//! What a store keeps on disk, against files that an earlier build has written.
+//! Checks the formats on a store's disk against golden files that an earlier build has written.
 
 #[path = "../../storage/tests/support/golden.rs"]
 mod golden;
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn log_records_of_an_earlier_build_are_read_and_written_alike() {
+fn log_records_are_encoded_and_decoded_as_by_an_earlier_build() {
     let program = |program: &str, entries| Record::Program { program: program.to_owned(), entries };
     let records = [
         ("record_epoch.bin", Record::Epoch(Epoch(0x0102_0304_0506_0708))),
@@ -66,7 +66,7 @@
     }
 }
 
-/// The file of an identity by its layout: the header of a versioned file, the number, and the bootstrap flag.
+/// Builds the identity file by its layout: the header of a versioned file, the number, and the bootstrap flag.
 fn identity_file(identity: Identity) -> Vec<u8> {
     let mut content = identity.number.0.to_le_bytes().to_vec();
     content.push(u8::from(identity.bootstrap));
@@ -79,28 +79,28 @@
 }
 
 #[test]
-fn identities_of_an_earlier_build_are_read_and_written_alike() {
+fn identity_files_are_read_and_written_as_by_an_earlier_build() {
     let joined_later = Identity { number: NodeIdentity(1), bootstrap: false };
     for (name, identity) in
         [("identity_bootstrap.bin", IDENTITY), ("identity_joined_later.bin", joined_later)]
     {
-        // Given the file of an earlier build.
+        // Given the identity file of an earlier build.
         let golden = golden::assert_file(name, &identity_file(identity));
-        let folder = tempfile::tempdir().unwrap();
-        fs::write(folder.path().join("identity"), golden).unwrap();
+        let data_dir = tempfile::tempdir().unwrap();
+        fs::write(data_dir.path().join("identity"), golden).unwrap();
 
-        // Then it is read as the same identity, which is kept.
-        let directory = DataDirectory::open(folder.path()).unwrap();
+        // Then it is read as the same identity, and a start does not replace it.
+        let directory = DataDirectory::open(data_dir.path()).unwrap();
         assert_eq!(Identity::load(&directory).unwrap(), Some(identity));
         assert_eq!(Identity::load_or_create(&directory, !identity.bootstrap).unwrap(), identity);
     }
     for bootstrap in [false, true] {
-        // When this build draws an identity, then its file has the same layout.
-        let folder = tempfile::tempdir().unwrap();
-        let directory = DataDirectory::open(folder.path()).unwrap();
+        // When this build creates an identity, then its file has the same layout.
+        let data_dir = tempfile::tempdir().unwrap();
+        let directory = DataDirectory::open(data_dir.path()).unwrap();
         let drawn = Identity::load_or_create(&directory, bootstrap).unwrap();
         assert_eq!(drawn.bootstrap, bootstrap);
-        assert_eq!(fs::read(folder.path().join("identity")).unwrap(), identity_file(drawn));
+        assert_eq!(fs::read(data_dir.path().join("identity")).unwrap(), identity_file(drawn));
     }
 }
 
@@ -116,7 +116,7 @@
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
-/// Ends a store and waits until its log is closed.
+/// Drops a store and waits until its log is closed.
 async fn close(server: Rc<StoreServer>) {
     let mut status = server.journal().watch();
     drop(server);
@@ -127,10 +127,10 @@
     StoreRequest::WriteCount { epoch: Epoch(EPOCH), program: program.to_owned(), entry }
 }
 
-/// Writes the data directory of a store: each record in a batch of its own.
-async fn write_data_directory(folder: &Path) {
-    fs::write(folder.join("identity"), identity_file(IDENTITY)).unwrap();
-    let directory = DataDirectory::open(folder).unwrap();
+/// Writes the data directory of a store, with each record in a batch of its own.
+async fn write_data_directory(data_dir: &Path) {
+    fs::write(data_dir.join("identity"), identity_file(IDENTITY)).unwrap();
+    let directory = DataDirectory::open(data_dir).unwrap();
     let server = StoreServer::open(&directory, IDENTITY.number, LIMITS).unwrap();
     server.set_map(store_map());
     server.journal().wait_synced(0).await.unwrap();
@@ -139,7 +139,7 @@
         write_count("program-1", entry(12, 1, 9)),
         StoreRequest::PutTurn { epoch: Epoch(EPOCH), turn: first_turn() },
         write_count("program-2", entry(11, 2, 100)),
-        // The entry is lowered.
+        // Reduces the entry of holder 11.
         write_count("program-1", entry(11, 3, 2)),
         StoreRequest::PutTurn { epoch: Epoch(EPOCH), turn: full_turn() },
     ] {
@@ -178,13 +178,13 @@
 #[test]
 fn a_store_writes_the_data_directory_of_an_earlier_build_byte_for_byte() {
     run(async {
-        let folder = tempfile::tempdir().unwrap();
-        write_data_directory(folder.path()).await;
-        golden::assert_directory("data_directory", folder.path());
+        let data_dir = tempfile::tempdir().unwrap();
+        write_data_directory(data_dir.path()).await;
+        golden::assert_directory("data_directory", data_dir.path());
     });
 }
 
-/// A turn is retained for all of its time from the start of the store on.
+/// Checks that each turn is retained for its full retention time from the start of the store.
 async fn check_turns(server: &StoreServer) {
     for (turn, keep_ms) in [(first_turn(), 10_002), (full_turn(), 130_000)] {
         let request = StoreRequest::GetTurn { epoch: Epoch(EPOCH), id: turn.id.clone() };
@@ -192,7 +192,7 @@
             panic!()
         };
         assert_eq!((is_complete, found), (true, Some(turn)));
-        assert!((keep_ms - 5_000..=keep_ms).contains(&left_ms), "{left_ms} ms of {keep_ms}");
+        assert!((keep_ms - 5_000..=keep_ms).contains(&left_ms), "{left_ms} ms of {keep_ms} ms remain");
     }
     let unknown = StoreRequest::GetTurn { epoch: Epoch(EPOCH), id: "turn-2".to_owned() };
     let absent = StoreReply::Turn { is_complete: true, turn: None, left_ms: 0 };
@@ -200,26 +200,26 @@
 }
 
 #[test]
-fn a_store_finds_the_state_that_an_earlier_build_has_left() {
+fn a_store_recovers_the_state_from_the_data_directory_of_an_earlier_build() {
     run(async {
         // Given the data directory of an earlier build.
-        let folder = tempfile::tempdir().unwrap();
-        golden::copy_directory("data_directory", folder.path());
-        let directory = DataDirectory::open(folder.path()).unwrap();
+        let data_dir = tempfile::tempdir().unwrap();
+        golden::copy_directory("data_directory", data_dir.path());
+        let directory = DataDirectory::open(data_dir.path()).unwrap();
 
-        // When it is inspected, then everything is there.
-        let log_bytes = fs::metadata(folder.path().join("store-0000000000000000.log")).unwrap().len();
+        // When it is inspected, then the summary covers all of its state.
+        let log_bytes = fs::metadata(data_dir.path().join("store-0000000000000000.log")).unwrap().len();
         assert_eq!(inspect(&directory).unwrap(), StoreOnDisk { log_bytes, ..expected_on_disk() });
 
-        // And a store that starts on it answers from it.
+        // And a store that starts on it serves the stored counts and turns.
         let identity = Identity::load_or_create(&directory, false).unwrap();
         assert_eq!(identity, IDENTITY);
         let server = StoreServer::open(&directory, identity.number, LIMITS).unwrap();
         assert_eq!(server.state().epoch(), Epoch(EPOCH));
         let older = Rc::new(StoreMap { epoch: Epoch(EPOCH - 1), ..(*store_map()).clone() });
-        assert!(!server.set_map(older), "an epoch before the one learned");
+        assert!(!server.set_map(older), "a map of an older epoch than the learned one is rejected");
         assert!(server.set_map(store_map()));
-        assert!(!server.state().has_pending_records(), "the epoch is known by the log");
+        assert!(!server.state().has_pending_records(), "the epoch is in the log already");
         let counts = |entries| StoreReply::Count { is_complete: true, entries };
         assert_eq!(
             server.serve(write_count("program-1", entry(11, 3, 2))).await,
--- a/crates/store/tests/metrics.rs
+++ b/crates/store/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! What scrapers are told of a store.
+//! Metrics that a store exposes to scrapers.
 
 use opalrun_metrics::Scrape;
 use opalrun_storage::DataDirectory;
@@ -6,9 +6,9 @@
 use opalrun_wire::ids::NodeIdentity;
 
 #[test]
-fn metrics_are_read_when_a_scraper_asks() {
-    let folder = tempfile::tempdir().unwrap();
-    let directory = DataDirectory::open(folder.path()).unwrap();
+fn a_scrape_contains_the_metrics_of_the_store() {
+    let data_dir = tempfile::tempdir().unwrap();
+    let directory = DataDirectory::open(data_dir.path()).unwrap();
     let limits = StoreLimits { memory_bytes: 1 << 20, disk_bytes: 1 << 20 };
     let server = StoreServer::open(&directory, NodeIdentity(1), limits).unwrap();
     let mut scrape = Scrape::default();
--- a/crates/store/tests/model/holder.rs
+++ b/crates/store/tests/model/holder.rs
@@ -1,4 +1,4 @@
-//! A gatekeeper: it acquires and reduces its lease of one program's budget.
+//! Model of a gatekeeper that acquires and reduces its lease of one program's budget.
 
 use opalrun_store_client::lease_acquisition::LeaseAcquisition;
 use opalrun_wire::{
--- a/crates/store/tests/model/main.rs
+++ b/crates/store/tests/model/main.rs
@@ -1,8 +1,8 @@
-//! Stores, gatekeepers and control as state machines, driven through random orders of events: delays, lost messages,
-//! restarts that lose what was not synced, lost disks, retired stores, and maps that arrive late.
+//! Model test of stores, gatekeepers and control as state machines, driven through random orders of events: delays, lost
+//! messages, restarts that lose unsynced records, lost disks, retired stores, and store maps that arrive late.
 //!
-//! What must hold: units leased by all gatekeepers never sum to more than the budget, and a turn that was acknowledged is
-//! never said to be absent.
+//! Invariants: the units leased by all gatekeepers never sum to more than the budget, and an acknowledged turn is never
+//! reported as absent.
 
 mod holder;
 mod node;
@@ -13,11 +13,11 @@
 const STEPS: usize = 2000;
 const RUNS: u64 = 700;
 
-/// Draws numbers, from a seed or from the bytes of a fuzzer.
+/// Source of choices: a seeded random generator or the input of a fuzzer.
 pub trait Choices {
-    /// A number below `bound`.
+    /// Returns a number below `bound`.
     fn below(&mut self, bound: usize) -> usize;
-    /// Whether something happens that does so once in `odds` times.
+    /// Returns true with a probability of 1 in `odds`.
     fn once_in(&mut self, odds: usize) -> bool {
         self.below(odds) == 0
     }
@@ -29,7 +29,7 @@
     }
 }
 
-/// Bytes of a fuzzer; zeros after their end.
+/// Input bytes of a fuzzer, followed by zeros.
 struct Bytes<'a>(std::slice::Iter<'a, u8>);
 
 impl Choices for Bytes<'_> {
@@ -41,7 +41,7 @@
 #[test]
 fn grants_stay_within_the_budget_and_acknowledged_turns_are_kept() {
     let mut grants = 0;
-    let mut changes = 0;
+    let mut replicas_completed = 0;
     for seed in 0..RUNS {
         let mut world = World::new(fastrand::Rng::with_seed(seed));
         for _ in 0..STEPS {
@@ -49,14 +49,14 @@
         }
         world.check(seed);
         grants += world.grants;
-        changes += world.replicas_completed;
+        replicas_completed += world.replicas_completed;
     }
-    assert!(grants > RUNS, "the runs do something: {grants} grants");
-    assert!(changes > RUNS / 2, "the runs do something: {changes} copies");
+    assert!(grants > RUNS, "too few grants in all runs: {grants}");
+    assert!(replicas_completed > RUNS / 2, "too few completed transfers in all runs: {replicas_completed}");
 }
 
 #[test]
-fn any_order_of_events_keeps_the_rules() {
+fn the_invariants_hold_in_any_order_of_events() {
     bolero::check!().with_type::<Vec<u8>>().for_each(|bytes| {
         let mut world = World::new(Bytes(bytes.iter()));
         for _ in 0..bytes.len() {
--- a/crates/store/tests/model/node.rs
+++ b/crates/store/tests/model/node.rs
@@ -1,4 +1,4 @@
-//! A store with a disk that loses what was not synced.
+//! Model of a store with a disk that loses unsynced records on a restart.
 
 use opalrun_store::{
     state::{PartitionPage, RequestOutcome, StoreLimits, StoreState},
@@ -14,13 +14,13 @@
 const LIMITS: StoreLimits = StoreLimits { memory_bytes: 1 << 30, disk_bytes: 1 << 30 };
 pub const NOW: Duration = Duration::from_secs(1);
 
-/// Whom a reply goes to.
+/// Recipient of a reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Requester {
-    /// An operation of a holder, and the round it belongs to.
+    /// An operation of a holder, in its first or second round.
     Operation { holder: usize, operation: u64, second_round: bool },
-    /// The copy of a partition at a store that began in an epoch.
-    Copy { store: NodeIdentity, partition: Partition, epoch: Epoch },
+    /// The transfer of a partition to a store, which began in `epoch`.
+    Transfer { store: NodeIdentity, partition: Partition, epoch: Epoch },
 }
 
 pub struct Node {
@@ -29,14 +29,14 @@
     pub transfers: BTreeMap<Partition, RunningTransfer>,
     disk: Vec<Vec<u8>>,
     unsynced: Vec<Vec<u8>>,
-    waiting: Vec<(u64, Requester, StoreReply)>,
+    unsent_replies: Vec<(u64, Requester, StoreReply)>,
 }
 
 pub struct RunningTransfer {
     pub epoch: Epoch,
     pub replicas_since: Epoch,
     pub plan: TransferPlan,
-    /// Its pages are synced up to the record after which it counts.
+    /// Number of the last record of its merged pages, which must be synced before the transfer is complete.
     pub last_record: u64,
 }
 
@@ -48,14 +48,14 @@
             transfers: BTreeMap::new(),
             disk: Vec::new(),
             unsynced: Vec::new(),
-            waiting: Vec::new(),
+            unsent_replies: Vec::new(),
         }
     }
 
-    /// Loses what was not synced and starts again. It learns the map anew.
+    /// Restarts the store: it loses unsynced records, and its map until it is notified again.
     pub fn restart(&mut self) {
         self.unsynced.clear();
-        self.waiting.clear();
+        self.unsent_replies.clear();
         self.transfers.clear();
         self.state = StoreState::new(self.identity, LIMITS);
         for (number, record) in self.disk.iter().enumerate() {
@@ -67,15 +67,15 @@
     pub fn set_map(&mut self, map: &Rc<StoreMap>) {
         self.state.set_map(map.clone());
         self.collect();
-        let needed = self.state.required_transfers();
-        self.transfers.retain(|partition, copy| {
-            needed
-                .iter()
-                .any(|needed| needed.partition == *partition && needed.replicas_since == copy.replicas_since)
+        let required = self.state.required_transfers();
+        self.transfers.retain(|partition, transfer| {
+            required.iter().any(|required| {
+                required.partition == *partition && required.replicas_since == transfer.replicas_since
+            })
         });
     }
 
-    /// Serves a request; answers that may go out at once are returned.
+    /// Serves a request; returns the reply if it may be sent immediately.
     pub fn handle(&mut self, requester: Requester, request: &StoreRequest) -> Option<StoreReply> {
         let handled = self.state.handle(request, NOW);
         self.collect();
@@ -83,33 +83,33 @@
             RequestOutcome::Reply(reply) => Some(reply),
             RequestOutcome::AfterSync { record, reply } if record < self.disk.len() as u64 => Some(reply),
             RequestOutcome::AfterSync { record, reply } => {
-                self.waiting.push((record, requester, reply));
+                self.unsent_replies.push((record, requester, reply));
                 None
             }
             RequestOutcome::NewerEpoch => Some(self.state.stale_epoch_reply()),
         }
     }
 
-    /// Syncs everything; returns the answers that may go out now.
+    /// Syncs all records; returns the replies that may be sent now.
     pub fn sync(&mut self) -> Vec<(Requester, StoreReply)> {
         self.disk.append(&mut self.unsynced);
         let synced = self.disk.len() as u64;
-        let (out, waiting) = std::mem::take(&mut self.waiting)
+        let (sendable, unsent_replies) = std::mem::take(&mut self.unsent_replies)
             .into_iter()
             .partition::<Vec<_>, _>(|(record, _, _)| *record < synced);
-        self.waiting = waiting;
-        out.into_iter().map(|(_, requester, reply)| (requester, reply)).collect()
+        self.unsent_replies = unsent_replies;
+        sendable.into_iter().map(|(_, requester, reply)| (requester, reply)).collect()
     }
 
-    /// Begins transfers that are needed of these partitions.
+    /// Starts the required transfers among these partitions.
     pub fn start_transfers(&mut self, partitions: &[Partition]) {
         let Some(map) = self.state.map().cloned() else { return };
-        for needed in self.state.required_transfers() {
-            if partitions.contains(&needed.partition) {
-                let layout = &map.partitions[needed.partition.position()];
-                self.transfers.entry(needed.partition).or_insert_with(|| RunningTransfer {
+        for required in self.state.required_transfers() {
+            if partitions.contains(&required.partition) {
+                let layout = &map.partitions[required.partition.position()];
+                self.transfers.entry(required.partition).or_insert_with(|| RunningTransfer {
                     epoch: map.epoch,
-                    replicas_since: needed.replicas_since,
+                    replicas_since: required.replicas_since,
                     plan: TransferPlan::new(layout, self.identity),
                     last_record: 0,
                 });
@@ -117,33 +117,42 @@
         }
     }
 
-    /// Takes in a page of a copy.
-    pub fn take_page(&mut self, partition: Partition, epoch: Epoch, source: NodeIdentity, reply: StoreReply) {
+    /// Merges a page of a running transfer.
+    pub fn merge_page(
+        &mut self,
+        partition: Partition,
+        epoch: Epoch,
+        source: NodeIdentity,
+        reply: StoreReply,
+    ) {
         let StoreReply::Page { counts, turns, next, is_complete: true } = reply else { return };
-        if self.transfers.get(&partition).is_none_or(|copy| copy.epoch != epoch) {
+        if self.transfers.get(&partition).is_none_or(|transfer| transfer.epoch != epoch) {
             return;
         }
         let record = self.state.merge_page(PartitionPage::from_wire(counts, turns), NOW);
         self.collect();
-        if let Some(copy) = self.transfers.get_mut(&partition) {
-            copy.plan.record_page(source, next);
-            copy.last_record = record;
+        if let Some(transfer) = self.transfers.get_mut(&partition) {
+            transfer.plan.record_page(source, next);
+            transfer.last_record = record;
         }
     }
 
-    /// The epoch of the oldest of the transfers, once all of these partitions are copied and synced.
+    /// Returns the lowest epoch in which a transfer of these partitions began, once all of them are complete and synced.
     pub fn transferred_epoch(&self, partitions: &[Partition]) -> Option<Epoch> {
         let synced = self.disk.len() as u64;
-        let done = |copy: &&RunningTransfer| copy.plan.is_complete() && copy.last_record < synced;
+        let is_done =
+            |transfer: &&RunningTransfer| transfer.plan.is_complete() && transfer.last_record < synced;
         let epochs: Vec<Epoch> = partitions
             .iter()
-            .filter_map(|partition| self.transfers.get(partition).filter(done).map(|copy| copy.epoch))
+            .filter_map(|partition| {
+                self.transfers.get(partition).filter(is_done).map(|transfer| transfer.epoch)
+            })
             .collect();
         (epochs.len() == partitions.len()).then(|| epochs.into_iter().min().unwrap_or_default())
     }
 
-    /// Cleans the log as the store does, so that records move.
-    pub fn rewrite(&mut self) {
+    /// Runs a compaction step, which moves records to the end of the log.
+    pub fn compact(&mut self) {
         self.state.rewrite_oldest(1, NOW);
         self.collect();
     }
--- a/crates/store/tests/model/world.rs
+++ b/crates/store/tests/model/world.rs
@@ -1,4 +1,4 @@
-//! All machines, the messages between them, and the events that may come in any order.
+//! Model of all processes, the messages in flight between them, and the events that may happen in any order.
 
 use crate::{
     Choices,
@@ -20,23 +20,24 @@
 const PROGRAM: &str = "p";
 const HOLDERS: usize = 3;
 const TURN_IDS: [&str; 3] = ["t0", "t1", "t2"];
-/// Messages in flight from which on none is added.
+/// Number of requests in flight at which operations add no further ones.
 const MAX_MESSAGES: usize = 24;
 
 pub struct World<C> {
     choices: C,
     nodes: Vec<Node>,
     holders: Vec<Holder>,
-    /// All maps so far; control has the last one.
+    /// All maps published so far; the last one is current at control.
     maps: Vec<Rc<StoreMap>>,
+    /// Epoch in which the replicas of the partitions last changed.
     replicas_changed_in: Epoch,
-    /// The store that lost its disk and is not complete yet.
+    /// The store that replaces one with a lost disk, until its replicas are complete.
     recovering: Option<NodeIdentity>,
     next_identity: NodeIdentity,
     next_operation: u64,
     requests: Vec<(NodeIdentity, Requester, StoreRequest)>,
     replies: Vec<(NodeIdentity, Requester, StoreReply)>,
-    writes: BTreeMap<u64, TurnOperation>,
+    turn_operations: BTreeMap<u64, TurnOperation>,
     acknowledged: Vec<&'static str>,
     pub grants: u64,
     pub replicas_completed: u64,
@@ -45,9 +46,9 @@
 struct TurnOperation {
     id: &'static str,
     is_write: bool,
-    /// The turn was acknowledged before this read began.
+    /// Whether the turn was acknowledged before this operation began.
     must_exist: bool,
-    answers: QuorumTracker,
+    quorum: QuorumTracker,
 }
 
 impl<C: Choices> World<C> {
@@ -75,7 +76,7 @@
             next_operation: 1,
             requests: Vec::new(),
             replies: Vec::new(),
-            writes: BTreeMap::new(),
+            turn_operations: BTreeMap::new(),
             acknowledged: Vec::new(),
             grants: 0,
             replicas_completed: 0,
@@ -96,7 +97,7 @@
             78..=81 => self.start_second_round(),
             82..=84 => self.notify_holder(),
             85..=88 => self.notify_node(),
-            89..=90 => self.turn_operation(),
+            89..=90 => self.start_turn_operation(),
             91..=92 => self.request_pages(),
             93..=94 => self.mark_complete(),
             95..=98 => self.reduce_or_cancel(),
@@ -121,7 +122,7 @@
             return;
         }
         let index = self.choices.below(self.requests.len());
-        // A message may be delivered twice, as a retry is.
+        // A request may be delivered twice, like a retry.
         let (to, requester, request) = if self.choices.once_in(8) {
             self.requests[index].clone()
         } else {
@@ -141,9 +142,9 @@
         let index = self.choices.below(self.replies.len());
         let (from, requester, reply) = self.replies.swap_remove(index);
         match requester {
-            Requester::Copy { store, partition, epoch } => {
+            Requester::Transfer { store, partition, epoch } => {
                 if let Some(node) = self.nodes.iter_mut().find(|node| node.identity == store) {
-                    node.take_page(partition, epoch, from, reply);
+                    node.merge_page(partition, epoch, from, reply);
                 }
             }
             Requester::Operation { holder, operation, second_round } => match reply {
@@ -159,8 +160,8 @@
         let index = self.choices.below(self.nodes.len());
         let node = &mut self.nodes[index];
         let from = node.identity;
-        let out = node.sync();
-        self.replies.extend(out.into_iter().map(|(requester, reply)| (from, requester, reply)));
+        let sent = node.sync();
+        self.replies.extend(sent.into_iter().map(|(requester, reply)| (from, requester, reply)));
     }
 
     fn send_to_all(&mut self, partition: &PartitionReplicas, requester: Requester, request: &StoreRequest) {
@@ -196,7 +197,7 @@
         self.send_acquisition(holder);
     }
 
-    /// Sends a round of an acquisition, for the first time or again.
+    /// Sends the requests of an acquisition's current round, for the first time or as a retry.
     fn send_acquisition(&mut self, holder: usize) {
         let Some(pending) = &self.holders[holder].pending else { return };
         let second_round = pending.second_round_sent;
@@ -275,8 +276,8 @@
         );
     }
 
-    /// Writes a turn, or reads one.
-    fn turn_operation(&mut self) {
+    /// Starts a write or a read of a turn.
+    fn start_turn_operation(&mut self) {
         let holder = self.choices.below(HOLDERS);
         let id = TURN_IDS[self.choices.below(TURN_IDS.len())];
         let is_write = self.choices.once_in(2);
@@ -290,8 +291,8 @@
             StoreRequest::GetTurn { epoch: map.epoch, id: id.to_owned() }
         };
         let must_exist = self.acknowledged.contains(&id);
-        let answers = QuorumTracker::new(partition);
-        self.writes.insert(operation, TurnOperation { id, is_write, must_exist, answers });
+        let quorum = QuorumTracker::new(partition);
+        self.turn_operations.insert(operation, TurnOperation { id, is_write, must_exist, quorum });
         self.send_to_all(
             partition,
             Requester::Operation { holder, operation, second_round: false },
@@ -300,30 +301,31 @@
     }
 
     fn turn_replied(&mut self, operation: u64, from: NodeIdentity, reply: &StoreReply) {
-        let Some(known) = self.writes.get_mut(&operation) else { return };
+        let Some(turn_operation) = self.turn_operations.get_mut(&operation) else { return };
         match reply {
             StoreReply::Stored { is_complete } | StoreReply::Turn { turn: None, is_complete, .. } => {
-                known.answers.record(from, *is_complete);
+                turn_operation.quorum.record(from, *is_complete);
             }
             StoreReply::Turn { turn: Some(_), .. } => {
-                self.writes.remove(&operation);
+                self.turn_operations.remove(&operation);
                 return;
             }
             _ => return,
         }
-        if known.answers.is_quorum() {
-            let (id, is_write, must_exist) = (known.id, known.is_write, known.must_exist);
-            self.writes.remove(&operation);
+        if turn_operation.quorum.is_quorum() {
+            let (id, is_write, must_exist) =
+                (turn_operation.id, turn_operation.is_write, turn_operation.must_exist);
+            self.turn_operations.remove(&operation);
             if is_write {
                 self.acknowledged.push(id);
             } else {
-                assert!(!must_exist, "an acknowledged turn is said to be absent");
+                assert!(!must_exist, "an acknowledged turn was reported as absent");
             }
         }
     }
 
     fn notify_holder(&mut self) {
-        // The first one hears of maps late.
+        // The first holder receives maps later than the others.
         let holder = self.choices.below(HOLDERS);
         if holder == 0 && !self.choices.once_in(12) {
             return;
@@ -332,22 +334,22 @@
         let state = &mut self.holders[holder];
         if state.map.epoch < map.epoch {
             state.map = map;
-            // An operation in progress begins anew in the new layout.
+            // An acquisition in progress is cancelled, and its entry is reverted in the new layout.
             if state.pending.take().is_some() {
                 self.write_leased(holder);
             }
         }
     }
 
-    /// A store learns the newest map, or one in between.
+    /// Sends a store the newest map, or the one after the epoch that it has learned.
     fn notify_node(&mut self) {
-        // One of them hears of maps late.
+        // The first store receives maps later than the others.
         let index = self.choices.below(self.nodes.len());
         if index == 0 && !self.choices.once_in(8) {
             return;
         }
-        let known = self.nodes[index].state.epoch();
-        let next = self.maps.iter().find(|map| map.epoch > known).cloned();
+        let learned_epoch = self.nodes[index].state.epoch();
+        let next = self.maps.iter().find(|map| map.epoch > learned_epoch).cloned();
         let map = if self.choices.once_in(3) { next } else { Some(self.map().clone()) };
         if let Some(map) = map {
             self.nodes[index].set_map(&map);
@@ -355,30 +357,30 @@
         }
     }
 
-    /// A store that catches up asks for its next pages.
+    /// Requests the next page of every running transfer.
     fn request_pages(&mut self) {
         for node in &mut self.nodes {
-            for (partition, copy) in &mut node.transfers {
-                let Some(page) = copy.plan.next_page() else { continue };
-                let (partition, epoch) = (*partition, copy.epoch);
-                let requester = Requester::Copy { store: node.identity, partition, epoch };
+            for (partition, transfer) in &mut node.transfers {
+                let Some(page) = transfer.plan.next_page() else { continue };
+                let (partition, epoch) = (*partition, transfer.epoch);
+                let requester = Requester::Transfer { store: node.identity, partition, epoch };
                 let request = StoreRequest::CopyPartition { epoch, partition, cursor: page.cursor };
                 self.requests.push((page.store, requester, request));
-                // Another source is asked as well before long, as one may be down.
-                copy.plan.record_failure(page.store);
+                // Next time another source is tried first, as this one may be down.
+                transfer.plan.record_failure(page.store);
             }
         }
     }
 
-    /// A store has reported to control that it is complete.
+    /// Control marks the replicas of a store as complete once the store has reported so.
     fn mark_complete(&mut self) {
-        let copied = self.nodes.iter().find_map(|node| {
+        let completed_store = self.nodes.iter().find_map(|node| {
             let is_incomplete = |replica: &Replica| replica.store == node.identity && !replica.is_complete;
             let epoch = node.transferred_epoch(&used_partitions())?;
             let is_waiting = self.map().partitions[0].replicas.iter().any(is_incomplete);
             (is_waiting && epoch >= self.replicas_changed_in).then_some(node.identity)
         });
-        let Some(store) = copied else { return };
+        let Some(store) = completed_store else { return };
         self.publish(|partition| {
             partition
                 .replicas
@@ -404,7 +406,7 @@
             3..=4 => self.lose_message(),
             5..=6 => {
                 let index = self.choices.below(self.nodes.len());
-                self.nodes[index].rewrite();
+                self.nodes[index].compact();
             }
             7..=8 => self.lose_disk(),
             _ => self.retire(),
@@ -422,7 +424,7 @@
         }
     }
 
-    /// A store loses its disk and comes back as another one. One at a time: `hosts_lost` is 1.
+    /// A store loses its disk and returns with a new identity. Only one at a time, as `hosts_lost` is 1.
     fn lose_disk(&mut self) {
         if self.recovering.is_some() {
             return;
@@ -439,7 +441,7 @@
         }
     }
 
-    /// A store is to be emptied: a new one replaces it, and catches up from it as well.
+    /// A store is retired: a new store replaces it and may use it as a source.
     fn retire(&mut self) {
         let map = self.map().clone();
         let replicas = &map.partitions[0].replicas;
@@ -448,7 +450,7 @@
         }
         let old = replicas[self.choices.below(replicas.len())].store;
         let new = self.new_identity();
-        // The one before is emptied by now and taken away.
+        // The store that was retired before is no longer needed as a source.
         self.nodes.retain(|node| replicas.iter().any(|replica| replica.store == node.identity));
         self.nodes.push(Node::new(new));
         self.replace(old, new, true);
--- a/crates/store/tests/process.rs
+++ b/crates/store/tests/process.rs
@@ -1,4 +1,4 @@
-//! The role over loopback: a store process, and a stand-in of control that serves the change feed.
+//! Runs store processes over loopback, with a fake control process that serves the change feed.
 
 use opalrun_net::{Connection, FrameWriter, Listener, RpcClient};
 use opalrun_settings::Settings;
@@ -28,23 +28,24 @@
     task::JoinHandle,
 };
 
+/// Time-out of a test, and of each call in it.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
-/// How often stores hear that what they know is fresh.
+/// Period of the messages that tell stores that their state is up to date.
 const FRESH_PERIOD: Duration = Duration::from_millis(100);
-/// The ports of the first test's machines, below those that the system gives out by itself.
+/// First port of the first test, below the ephemeral port range of the system.
 const FIRST_PORT: u16 = 7200;
-/// Ports of a machine: of its process, and of the feed.
+/// Number of ports of a machine: one for its process, and one for the feed.
 const PORTS: u16 = 2;
-/// Bits of a loopback address that tell the machines of one process apart.
+/// Bits of a loopback address that distinguish the machines of one test process.
 const MACHINE_BITS: u32 = 2;
 
-/// The machines of one test. The addresses are those of this process alone, and the ports those of the test, so that no
-/// other process or test can have taken them.
+/// Addresses of the machines of one test. The IP addresses are unique to this process and the ports to the test, so no
+/// other process or test uses them.
 struct Network {
     peer_port: u16,
 }
 
-/// A machine of the network.
+/// Machine of the test network.
 #[derive(Clone, Copy)]
 enum Machine {
     Control,
@@ -62,7 +63,7 @@
         self.peer_port + 1
     }
 
-    /// A machine's address: 127.0.0.0/8 has room for the identity of each process and a few machines.
+    /// Returns the address of a machine: 127.0.0.0/8 is large enough for the id of each process and a few machines.
     fn ip(machine: Machine) -> Ipv4Addr {
         let number = (std::process::id() << MACHINE_BITS) + 1 + machine as u32;
         let [_, high, middle, low] = number.to_be_bytes();
@@ -70,8 +71,8 @@
     }
 }
 
-/// Stops tokio's clock for as long as it lives, so that no time-out runs out however late the machine gives the test a
-/// processor. After [`TEST_TIMEOUT`] the clock goes on by itself, and a test that waits in vain fails.
+/// Guard that pauses tokio's clock, so that no time-out expires however late the test is scheduled. The clock resumes by
+/// itself after [`TEST_TIMEOUT`], so that a test that never gets its reply fails.
 struct StoppedClock {
     _resume: mpsc::Sender<()>,
 }
@@ -92,7 +93,8 @@
     }
 }
 
-/// A control process as far as stores see it: whoever subscribes gets the newest map, and hears that it is fresh.
+/// Fake control process, with the interface that stores use: it sends each subscriber the newest map, and confirms at
+/// short intervals that it is up to date.
 struct Control {
     network: Network,
     feed: Rc<Feed>,
@@ -100,23 +102,23 @@
     reports: UnboundedReceiver<CompletionReport>,
 }
 
-/// A store that subscribed.
+/// Subscription of a store to the change feed.
 struct Subscription {
     node: StoreNode,
     bootstrap: bool,
 }
 
-/// Partitions that a store reported complete.
+/// Report of a store that its replicas of some partitions are complete.
 struct CompletionReport {
     store: NodeIdentity,
     epoch: Epoch,
     partitions: Vec<Partition>,
 }
 
-/// The change feed; shared by the test and the tasks of the connections.
+/// Change feed, shared by the test and the tasks that serve its connections.
 struct Feed {
     map: RefCell<Option<StoreMap>>,
-    /// Offset of the newest map.
+    /// Feed offset of the newest map.
     offset: Cell<u64>,
     writers: RefCell<Vec<FrameWriter>>,
     subscriptions: UnboundedSender<Subscription>,
@@ -161,8 +163,8 @@
         let _ = writer.send(&FeedUpdate::Fresh { gatekeepers: 1 });
     }
 
-    /// Tells the stores again and again that what they know is fresh.
-    async fn stay_fresh(self: Rc<Self>) {
+    /// Confirms to all subscribers, every [`FRESH_PERIOD`], that their state is up to date.
+    async fn send_fresh_periodically(self: Rc<Self>) {
         loop {
             for writer in self.writers.borrow().iter() {
                 let _ = writer.send(&FeedUpdate::Fresh { gatekeepers: 1 });
@@ -186,11 +188,11 @@
             reports: report_sender,
         });
         tokio::task::spawn_local(feed.clone().serve(Listener::bind(address).await.unwrap()));
-        tokio::task::spawn_local(feed.clone().stay_fresh());
+        tokio::task::spawn_local(feed.clone().send_fresh_periodically());
         Self { network, feed, subscriptions, reports }
     }
 
-    /// Settings of a store at another address of the network with the same ports.
+    /// Returns the settings of a store on a machine of the network.
     fn settings(&self, machine: Machine, data_dir: &Path, bootstrap: bool) -> Settings {
         let text = include_str!("process.toml")
             .replace("STORE_IP", &Network::ip(machine).to_string())
@@ -202,12 +204,12 @@
         Settings::parse(&text, Path::new("process.toml")).unwrap()
     }
 
-    /// Waits for a store to subscribe; one that lost its connection subscribes again.
+    /// Waits for the next subscription of a store. A store that lost its connection subscribes again.
     async fn subscribed(&mut self) -> Subscription {
         self.subscriptions.recv().await.unwrap()
     }
 
-    /// Waits for another store than `known` to subscribe.
+    /// Waits for a subscription of a store other than `known`.
     async fn subscribed_other(&mut self, known: &StoreNode) -> Subscription {
         loop {
             let subscription = self.subscribed().await;
@@ -217,12 +219,12 @@
         }
     }
 
-    /// Forgets the subscriptions that nobody has waited for.
-    fn forget_subscriptions(&mut self) {
+    /// Discards the subscriptions received so far.
+    fn discard_subscriptions(&mut self) {
         while self.subscriptions.try_recv().is_ok() {}
     }
 
-    /// Publishes a map to all stores, also to those that subscribe later.
+    /// Publishes a map to all subscribers, and to stores that subscribe later.
     fn publish(&self, map: StoreMap) {
         self.feed.offset.set(self.feed.offset.get() + 1);
         self.feed.map.replace(Some(map));
@@ -231,7 +233,7 @@
         }
     }
 
-    /// Waits until a store has reported so many partitions complete; returns the epochs.
+    /// Waits until a store has reported `count` partitions as complete; returns the epochs of the reports.
     async fn reported_complete(&mut self, store: NodeIdentity, count: usize) -> Vec<Epoch> {
         let (mut complete, mut epochs) = (BTreeSet::new(), Vec::new());
         while complete.len() < count {
@@ -279,28 +281,28 @@
 fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        tokio::time::timeout(TEST_TIMEOUT, test).await.expect("the test ends");
+        tokio::time::timeout(TEST_TIMEOUT, test).await.expect("the test timed out");
     });
 }
 
 #[test]
-fn a_new_store_subscribes_learns_the_map_and_catches_up() {
+fn a_new_store_subscribes_receives_the_map_and_catches_up() {
     run(async {
-        let folders = [TempDir::new().unwrap(), TempDir::new().unwrap()];
+        let data_dirs = [TempDir::new().unwrap(), TempDir::new().unwrap()];
         let mut control = Control::start().await;
-        start(control.settings(Machine::FirstStore, folders[0].path(), true));
+        start(control.settings(Machine::FirstStore, data_dirs[0].path(), true));
         let Subscription { node: first, bootstrap } = control.subscribed().await;
         assert!(bootstrap);
         assert_eq!((first.node_name.as_str(), first.zone.as_str()), ("storage-1", "zone-1"));
         control.publish(map(1, std::slice::from_ref(&first), &[(first.identity, true)]));
         let put = StoreRequest::PutTurn { epoch: Epoch(1), turn: turn() };
-        // It may come before the map, for which it then waits.
+        // The request may reach the store before the map, and then waits for the map.
         let clock = StoppedClock::stop();
         assert_eq!(call(&first, put).await, StoreReply::Stored { is_complete: true });
         drop(clock);
 
-        // A second store comes, with an empty disk.
-        start(control.settings(Machine::SecondStore, folders[1].path(), false));
+        // When a second store starts on an empty disk, it catches up on all partitions.
+        start(control.settings(Machine::SecondStore, data_dirs[1].path(), false));
         let Subscription { node: second, bootstrap } = control.subscribed_other(&first).await;
         assert!(!bootstrap);
         let stores = [first.clone(), second.clone()];
@@ -315,16 +317,16 @@
 }
 
 #[test]
-fn a_store_keeps_its_identity_over_a_restart() {
+fn a_store_keeps_its_identity_across_a_restart() {
     run(async {
-        let folder = TempDir::new().unwrap();
+        let data_dir = TempDir::new().unwrap();
         let mut control = Control::start().await;
-        let first = start(control.settings(Machine::FirstStore, folder.path(), true));
+        let first = start(control.settings(Machine::FirstStore, data_dir.path(), true));
         let before = control.subscribed().await;
         first.abort();
         assert!(first.await.unwrap_err().is_cancelled());
-        control.forget_subscriptions();
-        start(control.settings(Machine::FirstStore, folder.path(), false));
+        control.discard_subscriptions();
+        start(control.settings(Machine::FirstStore, data_dir.path(), false));
         let after = control.subscribed().await;
         assert_eq!((after.node, after.bootstrap), (before.node, true));
     });
@@ -333,13 +335,13 @@
 #[test]
 fn a_request_from_a_newer_epoch_waits_for_the_map() {
     run(async {
-        let folder = TempDir::new().unwrap();
+        let data_dir = TempDir::new().unwrap();
         let mut control = Control::start().await;
-        start(control.settings(Machine::FirstStore, folder.path(), true));
+        start(control.settings(Machine::FirstStore, data_dir.path(), true));
         let node = control.subscribed().await.node;
         let map = |epoch| map(epoch, std::slice::from_ref(&node), &[(node.identity, true)]);
         let put = |epoch| StoreRequest::PutTurn { epoch, turn: turn() };
-        // While the clock stands still, a request waits for however long the map takes.
+        // With the clock paused, a request waits for the map without a time-out.
         let clock = StoppedClock::stop();
         for epoch in 1..=2 {
             let waiting = call(&node, put(Epoch(epoch)));
@@ -350,17 +352,17 @@
         assert_eq!(
             call(&node, put(Epoch(3))).await,
             StoreReply::StaleEpoch { epoch: Epoch(2) },
-            "the map never comes"
+            "a request is rejected if the map does not arrive in time"
         );
     });
 }
 
 #[test]
-fn a_store_without_a_folder_ends_with_an_error() {
+fn a_store_without_a_data_directory_fails_to_start() {
     run(async {
-        let folder = TempDir::new().unwrap();
+        let data_dir = TempDir::new().unwrap();
         let control = Control::start().await;
-        let mut settings = control.settings(Machine::FirstStore, folder.path(), true);
+        let mut settings = control.settings(Machine::FirstStore, data_dir.path(), true);
         settings.data_dir = None;
         let error = opalrun_store::run(settings).await.unwrap_err();
         assert!(error.to_string().contains("data_dir"), "{error}");
--- a/crates/store/tests/state.rs
+++ b/crates/store/tests/state.rs
@@ -1,4 +1,4 @@
-//! The store's state machine, one matter at a time.
+//! Unit tests of the store's state machine.
 
 use opalrun_store::state::{
     COUNT_RETENTION, PAGE_BYTES, PartitionPage, RequestOutcome, StoreLimits, StoreState,
@@ -87,7 +87,7 @@
     }
 }
 
-/// The state after a restart at `now` with everything on disk.
+/// Returns the state after a restart at `now`, replayed from `records`.
 fn restarted(records: &[Vec<u8>], now: Duration) -> StoreState {
     let mut state = StoreState::new(NodeIdentity(OWN_STORE), LIMITS);
     for (number, record) in records.iter().enumerate() {
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_request_of_an_old_epoch_is_rejected_only_where_the_partition_moved() {
+fn a_request_of_an_old_epoch_is_rejected_only_if_the_placement_has_changed() {
     let mut state = state();
     assert!(state.set_map(complete_map(5)));
     assert!(matches!(reply(state.handle(&put(4, "t"), START)), StoreReply::Stored { is_complete: true }));
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn without_the_map_before_every_partition_counts_as_moved() {
+fn without_the_preceding_map_every_placement_counts_as_changed() {
     let mut state = state();
     state.set_map(complete_map(9));
     assert_eq!(
@@ -126,12 +126,12 @@
 }
 
 #[test]
-fn the_highest_epoch_is_known_after_a_restart() {
+fn the_highest_epoch_is_restored_after_a_restart() {
     let mut state = state();
     state.set_map(complete_map(5));
     let mut state = restarted(&records(&mut state), START);
     assert_eq!(state.epoch(), Epoch(5));
-    assert!(!state.set_map(complete_map(4)), "an older map does not count any more");
+    assert!(!state.set_map(complete_map(4)), "a map of an older epoch is rejected");
     assert_eq!(state.handle(&put(5, "t"), START), RequestOutcome::NewerEpoch);
     assert!(state.set_map(complete_map(5)));
     assert_eq!(
@@ -158,20 +158,24 @@
     let mut state = state();
     state.handle(&put(4, "t"), START);
     state.set_map(map(5, &[replica(2, true), replica(3, true), replica(4, false)], &[OWN_STORE]));
-    assert!(state.live_bytes() > 0, "a source keeps what it has");
+    assert!(state.live_bytes() > 0, "a source keeps its data");
     assert_eq!(
         state.handle(&put(5, "t"), START),
         RequestOutcome::Reply(StoreReply::StaleEpoch { epoch: Epoch(5) })
     );
-    let copy = StoreRequest::CopyPartition { epoch: Epoch(5), partition: partition_of("t"), cursor: 0 };
-    assert!(matches!(reply(state.handle(&copy, START)), StoreReply::Page { next: None, .. }));
+    let copy_request =
+        StoreRequest::CopyPartition { epoch: Epoch(5), partition: partition_of("t"), cursor: 0 };
+    assert!(matches!(reply(state.handle(&copy_request, START)), StoreReply::Page { next: None, .. }));
     state.set_map(map(6, &[replica(2, true), replica(3, true), replica(4, true)], &[]));
     assert_eq!(state.live_bytes(), 0);
-    assert_eq!(state.handle(&copy, START), RequestOutcome::Reply(StoreReply::StaleEpoch { epoch: Epoch(6) }));
+    assert_eq!(
+        state.handle(&copy_request, START),
+        RequestOutcome::Reply(StoreReply::StaleEpoch { epoch: Epoch(6) })
+    );
 }
 
 #[test]
-fn an_incomplete_replica_says_so_and_is_no_source() {
+fn an_incomplete_replica_reports_itself_incomplete_and_is_not_a_source() {
     let mut state = StoreState::new(NodeIdentity(OWN_STORE), LIMITS);
     state.set_map(map(2, &[replica(OWN_STORE, false), replica(2, true), replica(3, true)], &[]));
     assert_eq!(reply(state.handle(&put(2, "t"), START)), StoreReply::Stored { is_complete: false });
@@ -179,20 +183,25 @@
         reply(state.handle(&get(2, "u"), START)),
         StoreReply::Turn { is_complete: false, turn: None, .. }
     ));
-    let copy = StoreRequest::CopyPartition { epoch: Epoch(2), partition: Partition(0), cursor: 0 };
-    assert_eq!(state.handle(&copy, START), RequestOutcome::Reply(StoreReply::StaleEpoch { epoch: Epoch(2) }));
+    let copy_request = StoreRequest::CopyPartition { epoch: Epoch(2), partition: Partition(0), cursor: 0 };
+    assert_eq!(
+        state.handle(&copy_request, START),
+        RequestOutcome::Reply(StoreReply::StaleEpoch { epoch: Epoch(2) })
+    );
     assert_eq!(state.required_transfers().len(), usize::from(STORE_PARTITIONS));
 }
 
-/// Else it could take a write of the older epoch after the page, and the copy would lack it.
+/// A source that has not learned the requester's epoch could accept a write of an older epoch after it has sent the page,
+/// and the transfer would miss that write.
 #[test]
-fn a_page_is_read_only_where_the_requesters_epoch_is_known() {
+fn a_page_is_served_only_once_the_requesters_epoch_is_learned() {
     let mut state = state();
     state.handle(&put(4, "t"), START);
-    let copy = StoreRequest::CopyPartition { epoch: Epoch(5), partition: partition_of("t"), cursor: 0 };
-    assert_eq!(state.handle(&copy, START), RequestOutcome::NewerEpoch);
+    let copy_request =
+        StoreRequest::CopyPartition { epoch: Epoch(5), partition: partition_of("t"), cursor: 0 };
+    assert_eq!(state.handle(&copy_request, START), RequestOutcome::NewerEpoch);
     state.set_map(map(5, &[replica(OWN_STORE, true), replica(2, true), replica(4, false)], &[]));
-    assert!(matches!(reply(state.handle(&copy, START)), StoreReply::Page { .. }));
+    assert!(matches!(reply(state.handle(&copy_request, START)), StoreReply::Page { .. }));
 }
 
 #[test]
@@ -212,7 +221,7 @@
 }
 
 #[test]
-fn a_retried_write_waits_for_the_first_and_writes_nothing() {
+fn a_retried_write_waits_for_the_record_of_the_first_and_adds_none() {
     let mut state = state();
     let RequestOutcome::AfterSync { record, .. } = state.handle(&count(4, 7, 1, 50), START) else { panic!() };
     let next = state.next_record();
@@ -231,14 +240,14 @@
     assert!(has_turn(&mut state, "t", START + Duration::from_millis(keep_ms(60_000) - 1)));
     assert!(!has_turn(&mut state, "t", START + kept));
     (0..STORE_PARTITIONS).for_each(|partition| state.expire(Partition(partition), START + kept));
-    assert!(state.live_bytes() > 0, "the count is kept longer");
+    assert!(state.live_bytes() > 0, "the count expires later than the turn");
     (0..STORE_PARTITIONS).for_each(|partition| state.expire(Partition(partition), START + COUNT_RETENTION));
     assert_eq!(state.live_bytes(), 0);
-    assert_eq!(state.oldest_record(), 0, "the epoch's record is needed");
+    assert_eq!(state.oldest_record(), 0, "the record of the epoch is still needed");
 }
 
 #[test]
-fn a_turn_that_others_build_on_is_retained_longer() {
+fn an_extension_prolongs_the_retention_of_a_turn() {
     let mut state = state();
     state.handle(&put(4, "t"), START);
     let later = START + Duration::from_secs(100);
@@ -250,7 +259,7 @@
 }
 
 #[test]
-fn after_a_restart_a_turn_is_retained_for_its_full_time_again() {
+fn after_a_restart_a_turn_is_retained_for_its_full_retention_time() {
     let mut state = state();
     state.handle(&put(4, "t"), START);
     let records = records(&mut state);
@@ -261,7 +270,7 @@
 }
 
 #[test]
-fn pages_cover_a_partition_also_while_its_records_move() {
+fn pages_cover_a_partition_while_compaction_moves_its_records() {
     let mut state = state();
     let partition = partition_of("p");
     let ids: Vec<String> = (0..100_000)
@@ -276,9 +285,9 @@
     state.handle(&count(4, 7, 1, 50), START);
     let (mut found, mut counts, mut cursor, mut pages) = (Vec::new(), 0, Some(0), 0);
     while let Some(from) = cursor {
-        let copy = StoreRequest::CopyPartition { epoch: Epoch(4), partition, cursor: from };
+        let copy_request = StoreRequest::CopyPartition { epoch: Epoch(4), partition, cursor: from };
         let StoreReply::Page { counts: page_counts, turns, next, is_complete } =
-            reply(state.handle(&copy, START))
+            reply(state.handle(&copy_request, START))
         else {
             panic!()
         };
@@ -287,7 +296,7 @@
         counts += page_counts.len();
         cursor = next;
         pages += 1;
-        // Cleaning moves the oldest records to the end: they may come twice, but none is missed.
+        // Compaction moves the oldest records to the end: an item may be in two pages, but none is missed.
         state.rewrite_oldest(1, START);
         assert!(pages < 100);
     }
@@ -301,18 +310,18 @@
     let mut source = state();
     source.handle(&put(4, "t"), START);
     source.handle(&count(4, 7, 3, 50), START);
-    let mut copy = StoreState::new(NodeIdentity(9), LIMITS);
-    copy.set_map(map(4, &[replica(OWN_STORE, true), replica(2, true), replica(9, false)], &[]));
-    copy.handle(&count(4, 7, 2, 80), START);
-    copy.handle(&count(4, 8, 1, 1), START);
+    let mut target = StoreState::new(NodeIdentity(9), LIMITS);
+    target.set_map(map(4, &[replica(OWN_STORE, true), replica(2, true), replica(9, false)], &[]));
+    target.handle(&count(4, 7, 2, 80), START);
+    target.handle(&count(4, 8, 1, 1), START);
     for partition in [partition_of("t"), partition_of("p")] {
         let request = StoreRequest::CopyPartition { epoch: Epoch(4), partition, cursor: 0 };
         let StoreReply::Page { counts, turns, .. } = reply(source.handle(&request, START)) else { panic!() };
-        let record = copy.merge_page(PartitionPage::from_wire(counts, turns), START);
-        assert_eq!(record, copy.next_record() - 1);
+        let record = target.merge_page(PartitionPage::from_wire(counts, turns), START);
+        assert_eq!(record, target.next_record() - 1);
     }
-    assert!(has_turn(&mut copy, "t", START));
-    let found = entries(copy.handle(&count(4, 8, 1, 1), START));
+    assert!(has_turn(&mut target, "t", START));
+    let found = entries(target.handle(&count(4, 8, 1, 1), START));
     assert!(found.contains(&CountEntry { holder: 7, sequence: 3, taken: 50 }));
     assert_eq!(found.len(), 2);
 }
@@ -329,7 +338,7 @@
     while state.oldest_record() < end {
         state.rewrite_oldest(100, later);
     }
-    assert_eq!(state.next_record() - end, 2, "the epoch and the count are live");
+    assert_eq!(state.next_record() - end, 2, "only the epoch and the count are rewritten");
     assert_eq!(entries(state.handle(&count(4, 7, 0, 0), later))[0].taken, 29);
 }
 
@@ -353,13 +362,13 @@
 }
 
 #[test]
-fn partitions_that_do_not_exist_are_rejected() {
+fn requests_for_partitions_that_do_not_exist_are_rejected() {
     let mut state = state();
     for partition in [STORE_PARTITIONS, u16::MAX] {
-        let copy =
+        let copy_request =
             StoreRequest::CopyPartition { epoch: Epoch(4), partition: Partition(partition), cursor: 0 };
         assert_eq!(
-            state.handle(&copy, START),
+            state.handle(&copy_request, START),
             RequestOutcome::Reply(StoreReply::StaleEpoch { epoch: Epoch(4) })
         );
         let extend = StoreRequest::ExtendTurns {
@@ -376,6 +385,6 @@
 }
 
 #[test]
-fn a_record_that_can_not_be_decoded_is_an_error() {
+fn replay_of_a_record_that_cannot_be_decoded_fails() {
     assert!(StoreState::new(NodeIdentity(OWN_STORE), LIMITS).replay(0, &[1, 2, 3], START).is_err());
 }
--- a/crates/store/tests/transfer_plan.rs
+++ b/crates/store/tests/transfer_plan.rs
@@ -1,4 +1,4 @@
-//! Which sources a replica catches up from, and how many of them.
+//! Selection of the sources that a replica catches up from, and their required number.
 
 use opalrun_store::transfer::{NextPage, TransferPlan};
 use opalrun_wire::{
@@ -8,7 +8,7 @@
 
 const OWN_STORE: u64 = 50;
 
-/// A partition with this store in it, not complete; others as given.
+/// Returns a partition with this store as an incomplete replica, and the given other replicas and sources.
 fn partition(complete: &[u64], incomplete: &[u64], sources: &[u64]) -> PartitionReplicas {
     let replica = |is_complete| move |store: &u64| Replica { store: NodeIdentity(*store), is_complete };
     let replicas = complete
@@ -20,7 +20,8 @@
     PartitionReplicas { replicas, sources: sources.iter().copied().map(NodeIdentity).collect() }
 }
 
-/// Reads all of what a plan asks for, one page each, but for stores that are down; returns the stores that were read.
+/// Executes a plan: each source returns its only page, and requests to stores in `down` fail. Returns the stores that were
+/// read, in order.
 fn read(plan: &mut TransferPlan, down: &[u64]) -> Vec<u64> {
     let mut read = Vec::new();
     for _ in 0..50 {
@@ -57,7 +58,7 @@
 }
 
 #[test]
-fn a_former_replica_stands_in_for_one_that_is_down() {
+fn a_former_replica_is_read_in_place_of_one_that_is_down() {
     let mut plan = TransferPlan::new(&partition(&[1, 2], &[], &[3]), NodeIdentity(OWN_STORE));
     assert_eq!(read(&mut plan, &[1]), [2, 3]);
     assert!(plan.is_complete());
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn pages_follow_each_other_and_a_failure_keeps_what_was_read() {
+fn a_retry_continues_at_the_cursor_after_the_last_page_read() {
     let mut plan = TransferPlan::new(&partition(&[1, 2], &[], &[3]), NodeIdentity(OWN_STORE));
     plan.record_page(NodeIdentity(1), Some(40));
     assert_eq!(plan.next_page(), Some(NextPage { store: NodeIdentity(1), cursor: 40 }));
@@ -85,7 +86,7 @@
 }
 
 #[test]
-fn a_source_that_the_map_drops_stays_read() {
+fn a_source_that_was_read_counts_after_the_map_no_longer_lists_it() {
     let mut plan = TransferPlan::new(&partition(&[1, 2], &[], &[3]), NodeIdentity(OWN_STORE));
     plan.record_page(NodeIdentity(3), None);
     plan.record_page(NodeIdentity(1), Some(7));
@@ -96,7 +97,7 @@
 }
 
 #[test]
-fn an_empty_partition_is_never_complete() {
+fn the_plan_of_a_partition_without_replicas_is_never_complete() {
     let plan = TransferPlan::new(&PartitionReplicas::default(), NodeIdentity(OWN_STORE));
     assert!(!plan.is_complete());
     assert_eq!(plan.next_page(), None);
