--- a/crates/store-client/tests/model_check.rs
+++ b/crates/store-client/tests/model_check.rs
@@ -338,7 +338,7 @@
 };
 
 /// Explores all states within the bounds, and expects no violation.
-fn assert_holds_in_all_states(bounds: Bounds) {
+fn assert_no_violation(bounds: Bounds) {
     let outcome = check(bounds, MAX_STATES);
     assert_eq!(outcome.violation, None);
     assert!(outcome.is_exhausted);
@@ -353,12 +353,12 @@
 
 #[test]
 fn two_holders_that_acquire_once_stay_within_the_budget() {
-    assert_holds_in_all_states(Bounds { acquisitions: vec![1, 1], ..SMALL });
+    assert_no_violation(Bounds { acquisitions: vec![1, 1], ..SMALL });
 }
 
 #[test]
 fn two_holders_that_reduce_and_cancel_stay_within_the_budget() {
-    assert_holds_in_all_states(Bounds {
+    assert_no_violation(Bounds {
         acquisitions: vec![1, 1],
         holders_reduce: true,
         holders_cancel: true,
@@ -368,17 +368,17 @@
 
 #[test]
 fn two_holders_of_which_one_fails_stay_within_the_budget() {
-    assert_holds_in_all_states(Bounds { acquisitions: vec![1, 1], failures: 1, ..SMALL });
+    assert_no_violation(Bounds { acquisitions: vec![1, 1], failures: 1, ..SMALL });
 }
 
 #[test]
 fn two_holders_with_an_incomplete_replica_stay_within_the_budget() {
-    assert_holds_in_all_states(Bounds { acquisitions: vec![1, 1], complete: [true, true, false], ..SMALL });
+    assert_no_violation(Bounds { acquisitions: vec![1, 1], complete: [true, true, false], ..SMALL });
 }
 
 #[test]
 fn two_holders_with_a_late_reduction_stay_within_the_budget() {
-    assert_holds_in_all_states(Bounds { acquisitions: vec![1, 1], late_reduction: true, ..SMALL });
+    assert_no_violation(Bounds { acquisitions: vec![1, 1], late_reduction: true, ..SMALL });
 }
 
 /// Partial exploration: the state space is too large to explore completely, so only the states nearest to the start are.
@@ -393,8 +393,8 @@
 #[test]
 fn two_holders_that_acquire_twice_stay_within_the_budget() {
     if is_large() {
-        assert_holds_in_all_states(Bounds { acquisitions: vec![2, 1], ..SMALL });
-        assert_holds_in_all_states(Bounds { acquisitions: vec![2, 1], holders_reduce: true, ..SMALL });
+        assert_no_violation(Bounds { acquisitions: vec![2, 1], ..SMALL });
+        assert_no_violation(Bounds { acquisitions: vec![2, 1], holders_reduce: true, ..SMALL });
     }
 }
 
