--- a/crates/gateway/src/bin/opalrun-gateway/driver/actions.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/driver/actions.rs
@@ -69,7 +69,7 @@
             self.open_requests.borrow_mut().get_mut(job).and_then(|open| open.unreported_spending.take());
         let Some(Spending { customer, plan, units }) = spending else { return };
         self.fleet.borrow().iter().for_each(|fleet| fleet.record_spending(&customer, plan, units));
-        self.recovery.borrow().iter().for_each(|recovery| recovery.sent(&customer));
+        self.recovery.borrow().iter().for_each(|recovery| recovery.record_send(&customer));
     }
 
     /// Sends the final answer of a request, unless it has had one, and cancels its attempts that are not sent yet.
--- a/crates/gateway/src/bin/opalrun-gateway/driver/handover.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/driver/handover.rs
@@ -12,7 +12,7 @@
     pub fn hand_over(&self) -> (State, BTreeMap<ServerId, SocketAddr>) {
         self.pools.set_idle_disabled(true);
         self.has_handed_over.set(true);
-        self.recovery.borrow().iter().for_each(|r| r.release());
+        self.recovery.borrow().iter().for_each(|r| r.release_folder());
         let state = self.gateway.borrow_mut().hand_over(self.clock.now());
         (state, self.pools.addrs())
     }
@@ -21,7 +21,7 @@
     pub fn take_back(&self) {
         self.other_process.take();
         self.has_handed_over.set(false);
-        self.recovery.borrow().iter().for_each(|r| r.resume());
+        self.recovery.borrow().iter().for_each(|r| r.reclaim_folder());
         self.pools.set_idle_disabled(false);
         self.gateway.borrow_mut().resume(self.clock.now());
     }
--- a/crates/gateway/src/bin/opalrun-gateway/driver/mod.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/driver/mod.rs
@@ -307,7 +307,7 @@
     /// Applies a list of workers that discovery has sent.
     pub fn apply_discovery_list(self: &Rc<Self>, list: WorkerList) {
         self.has_full_list.set(self.has_full_list.get() || list.full);
-        self.recovery.borrow().iter().for_each(|r| r.listed(&list));
+        self.recovery.borrow().iter().for_each(|r| r.record_worker_list(&list));
         self.update_workers(if list.full { ListKind::Full } else { ListKind::Changes }, list.servers);
     }
 
@@ -337,7 +337,7 @@
         if known {
             self.pools.set_worker_disabled(id, is_offline);
         }
-        self.recovery.borrow().iter().filter(|_| known).for_each(|r| r.hand(id, is_offline));
+        self.recovery.borrow().iter().filter(|_| known).for_each(|r| r.record_worker_offline(id, is_offline));
         let state = if is_offline { "offline" } else { "online" };
         info!(
             "worker {id:?} {state}: {}",
--- a/crates/gateway/src/bin/opalrun-gateway/driver/sites.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/driver/sites.rs
@@ -5,7 +5,7 @@
     config::WorkerEntry,
     counter::Counter,
     fleet::{Fleet, Site},
-    recovery::{self, Progress},
+    recovery::{self, StartupProgress},
 };
 use fnv::FnvHashSet;
 use opalrun_gateway::{CustomerId, Event, Ledger, ListKind};
@@ -31,8 +31,8 @@
     }
 }
 
-impl recovery::Site for Rc<Driver> {
-    fn plans(&self) -> Vec<String> {
+impl recovery::GatewayHandle for Rc<Driver> {
+    fn plan_names(&self) -> Vec<String> {
         self.options.borrow().plans.clone()
     }
 
@@ -45,14 +45,14 @@
         self.gateway.borrow().ledger(self.clock.now(), customer, if exact { 0.0 } else { block })
     }
 
-    fn progress(&self) -> Progress {
+    fn startup_progress(&self) -> StartupProgress {
         let zones = self.gateway.borrow().zones(self.clock.now());
-        Progress {
-            listed: self.has_full_list.get(),
-            counted: self.counter.as_ref().map(Counter::has_answered),
-            members: self.fleet().map(|f| f.members()),
-            usable: zones.iter().map(|z| z.usable).sum(),
-            cold: zones.iter().map(|z| z.warming_up).sum(),
+        StartupProgress {
+            has_worker_list: self.has_full_list.get(),
+            counter_answered: self.counter.as_ref().map(Counter::has_answered),
+            other_members: self.fleet().map(|f| f.members()),
+            usable_workers: zones.iter().map(|z| z.usable).sum(),
+            warming_up_workers: zones.iter().map(|z| z.warming_up).sum(),
         }
     }
 
--- a/crates/gateway/src/bin/opalrun-gateway/handover.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/handover.rs
@@ -61,13 +61,13 @@
 
 /// Where the processes of a gatekeeper meet. One whose listening socket is not inherited can have no other
 /// beside it.
-pub fn place(inherits: bool) -> Option<PathBuf> {
+pub fn socket_path(inherits: bool) -> Option<PathBuf> {
     let folder = std::env::var_os("TMPDIR").filter(|f| inherits && !f.is_empty())?;
     Some(Path::new(&folder).join(HANDOVER_SOCKET))
 }
 
 /// A line to the process that this one takes over from.
-pub struct Link {
+pub struct PredecessorLink {
     lines: BufReader<UnixStream>,
 }
 
@@ -78,7 +78,7 @@
     driver: &Rc<Driver>,
     clients: &Rc<Clients>,
     configuration: &Configuration,
-) -> Option<Link> {
+) -> Option<PredecessorLink> {
     match timeout(STATE_TIMEOUT, ask(place)).await.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into())) {
         Ok((state, link)) => {
             driver.take_over(state.state, &state.addresses);
@@ -95,7 +95,7 @@
     }
 }
 
-async fn ask(place: &Path) -> io::Result<(HandoverState, Link)> {
+async fn ask(place: &Path) -> io::Result<(HandoverState, PredecessorLink)> {
     let mut lines = BufReader::new(UnixStream::connect(place).await?);
     let mut line = Vec::new();
     (&mut lines).take(MAX_MESSAGE_BYTES).read_until(b'\n', &mut line).await?;
@@ -103,12 +103,12 @@
     if state.format_version != FORMAT_VERSION {
         return Err(ErrorKind::InvalidData.into());
     }
-    Ok((state, Link { lines }))
+    Ok((state, PredecessorLink { lines }))
 }
 
-impl Link {
+impl PredecessorLink {
     /// Says that this process serves, and hears the old one until it has left.
-    pub async fn follow(self, driver: Rc<Driver>, clients: Rc<Clients>) {
+    pub async fn run_until_exit(self, driver: Rc<Driver>, clients: Rc<Clients>) {
         let (reader, writer) = self.lines.into_inner().into_split();
         let messages = driver.subscribe_to_handover_messages();
         let said = tokio::task::spawn_local(write_messages(writer, messages, Some(HandoverMessage::Serving)));
@@ -133,7 +133,7 @@
 }
 
 /// Listens at `place` and hands over to whoever comes; again, should that one end.
-pub async fn offer(
+pub async fn offer_handover(
     place: PathBuf,
     driver: Rc<Driver>,
     clients: Rc<Clients>,
--- a/crates/gateway/src/bin/opalrun-gateway/main.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/main.rs
@@ -28,7 +28,7 @@
 };
 use driver::Driver;
 use opalrun_gateway::SettingsError;
-use recovery::{Recovery, StateError, tool};
+use recovery::{FolderInUse, Recovery, tool};
 use std::{
     fmt, io,
     os::fd::FromRawFd,
@@ -71,7 +71,7 @@
     Settings(SettingsError),
     Listen(io::Error),
     System(io::Error),
-    State(StateError),
+    State(FolderInUse),
     /// The background task of this name has panicked.
     Task(&'static str),
 }
@@ -129,7 +129,7 @@
     let sweeps = tokio::task::spawn_local(sweep(driver.clone(), configuration.clone()));
     // Each client may have an attempt in flight, so clients and workers get half of the descriptors each.
     let clients = clients::new(driver.clone(), connection_descriptors / 2);
-    let handover_socket = handover::place(inherited);
+    let handover_socket = handover::socket_path(inherited);
     let link = match &handover_socket {
         Some(path) => handover::take_over(path, &driver, &clients, &configuration).await,
         None => None,
@@ -148,9 +148,9 @@
     if let Some(path) = &handover_socket {
         if let Some(link) = link {
             info!("{name} takes over from the process before it");
-            tokio::task::spawn_local(link.follow(driver.clone(), clients.clone()));
+            tokio::task::spawn_local(link.run_until_exit(driver.clone(), clients.clone()));
         }
-        tokio::task::spawn_local(handover::offer(
+        tokio::task::spawn_local(handover::offer_handover(
             path.clone(),
             driver.clone(),
             clients.clone(),
@@ -184,7 +184,7 @@
     info!("{name} shuts down with {} open requests", driver.waiting_requests());
     drain(&driver, &clients, listener).await;
     if let Some(recovery) = driver.recovery() {
-        recovery.finish(&driver).await;
+        recovery.write_final_records(&driver).await;
     }
     info!("{name} has stopped");
     Ok(())
@@ -192,12 +192,12 @@
 
 /// Restores the state on disk before any client is served, and has spending recorded there from now on. `takes_over`:
 /// another process has handed its state over to this one.
-fn recover(folder: &Path, name: &str, driver: &Rc<Driver>, takes_over: bool) -> Result<(), StateError> {
+fn recover(folder: &Path, name: &str, driver: &Rc<Driver>, takes_over: bool) -> Result<(), FolderInUse> {
     let plans = driver.options().plans.clone();
-    let (recovery, saved) = Recovery::begin(folder, name, &plans, driver.clock(), takes_over)?;
+    let (recovery, saved) = Recovery::start(folder, name, &plans, driver.clock(), takes_over)?;
     driver.set_recovery(recovery.clone(), saved);
-    tokio::task::spawn_local(recovery.clone().keep(driver.clone()));
-    tokio::task::spawn_local(recovery.follow_start(driver.clone()));
+    tokio::task::spawn_local(recovery.clone().run_journal(driver.clone()));
+    tokio::task::spawn_local(recovery.track_startup(driver.clone()));
     Ok(())
 }
 
--- a/crates/gateway/src/bin/opalrun-gateway/recovery/golden_tests.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/recovery/golden_tests.rs
@@ -1,8 +1,8 @@
 //! The recovery folder stays readable between versions: golden files of its records and of a whole journal.
 
 use super::{
-    away::Moment,
     disk::Folder,
+    downtime::Moment,
     frame::{self, End},
     journal::{self, Journal},
     record::{Entered, Record},
--- a/crates/gateway/src/bin/opalrun-gateway/recovery/journal.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/recovery/journal.rs
@@ -2,8 +2,8 @@
 //! neither threads nor clocks.
 
 use super::{
-    away::{Away, Moment},
     disk::Disk,
+    downtime::{Away, Moment},
     frame::{self, End, Head},
     record::{Image, Record},
 };
--- a/crates/gateway/src/bin/opalrun-gateway/recovery/keeper.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/recovery/journal_writer.rs
@@ -27,7 +27,7 @@
 }
 
 /// A line to the thread; it ends, and gives the folder back, when this is dropped.
-pub struct Keeper {
+pub struct JournalWriter {
     jobs: mpsc::Sender<Job>,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-impl Keeper {
+impl JournalWriter {
     /// Starts the thread on a folder that is locked by `lock`.
     pub fn start(mut journal: Journal<Folder>, lock: File) -> io::Result<Self> {
         let (jobs, queue) = mpsc::channel::<Job>();
--- a/crates/gateway/src/bin/opalrun-gateway/recovery/mod.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/recovery/mod.rs
@@ -1,27 +1,27 @@
 //! Recovery after a crash or a power loss: what is written down while the gateway serves, what a start trusts of
 //! it, and in which order service returns. Off unless the configuration names a folder. See `docs/recovery.md`.
 //!
-//! [`record`] and [`frame`] hold the form of the journal, [`journal`] its files, [`keeper`] the thread that writes;
+//! [`record`] and [`frame`] hold the form of the journal, [`journal`] its files, [`journal_writer`] the thread that writes;
 //! what is made of it is the module's to decide.
 
-mod away;
 mod disk;
+mod downtime;
 mod frame;
 #[cfg(test)]
 mod golden_tests;
 mod journal;
-mod keeper;
+mod journal_writer;
 mod record;
 #[cfg(test)]
 mod tests;
 pub mod tool;
 
 use crate::config::{WorkerEntry, WorkerList};
-use away::Moment;
 use disk::Folder;
+use downtime::Moment;
 use fnv::FnvHashSet;
 use journal::{Found, Journal};
-use keeper::Keeper;
+use journal_writer::JournalWriter;
 use opalrun_gateway::{CustomerId, Ledger, RecoveredState, Time};
 use opalrun_transport::clock::Clock;
 use record::{BATCH, Entered, Image, Record};
@@ -58,38 +58,38 @@
 
 /// Another process has the folder that the configuration names.
 #[derive(Debug)]
-pub struct StateError(PathBuf);
+pub struct FolderInUse(PathBuf);
 
-impl fmt::Display for StateError {
+impl fmt::Display for FolderInUse {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "the state in {} is in use by another process: one gateway, one folder", self.0.display())
     }
 }
 
-impl std::error::Error for StateError {}
+impl std::error::Error for FolderInUse {}
 
 /// How far a start has come.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Progress {
+pub struct StartupProgress {
     /// Discovery has told the whole list.
-    pub listed: bool,
+    pub has_worker_list: bool,
     /// The counter has answered a call; `None`: there is no counter.
-    pub counted: Option<bool>,
+    pub counter_answered: Option<bool>,
     /// Other members that are heard of; `None`: there is no fleet.
-    pub members: Option<usize>,
+    pub other_members: Option<usize>,
     /// Workers that may be sent to, and those of them that are cold.
-    pub usable: usize,
-    pub cold: usize,
+    pub usable_workers: usize,
+    pub warming_up_workers: usize,
 }
 
 /// What recovery needs of the gateway that it is for.
-pub trait Site {
+pub trait GatewayHandle {
     /// The plans' names, by their numbers.
-    fn plans(&self) -> Vec<String>;
+    fn plan_names(&self) -> Vec<String>;
     fn customers(&self) -> Vec<CustomerId>;
     /// How a customer stands, and its plan's number; of its even share a block less, unless it is `exact`.
     fn ledger(&self, customer: &str, exact: bool) -> Option<(usize, Ledger)>;
-    fn progress(&self) -> Progress;
+    fn startup_progress(&self) -> StartupProgress;
     /// Discovery is not to be had: these workers were there once, and may be cold.
     fn use_workers(&self, workers: Vec<WorkerEntry>);
 }
@@ -139,7 +139,7 @@
     wake: Notify,
     /// This process is the one that is to have the folder.
     wanted: Cell<bool>,
-    keeper: RefCell<Option<Rc<Keeper>>>,
+    keeper: RefCell<Option<Rc<JournalWriter>>>,
     /// Workers that are out by hand.
     aside: RefCell<BTreeSet<String>>,
     /// The list that an earlier process had, for a start without discovery.
@@ -155,13 +155,13 @@
     ///
     /// # Errors
     /// Another process has the folder.
-    pub fn begin(
+    pub fn start(
         folder: &Path,
         name: &str,
         plans: &[String],
         clock: Clock,
         heir: bool,
-    ) -> Result<(Rc<Self>, Option<RecoveredState>), StateError> {
+    ) -> Result<(Rc<Self>, Option<RecoveredState>), FolderInUse> {
         let mut recovery = Self {
             folder: folder.to_owned(),
             name: name.to_owned(),
@@ -183,7 +183,7 @@
         }
         match recovery.open_first(plans) {
             Ok(Some(kept)) => Ok((Rc::new(recovery), Some(kept))),
-            Ok(None) => Err(StateError(folder.to_owned())),
+            Ok(None) => Err(FolderInUse(folder.to_owned())),
             // No reason not to serve. Where there is a folder, what it holds may be anything.
             Err(e) => {
                 warn!("the state in {} can't be used: {e}", folder.display());
@@ -201,7 +201,7 @@
 
     /// The same for a folder that is there and can be read; `None`: another process has it.
     fn open_first(&mut self, plans: &[String]) -> io::Result<Option<RecoveredState>> {
-        let Some(lock) = keeper::lock(&self.folder)? else { return Ok(None) };
+        let Some(lock) = journal_writer::lock(&self.folder)? else { return Ok(None) };
         let now = Moment::now(Path::new("/proc"));
         let (mut journal, found) = Journal::open(Folder::new(&self.folder), &self.name, &now)?;
         let mut kept = found.image.kept(found.away, plans);
@@ -215,7 +215,7 @@
         self.tell_found(&found, &kept);
         *self.aside.get_mut() = found.image.aside.clone();
         *self.earlier.get_mut() = found.image.workers.map(|(_, workers)| workers).unwrap_or_default();
-        *self.keeper.get_mut() = Some(Rc::new(Keeper::start(journal, lock)?));
+        *self.keeper.get_mut() = Some(Rc::new(JournalWriter::start(journal, lock)?));
         self.writing.get_mut().holds = true;
         Ok(Some(kept))
     }
@@ -253,14 +253,14 @@
     }
 
     /// Units of a customer were sent on.
-    pub fn sent(&self, customer: &CustomerId) {
+    pub fn record_send(&self, customer: &CustomerId) {
         if self.wanted.get() && self.waiting.borrow_mut().customers.insert(customer.clone()) {
             self.note();
         }
     }
 
     /// A worker was taken out by hand, or put back.
-    pub fn hand(&self, id: &str, out: bool) {
+    pub fn record_worker_offline(&self, id: &str, out: bool) {
         let mut aside = self.aside.borrow_mut();
         let changed = if out { aside.insert(id.to_owned()) } else { aside.remove(id) };
         if !changed {
@@ -271,7 +271,7 @@
     }
 
     /// Discovery's list has changed.
-    pub fn listed(&self, list: &WorkerList) {
+    pub fn record_worker_list(&self, list: &WorkerList) {
         let (version, workers) = &mut *self.workers.borrow_mut();
         *version = list.version;
         if list.full {
@@ -289,13 +289,13 @@
     }
 
     /// The folder goes to the process that takes over.
-    pub fn release(&self) {
+    pub fn release_folder(&self) {
         self.wanted.set(false);
         self.wake.notify_one();
     }
 
     /// That process has ended: the folder comes back.
-    pub fn resume(&self) {
+    pub fn reclaim_folder(&self) {
         self.wanted.set(true);
         self.wake.notify_one();
     }
@@ -303,7 +303,7 @@
     // ---- What is written ----
 
     /// Keeps the journal for good.
-    pub async fn keep(self: Rc<Self>, site: impl Site) {
+    pub async fn run_journal(self: Rc<Self>, site: impl GatewayHandle) {
         loop {
             let held = self.keeper.borrow().clone();
             let keeper = match held {
@@ -318,7 +318,7 @@
     }
 
     /// Waits for the folder, and begins its journal with what this process knows.
-    async fn take(&self, site: &impl Site) -> Rc<Keeper> {
+    async fn take(&self, site: &impl GatewayHandle) -> Rc<JournalWriter> {
         let mut told = false;
         loop {
             if !self.wanted.get() {
@@ -342,22 +342,22 @@
         }
     }
 
-    async fn open(&self, site: &impl Site) -> io::Result<Option<Keeper>> {
-        let Some(lock) = keeper::lock(&self.folder)? else { return Ok(None) };
+    async fn open(&self, site: &impl GatewayHandle) -> io::Result<Option<JournalWriter>> {
+        let Some(lock) = journal_writer::lock(&self.folder)? else { return Ok(None) };
         let now = Moment::now(Path::new("/proc"));
         let (journal, _) = Journal::open(Folder::new(&self.folder), &self.name, &now)?;
-        let mut image = Image::new(&self.name, now.clone(), site.plans());
+        let mut image = Image::new(&self.name, now.clone(), site.plan_names());
         image.aside = self.aside.borrow().clone();
         let all = self.customers(site, site.customers().into_iter(), &now, false);
         all.into_iter().for_each(|record| image.add(record));
-        let keeper = Keeper::start(journal, lock)?;
+        let keeper = JournalWriter::start(journal, lock)?;
         keeper.write(Some(image), Vec::new()).await?;
         Ok(Some(keeper))
     }
 
     fn customers(
         &self,
-        site: &impl Site,
+        site: &impl GatewayHandle,
         ids: impl Iterator<Item = CustomerId>,
         now: &Moment,
         exact: bool,
@@ -371,7 +371,7 @@
     }
 
     /// All that waits, as records.
-    fn gather(&self, site: &impl Site) -> Vec<Record> {
+    fn gather(&self, site: &impl GatewayHandle) -> Vec<Record> {
         let now = Moment::now(Path::new("/proc"));
         let (ids, hands, list) = {
             let mut waiting = self.waiting.borrow_mut();
@@ -394,14 +394,14 @@
     }
 
     /// Writes what comes up while this process is to have the folder.
-    async fn write(&self, site: &impl Site, keeper: &Keeper) {
+    async fn write(&self, site: &impl GatewayHandle, keeper: &JournalWriter) {
         let mut plans = Vec::new();
         loop {
             if !self.wanted.get() {
                 return;
             }
             let mut records = self.gather(site);
-            let names = site.plans();
+            let names = site.plan_names();
             if names != plans {
                 records.insert(0, Record::Plans(names.clone()));
                 plans = names;
@@ -452,7 +452,7 @@
     }
 
     /// The process ends in good order and sends nothing more: leases are left to the next one.
-    pub async fn finish(&self, site: &impl Site) {
+    pub async fn write_final_records(&self, site: &impl GatewayHandle) {
         let Some(keeper) = self.keeper.borrow().clone().filter(|_| self.wanted.get()) else { return };
         let now = Moment::now(Path::new("/proc"));
         let mut records = self.gather(site);
@@ -471,14 +471,14 @@
 
     /// Follows the start until service is full, and uses the list of an earlier process where discovery stays
     /// silent.
-    pub async fn follow_start(self: Rc<Self>, site: impl Site) {
+    pub async fn track_startup(self: Rc<Self>, site: impl GatewayHandle) {
         let (mut list, mut counter, mut fleet) = (false, false, false);
         loop {
-            let (now, state) = (self.clock.now() - self.start, site.progress());
-            if !list && (state.listed || now >= WAITS.0) {
+            let (now, state) = (self.clock.now() - self.start, site.startup_progress());
+            if !list && (state.has_worker_list || now >= WAITS.0) {
                 list = true;
                 let earlier = std::mem::take(&mut *self.earlier.borrow_mut());
-                let outcome = match (state.listed, earlier.len()) {
+                let outcome = match (state.has_worker_list, earlier.len()) {
                     (true, _) => "discovery told it".to_owned(),
                     (false, 0) => "discovery is silent, and no earlier list is known".to_owned(),
                     (false, n) => {
@@ -489,28 +489,28 @@
                 };
                 self.step("list of workers", outcome);
             }
-            if !counter && (state.counted != Some(false) || now >= WAITS.1) {
+            if !counter && (state.counter_answered != Some(false) || now >= WAITS.1) {
                 counter = true;
-                let outcome = match state.counted {
+                let outcome = match state.counter_answered {
                     None => "there is none",
                     Some(true) => "answers",
                     Some(false) => "has answered nothing: even shares hold meanwhile",
                 };
                 self.step("counter", outcome.to_owned());
             }
-            if !fleet && (state.members != Some(0) || now >= WAITS.2) {
+            if !fleet && (state.other_members != Some(0) || now >= WAITS.2) {
                 fleet = true;
-                let outcome = match state.members {
+                let outcome = match state.other_members {
                     None => "no other gateways are asked".to_owned(),
                     Some(0) => "no other gateway answers".to_owned(),
                     Some(n) => format!("{n} others are heard"),
                 };
                 self.step("fleet", outcome);
             }
-            let full = state.usable > 0 && state.cold == 0;
+            let full = state.usable_workers > 0 && state.warming_up_workers == 0;
             if list && counter && fleet && (full || now >= WAITS.3) {
                 let outcome = if full { "all of it" } else { "not all of it: see the workers" };
-                return self.step("service", format!("{outcome}, {} workers", state.usable));
+                return self.step("service", format!("{outcome}, {} workers", state.usable_workers));
             }
             sleep(LOOK).await;
         }
--- a/crates/gateway/src/bin/opalrun-gateway/recovery/record.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/recovery/record.rs
@@ -1,6 +1,6 @@
 //! What the journal's records say, and the state that they add up to.
 
-use super::away::{Away, Moment, away};
+use super::downtime::{Away, Moment, away};
 use crate::config::WorkerEntry;
 use opalrun_gateway::{CustomerId, Ledger, RecoveredState};
 use serde::{Deserialize, Serialize};
--- a/crates/gateway/src/bin/opalrun-gateway/recovery/tests.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/recovery/tests.rs
@@ -1,8 +1,8 @@
 //! The journal on a disk that loses what was not synced, tears the last write at every byte, is full, or fails.
 
 use super::{
-    away::{Away, Moment},
     disk::Disk,
+    downtime::{Away, Moment},
     frame::{self, End},
     journal::{self, Journal, JournalError, MOST},
     record::{Entered, Image, MOST_CUSTOMERS, Record},
--- a/crates/gateway/src/bin/opalrun-gateway/recovery/tool.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/recovery/tool.rs
@@ -1,11 +1,11 @@
 //! `opalrun-gateway state show|verify|compact FOLDER`.
 
 use super::{
-    away::Moment,
     disk::Folder,
+    downtime::Moment,
     frame::End,
     journal::{self, Journal, JournalError, Reading},
-    keeper::lock,
+    journal_writer::lock,
 };
 use clap::Subcommand;
 use serde_json::{Value, json};
