--- a/crates/gateway/src/bin/opalrun-gateway/recovery/frame.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/recovery/frame.rs
@@ -1,129 +1,147 @@
-//! The form of the journal's bytes: a fixed head, then records, each with its length and a checksum.
+//! The journal's file format: a fixed header, then records, each with its length and a checksum.
 
 use super::record::Record;
 use std::fmt;
 
-/// The file's first bytes, and its form's number after them.
+/// First bytes of the file; the format version follows.
 const MAGIC: &[u8; 8] = b"opalrun\n";
-pub const FORM: u32 = 1;
-const HEAD: usize = MAGIC.len() + 4;
-/// Longest record, in bytes: a list of thousands of workers.
-pub const MOST_RECORD: usize = 1 << 20;
-/// A record's length and checksum.
-const FRAME: usize = 8;
+pub const FORMAT_VERSION: u32 = 1;
+const HEADER_BYTES: usize = MAGIC.len() + 4;
+/// Maximum encoded length of a record, in bytes: enough for a list of thousands of workers.
+pub const MAX_RECORD_BYTES: usize = 1 << 20;
+/// Bytes before each record: its length and its checksum, four bytes each.
+const FRAME_BYTES: usize = 8;
 
-/// How what was read ends.
+/// Whether a journal could be read to its end.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum End {
-    /// With the last record.
-    Whole,
-    /// At the record from byte `at` on, which with all after it is `left` bytes.
-    Damaged { at: usize, left: usize, why: Why },
+pub enum Integrity {
+    /// The file ends with a complete record.
+    Complete,
+    /// The record at byte `offset` is damaged; it and all after it, `unread_bytes` in total, were not read.
+    Damaged { offset: usize, unread_bytes: usize, cause: DamageCause },
 }
 
-/// Why a record is not whole.
+/// Why a record is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Why {
-    Cut,
+pub enum DamageCause {
+    /// The file ends within the record.
+    Truncated,
+    /// The record's length exceeds the maximum, or the file is longer than what is read of it.
     Length,
     Checksum,
-    Unreadable,
+    /// The checksum is right, but the payload is no record of this format version.
+    Undecodable,
 }
 
-impl fmt::Display for End {
+impl fmt::Display for Integrity {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Whole => f.write_str("whole"),
-            Self::Damaged { at, left, why } => {
-                let why = match why {
-                    Why::Cut => "it is cut off",
-                    Why::Length => "its length can't be",
-                    Why::Checksum => "its checksum does not fit",
-                    Why::Unreadable => "it can't be read",
+            Self::Complete => f.write_str("complete"),
+            Self::Damaged { offset, unread_bytes, cause } => {
+                let cause = match cause {
+                    DamageCause::Truncated => "it is cut off",
+                    DamageCause::Length => "its length exceeds the limit",
+                    DamageCause::Checksum => "its checksum does not match",
+                    DamageCause::Undecodable => "it can't be decoded",
                 };
-                write!(f, "the record at byte {at} is damaged: {why}; {left} bytes are left unread")
+                write!(
+                    f,
+                    "the record at byte {offset} is damaged: {cause}; {unread_bytes} bytes were not read"
+                )
             }
         }
     }
 }
 
-/// What stands at the head of a file.
+/// Result of checking a file's header.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Head {
-    Ours,
-    /// Another form of this file, by its number.
-    Form(u32),
-    /// Something else, or cut off in its head.
-    Strange,
+pub enum HeaderCheck {
+    Valid,
+    /// A journal of another format version.
+    OtherVersion(u32),
+    /// Not a journal, or cut off within the header.
+    NotAJournal,
 }
 
-pub fn head() -> Vec<u8> {
-    [&MAGIC[..], &FORM.to_le_bytes()].concat()
+/// Returns the header that a file begins with.
+pub fn header() -> Vec<u8> {
+    [&MAGIC[..], &FORMAT_VERSION.to_le_bytes()].concat()
 }
 
-/// Looks at the head; the records follow it.
-pub fn look(bytes: &[u8]) -> (Head, &[u8]) {
-    let Some((head, rest)) = bytes.split_at_checked(HEAD) else { return (Head::Strange, &[]) };
-    let (magic, form) = head.split_at(MAGIC.len());
-    let form = form.try_into().map_or(0, u32::from_le_bytes);
-    match (magic == MAGIC, form) {
-        (true, FORM) => (Head::Ours, rest),
-        (true, form) => (Head::Form(form), rest),
-        _ => (Head::Strange, rest),
+/// Checks the header, and returns the bytes that follow it: the records.
+pub fn check_header(bytes: &[u8]) -> (HeaderCheck, &[u8]) {
+    let Some((header, rest)) = bytes.split_at_checked(HEADER_BYTES) else {
+        return (HeaderCheck::NotAJournal, &[]);
+    };
+    let (magic, version) = header.split_at(MAGIC.len());
+    let version = version.try_into().map_or(0, u32::from_le_bytes);
+    match (magic == MAGIC, version) {
+        (true, FORMAT_VERSION) => (HeaderCheck::Valid, rest),
+        (true, version) => (HeaderCheck::OtherVersion(version), rest),
+        _ => (HeaderCheck::NotAJournal, rest),
     }
 }
 
-fn sum(length: [u8; 4], payload: &[u8]) -> u32 {
-    let mut sum = crc32fast::Hasher::new();
-    sum.update(&length);
-    sum.update(payload);
-    sum.finalize()
+fn checksum(length: [u8; 4], payload: &[u8]) -> u32 {
+    let mut hasher = crc32fast::Hasher::new();
+    hasher.update(&length);
+    hasher.update(payload);
+    hasher.finalize()
 }
 
-/// Appends a record. One that is too long, which no caller makes, is left out.
+/// Appends the encoded record to `to`. A record longer than the maximum is left out; no caller makes one.
 pub fn write(record: &Record, to: &mut Vec<u8>) {
     let Ok(payload) = postcard::to_allocvec(record) else { return };
-    let Some(length) = u32::try_from(payload.len()).ok().filter(|n| *n as usize <= MOST_RECORD) else {
+    let Some(length) = u32::try_from(payload.len()).ok().filter(|n| *n as usize <= MAX_RECORD_BYTES) else {
         return;
     };
     let length = length.to_le_bytes();
     to.extend_from_slice(&length);
-    to.extend_from_slice(&sum(length, &payload).to_le_bytes());
+    to.extend_from_slice(&checksum(length, &payload).to_le_bytes());
     to.extend_from_slice(&payload);
 }
 
-/// Hands `each` the records that follow the head, up to the first that is not whole.
-pub fn read(records: &[u8], mut each: impl FnMut(Record)) -> End {
+/// Decodes the records that follow the header and passes each to `on_record`, up to the first that is damaged.
+pub fn read(records: &[u8], mut on_record: impl FnMut(Record)) -> Integrity {
     let mut rest = records;
     loop {
         if rest.is_empty() {
-            return End::Whole;
+            return Integrity::Complete;
         }
-        match one(rest) {
+        match read_one(rest) {
             Ok((record, length)) => {
-                each(record);
+                on_record(record);
                 rest = &rest[length..];
             }
-            Err(why) => return End::Damaged { at: HEAD + records.len() - rest.len(), left: rest.len(), why },
+            Err(cause) => {
+                return Integrity::Damaged {
+                    offset: HEADER_BYTES + records.len() - rest.len(),
+                    unread_bytes: rest.len(),
+                    cause,
+                };
+            }
         }
     }
 }
 
-fn one(bytes: &[u8]) -> Result<(Record, usize), Why> {
-    let (frame, rest) = bytes.split_at_checked(FRAME).ok_or(Why::Cut)?;
+/// Decodes the first record of `bytes`, and returns it with its encoded length including the frame.
+fn read_one(bytes: &[u8]) -> Result<(Record, usize), DamageCause> {
+    let (frame, rest) = bytes.split_at_checked(FRAME_BYTES).ok_or(DamageCause::Truncated)?;
     let (length, crc) = frame.split_at(4);
-    let (Ok(length), Ok(crc)) = (<[u8; 4]>::try_from(length), crc.try_into()) else { return Err(Why::Cut) };
+    let (Ok(length), Ok(crc)) = (<[u8; 4]>::try_from(length), crc.try_into()) else {
+        return Err(DamageCause::Truncated);
+    };
     let size = u32::from_le_bytes(length) as usize;
-    if size > MOST_RECORD {
-        return Err(Why::Length);
+    if size > MAX_RECORD_BYTES {
+        return Err(DamageCause::Length);
     }
-    let payload = rest.get(..size).ok_or(Why::Cut)?;
-    if sum(length, payload) != u32::from_le_bytes(crc) {
-        return Err(Why::Checksum);
+    let payload = rest.get(..size).ok_or(DamageCause::Truncated)?;
+    if checksum(length, payload) != u32::from_le_bytes(crc) {
+        return Err(DamageCause::Checksum);
     }
-    // Nothing may be left over: another form of the record could be read as this one by chance.
+    // Trailing bytes are an error: a record of another format could otherwise decode as one of this format by chance.
     match postcard::take_from_bytes(payload) {
-        Ok((record, [])) => Ok((record, FRAME + size)),
-        _ => Err(Why::Unreadable),
+        Ok((record, [])) => Ok((record, FRAME_BYTES + size)),
+        _ => Err(DamageCause::Undecodable),
     }
 }
--- a/crates/gateway/src/bin/opalrun-gateway/recovery/golden_tests.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/recovery/golden_tests.rs
@@ -1,11 +1,11 @@
-//! The recovery folder stays readable between versions: golden files of its records and of a whole journal.
+//! Checks against golden files that this version reads and writes the records and the journal of earlier versions.
 
 use super::{
     disk::Folder,
-    downtime::Moment,
-    frame::{self, End},
+    downtime::BootTime,
+    frame::{self, Integrity},
     journal::{self, Journal},
-    record::{Entered, Record},
+    record::{CustomerEntry, Record},
 };
 use crate::{
     config::WorkerEntry,
@@ -14,13 +14,13 @@
 use opalrun_gateway::Ledger;
 use std::path::Path;
 
-fn moment() -> Moment {
-    Moment { boot: "boot-1".into(), up: 120.5 }
+fn begin_time() -> BootTime {
+    BootTime { boot_id: "boot-1".into(), uptime: 120.5 }
 }
 
-fn customer(plan: u32, up: f64) -> Entered {
+fn customer(plan: u32, uptime: f64) -> CustomerEntry {
     let ledger = Ledger { spread: 4, window: 17, lease: 2.5, owed: 1.0, share: 0.75, level: Some(11.5) };
-    Entered { plan, up, ledger }
+    CustomerEntry { plan, uptime, ledger }
 }
 
 fn worker() -> WorkerEntry {
@@ -34,26 +34,26 @@
     }
 }
 
-/// Every kind of record, in an order in which a process writes them.
+/// One record of every kind, in an order in which a process may write them, with the name of its golden file.
 fn records() -> Vec<(&'static str, Record)> {
     let unknown = Ledger { level: None, ..customer(0, 0.0).ledger };
     let customers = vec![
         ("customer-1".to_owned(), customer(0, 130.0)),
-        ("customer-2".to_owned(), Entered { ledger: unknown, ..customer(1, 131.25) }),
+        ("customer-2".to_owned(), CustomerEntry { ledger: unknown, ..customer(1, 131.25) }),
     ];
     vec![
-        ("begin", Record::Begin { name: "n0".into(), at: moment(), spent: Some(7.25) }),
+        ("begin", Record::Begin { name: "n0".into(), at: begin_time(), others_spent_at: Some(7.25) }),
         ("plans", Record::Plans(vec!["basic".into(), "carrier".into()])),
         ("customers", Record::Customers(customers)),
-        ("hand_out", Record::Hand { id: "worker-2".into(), out: true }),
-        ("hand_in", Record::Hand { id: "worker-3".into(), out: false }),
+        ("hand_out", Record::WorkerOffline { id: "worker-2".into(), is_offline: true }),
+        ("hand_in", Record::WorkerOffline { id: "worker-3".into(), is_offline: false }),
         ("workers", Record::Workers { version: 9, workers: vec![worker()] }),
-        ("end", Record::End { up: 140.0 }),
+        ("end", Record::CleanShutdown { uptime: 140.0 }),
     ]
 }
 
 #[test]
-fn records_are_read_and_written_as_an_earlier_version_wrote_them() {
+fn records_match_the_encoding_of_earlier_versions() {
     let cases: Vec<_> = records().into_iter().map(|(stem, record)| case(stem, record)).collect();
     check(
         "recovery_record",
@@ -64,42 +64,42 @@
             bytes
         },
         |bytes| {
-            let mut read = Vec::new();
-            assert_eq!(frame::read(bytes, |record| read.push(record)), End::Whole);
-            read.pop().expect("a record")
+            let mut decoded = Vec::new();
+            assert_eq!(frame::read(bytes, |record| decoded.push(record)), Integrity::Complete);
+            decoded.pop().expect("a record")
         },
     );
 }
 
 #[test]
-fn a_journal_of_an_earlier_version_adds_up_to_the_same_state() {
+fn replaying_a_journal_of_an_earlier_version_gives_the_same_state() {
     let journal_file = || {
-        let mut bytes = frame::head();
+        let mut bytes = frame::header();
         records().iter().for_each(|(_, record)| frame::write(record, &mut bytes));
         bytes
     };
     check("recovery_folder", &[case("journal", journal_file())], Clone::clone, <[u8]>::to_vec);
 
     let golden = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/recovery_folder/journal.bin");
-    let folder = tempfile::tempdir().expect("a folder");
-    std::fs::copy(golden, folder.path().join("journal")).expect("a copy");
+    let folder = tempfile::tempdir().expect("a temporary folder");
+    std::fs::copy(golden, folder.path().join("journal")).expect("the golden file is copied");
     let disk = || Folder::new(folder.path());
-    let reading = journal::read(&mut disk()).expect("a journal in order").expect("a journal");
-    assert_eq!((reading.records, &reading.end), (7, &End::Whole));
-    let image = reading.image;
-    assert_eq!((image.name.as_str(), &image.at, image.last), ("n0", &moment(), 140.0));
-    assert_eq!((image.spent, image.ended), (Some(7.25), true));
-    assert_eq!(image.plans, ["basic", "carrier"]);
-    assert_eq!(image.customers.len(), 2);
-    assert_eq!(image.customers["customer-1"], customer(0, 130.0));
-    assert_eq!(image.aside.iter().collect::<Vec<_>>(), ["worker-2"]);
-    assert_eq!(image.workers, Some((9, vec![worker()])));
+    let content = journal::read(&mut disk()).expect("a readable journal").expect("a journal");
+    assert_eq!((content.records, &content.integrity), (7, &Integrity::Complete));
+    let state = content.state;
+    assert_eq!((state.name.as_str(), &state.at, state.latest_uptime), ("n0", &begin_time(), 140.0));
+    assert_eq!((state.others_spent_at, state.shut_down_cleanly), (Some(7.25), true));
+    assert_eq!(state.plans, ["basic", "carrier"]);
+    assert_eq!(state.customers.len(), 2);
+    assert_eq!(state.customers["customer-1"], customer(0, 130.0));
+    assert_eq!(state.offline_workers.iter().collect::<Vec<_>>(), ["worker-2"]);
+    assert_eq!(state.workers, Some((9, vec![worker()])));
 
-    let later = Moment { up: 150.0, ..moment() };
-    let (_, found) = Journal::open(disk(), "n0", &later).expect("a journal in order");
-    assert!(found.refused.is_none() && found.image.ended);
+    let later = BootTime { uptime: 150.0, ..begin_time() };
+    let (_, found) = Journal::open(disk(), "n0", &later).expect("a readable journal");
+    assert!(found.rejected.is_none() && found.state.shut_down_cleanly);
     assert_eq!(
-        found.image.customers["customer-1"].ledger.lease, 2.5,
-        "it ended in good order: its leases stand"
+        found.state.customers["customer-1"].ledger.lease, 2.5,
+        "leases are restored after a clean shutdown"
     );
 }
--- a/crates/gateway/src/bin/opalrun-gateway/recovery/journal_writer.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/recovery/journal_writer.rs
@@ -1,9 +1,9 @@
-//! The thread that writes: a sync takes as long as the disk likes, and nobody else may wait for it.
+//! The thread that writes the journal. A sync may block for as long as the disk takes, so it doesn't run on the event loop.
 
 use super::{
     disk::Folder,
     journal::Journal,
-    record::{Image, Record},
+    record::{JournalState, Record},
 };
 use std::{
     fs::{File, OpenOptions, TryLockError},
@@ -15,26 +15,30 @@
 };
 use tokio::sync::oneshot;
 
-const LOCK: &str = "lock";
+const LOCK_FILE: &str = "lock";
 
-/// What the thread is to write.
-struct Job {
-    /// In the place of all that the journal says.
-    image: Option<Image>,
+/// One write request to the thread.
+struct WriteJob {
+    /// If set, replaces the whole content of the journal before `records` are appended.
+    new_state: Option<JournalState>,
     records: Vec<Record>,
-    /// The file's bytes once all is on disk.
+    /// Receives the journal's length in bytes once everything is synced.
     done: oneshot::Sender<io::Result<u64>>,
 }
 
-/// A line to the thread; it ends, and gives the folder back, when this is dropped.
+/// Handle to the writer thread. Dropping it ends the thread, which releases the folder's lock.
 pub struct JournalWriter {
-    jobs: mpsc::Sender<Job>,
+    jobs: mpsc::Sender<WriteJob>,
 }
 
-/// Takes the folder for this process alone; `None`: another one has it.
+/// Locks the folder exclusively for this process; `None` if another process holds the lock.
 pub fn lock(folder: &Path) -> io::Result<Option<File>> {
-    let file =
-        OpenOptions::new().write(true).create(true).truncate(false).mode(0o600).open(folder.join(LOCK))?;
+    let file = OpenOptions::new()
+        .write(true)
+        .create(true)
+        .truncate(false)
+        .mode(0o600)
+        .open(folder.join(LOCK_FILE))?;
     match file.try_lock() {
         Ok(()) => Ok(Some(file)),
         Err(TryLockError::WouldBlock) => Ok(None),
@@ -43,14 +47,14 @@
 }
 
 impl JournalWriter {
-    /// Starts the thread on a folder that is locked by `lock`.
+    /// Starts the thread on a folder whose lock is `lock`.
     pub fn start(mut journal: Journal<Folder>, lock: File) -> io::Result<Self> {
-        let (jobs, queue) = mpsc::channel::<Job>();
+        let (jobs, queue) = mpsc::channel::<WriteJob>();
         thread::Builder::new().name("journal".into()).spawn(move || {
-            for Job { image, records, done } in queue {
-                image.into_iter().for_each(|image| journal.replace(image));
+            for WriteJob { new_state, records, done } in queue {
+                new_state.into_iter().for_each(|state| journal.replace_state(state));
                 let written = journal.write(records).map(|()| journal.bytes());
-                // Whoever has stopped waiting has no use for it.
+                // The caller may have stopped waiting, for example after a time-out.
                 let _ = done.send(written);
             }
             drop(lock);
@@ -58,12 +62,12 @@
         Ok(Self { jobs })
     }
 
-    /// Writes `records`, behind `image` where the journal is to begin anew, and returns the file's length once all
-    /// of it is on disk.
-    pub async fn write(&self, image: Option<Image>, records: Vec<Record>) -> io::Result<u64> {
+    /// Writes `records`, after `new_state` if the journal is to be replaced, and returns the journal's length in bytes once
+    /// all of it is synced.
+    pub async fn write(&self, new_state: Option<JournalState>, records: Vec<Record>) -> io::Result<u64> {
         let (done, written) = oneshot::channel();
-        let ended = || io::Error::other("the thread that writes has ended");
-        self.jobs.send(Job { image, records, done }).map_err(|_| ended())?;
+        let ended = || io::Error::other("the journal's writer thread has ended");
+        self.jobs.send(WriteJob { new_state, records, done }).map_err(|_| ended())?;
         written.await.map_err(|_| ended())?
     }
 }
