--- a/crates/gateway/src/bin/opalrun-gateway/handover.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/handover.rs
@@ -1,7 +1,8 @@
-//! A new version under load: the process that serves hands over to one that is started beside it.
+//! Upgrade without downtime: the serving process hands over to a new process on the same listening socket.
 //!
-//! Whoever serves listens at a Unix socket in `$TMPDIR`. A process that finds one there is given all that the
-//! other knows, serves in its place, and says so. Both stay on the line until the old one has left.
+//! The serving process listens on a Unix socket in `$TMPDIR`. A new process that finds the socket connects, receives the
+//! old process's state, starts to serve and confirms that it does. The connection stays open until the old process has
+//! answered its last client and exits.
 
 use crate::{
     clients::Clients, config::owner::Configuration, driver::Driver, handover_message::HandoverMessage,
@@ -24,62 +25,66 @@
 };
 use tracing::{info, warn};
 
-/// Version of the format of the state, so that a version which writes it otherwise is not misread.
+/// Version of the format of the state; the state of another version is rejected.
 const FORMAT_VERSION: u32 = 1;
-/// Time-out for the state that the other process hands over.
+/// Time-out for sending or receiving the state.
 const STATE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time-out for the message that the process which takes over serves.
+/// Time-out for the new process's message that it serves.
 const SERVING_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time between two reports of what is in flight.
+/// Time between two checks whether what is in flight has changed and is to be reported.
 const REPORT_INTERVAL: Duration = Duration::from_millis(20);
-/// Bytes of one message at most.
+/// Maximum length of one message.
 const MAX_MESSAGE_BYTES: u64 = 8 << 20;
 
-/// All that the process that takes over needs, a line of JSON. The names on the wire are those of the first version.
+/// All that the new process needs, sent as one line of JSON. The names on the wire are those of the first version.
 #[derive(Serialize, Deserialize)]
 struct HandoverState {
     #[serde(rename = "form")]
     format_version: u32,
+    /// The gateway's decision state.
     state: State,
-    /// Addresses of workers.
+    /// Addresses of the workers.
     #[serde(rename = "addrs")]
     addresses: BTreeMap<ServerId, SocketAddr>,
-    /// An operator has clients sent away.
+    /// Whether an operator has taken the gateway out of service.
     #[serde(rename = "away")]
     is_out_of_service: bool,
-    /// Descriptors that this process may still hold.
+    /// Number of descriptors that the sending process may still hold.
     #[serde(rename = "held")]
     descriptors: usize,
-    /// The version of its configuration; an older process does not name it.
+    /// Version of the sending process's configuration; 0 if an older program sent the state, which has no such field.
     #[serde(default, rename = "version")]
     configuration_version: u64,
 }
 
-/// File name of the socket over which a process hands over to the next. It keeps its first name, as processes of earlier
-/// versions listen there.
+/// File name of the socket over which a process hands over to the next. It must not change, as processes of earlier versions
+/// listen there.
 const HANDOVER_SOCKET: &str = "yardspur-handover.sock";
 
-/// Where the processes of a gatekeeper meet. One whose listening socket is not inherited can have no other
-/// beside it.
-pub fn socket_path(inherits: bool) -> Option<PathBuf> {
-    let folder = std::env::var_os("TMPDIR").filter(|f| inherits && !f.is_empty())?;
+/// Returns the path of the handover socket. `None` if `TMPDIR` is not set, or if the process has not inherited its listening
+/// socket: then no other process can serve on that socket.
+pub fn socket_path(has_inherited_listener: bool) -> Option<PathBuf> {
+    let folder = std::env::var_os("TMPDIR").filter(|f| has_inherited_listener && !f.is_empty())?;
     Some(Path::new(&folder).join(HANDOVER_SOCKET))
 }
 
-/// A line to the process that this one takes over from.
+/// Connection to the process that this one takes over from.
 pub struct PredecessorLink {
-    lines: BufReader<UnixStream>,
+    stream: BufReader<UnixStream>,
 }
 
-/// Takes over from the process that listens at `place`; `None`: there is none, or it can't be understood, and
-/// this one starts anew.
+/// Takes over from the process that listens at `socket_path`. `None` if there is none, or its state can't be used; this
+/// process then starts without any state.
 pub async fn take_over(
-    place: &Path,
+    socket_path: &Path,
     driver: &Rc<Driver>,
     clients: &Rc<Clients>,
     configuration: &Configuration,
 ) -> Option<PredecessorLink> {
-    match timeout(STATE_TIMEOUT, ask(place)).await.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into())) {
+    match timeout(STATE_TIMEOUT, request_state(socket_path))
+        .await
+        .unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()))
+    {
         Ok((state, link)) => {
             driver.take_over(state.state, &state.addresses);
             clients.set_out_of_service(state.is_out_of_service);
@@ -89,29 +94,31 @@
         }
         Err(e) if matches!(e.kind(), ErrorKind::NotFound | ErrorKind::ConnectionRefused) => None,
         Err(e) => {
-            warn!("nothing is taken over: {e}");
+            warn!("cannot take over from the running process: {e}");
             None
         }
     }
 }
 
-async fn ask(place: &Path) -> io::Result<(HandoverState, PredecessorLink)> {
-    let mut lines = BufReader::new(UnixStream::connect(place).await?);
+/// Connects to the serving process and receives its state.
+async fn request_state(socket_path: &Path) -> io::Result<(HandoverState, PredecessorLink)> {
+    let mut stream = BufReader::new(UnixStream::connect(socket_path).await?);
     let mut line = Vec::new();
-    (&mut lines).take(MAX_MESSAGE_BYTES).read_until(b'\n', &mut line).await?;
+    (&mut stream).take(MAX_MESSAGE_BYTES).read_until(b'\n', &mut line).await?;
     let state: HandoverState = serde_json::from_slice(&line)?;
     if state.format_version != FORMAT_VERSION {
         return Err(ErrorKind::InvalidData.into());
     }
-    Ok((state, PredecessorLink { lines }))
+    Ok((state, PredecessorLink { stream }))
 }
 
 impl PredecessorLink {
-    /// Says that this process serves, and hears the old one until it has left.
+    /// Reports that this process serves, and handles the old process's messages until that process exits.
     pub async fn run_until_exit(self, driver: Rc<Driver>, clients: Rc<Clients>) {
-        let (reader, writer) = self.lines.into_inner().into_split();
+        let (reader, writer) = self.stream.into_inner().into_split();
         let messages = driver.subscribe_to_handover_messages();
-        let said = tokio::task::spawn_local(write_messages(writer, messages, Some(HandoverMessage::Serving)));
+        let write_task =
+            tokio::task::spawn_local(write_messages(writer, messages, Some(HandoverMessage::Serving)));
         let mut lines = BufReader::new(reader);
         while let Some(message) = read_message(&mut lines).await {
             match message {
@@ -125,65 +132,73 @@
                 HandoverMessage::Serving => {}
             }
         }
-        said.abort();
+        write_task.abort();
         driver.set_attempts_elsewhere(&[]);
         set_descriptor_budgets(&driver, &clients, 0);
-        info!("the process before this one has left");
+        info!("the previous process has exited");
     }
 }
 
-/// Listens at `place` and hands over to whoever comes; again, should that one end.
+/// Listens at `socket_path` and hands over to the process that connects. If that process ends while this one still runs,
+/// serves again and listens for the next.
 pub async fn offer_handover(
-    place: PathBuf,
+    socket_path: PathBuf,
     driver: Rc<Driver>,
     clients: Rc<Clients>,
     configuration: Rc<Configuration>,
 ) {
     loop {
-        match comes(&place).await {
+        match accept_successor(&socket_path).await {
             Ok(socket) => {
                 hand_over(socket, &driver, &clients, configuration.version()).await;
                 driver.take_back();
                 clients.resume_accepting();
-                warn!("the process that took over has ended; this one takes clients again");
+                warn!("the process that took over has ended; this one accepts clients again");
             }
             Err(e) => {
-                warn!("no process can take over from this one: {e}");
+                warn!("cannot listen for a process that takes over: {e}");
                 return std::future::pending().await;
             }
         }
     }
 }
 
-async fn comes(place: &Path) -> io::Result<UnixStream> {
-    // What lies there is the address of a process that has handed over or ended.
-    if let Err(e) = std::fs::remove_file(place)
+/// Waits for a new process to connect.
+async fn accept_successor(socket_path: &Path) -> io::Result<UnixStream> {
+    // A file left there is the socket of a process that has handed over or ended.
+    if let Err(e) = std::fs::remove_file(socket_path)
         && e.kind() != ErrorKind::NotFound
     {
         return Err(e);
     }
-    Ok(UnixListener::bind(place)?.accept().await?.0)
+    Ok(UnixListener::bind(socket_path)?.accept().await?.0)
 }
 
-/// Descriptors that this process holds, or may still hold once it has handed over.
+/// Returns the number of descriptors that this process holds, or may still open for its clients after it has handed over.
 fn open_descriptors(driver: &Driver, clients: &Clients) -> usize {
     let connections = clients.connections();
-    // A client's request may need a worker's connection.
+    // Each client's request may need a connection to a worker.
     crate::PROCESS_DESCRIPTORS
         + crate::ADMIN_DESCRIPTORS
         + connections
         + driver.pools().open().max(connections)
 }
 
-/// Budgets for connections where the other process holds so many descriptors: this one has the rest.
-fn set_descriptor_budgets(driver: &Driver, clients: &Clients, held_by_other: usize) {
-    let budget = driver.descriptor_share().saturating_sub(held_by_other) / 2;
+/// Sets the budgets for client and worker connections to what remains of the descriptor limit when the other process holds
+/// `other_descriptors` descriptors.
+fn set_descriptor_budgets(driver: &Driver, clients: &Clients, other_descriptors: usize) {
+    let budget = driver.descriptor_share().saturating_sub(other_descriptors) / 2;
     driver.pools().set_budget(budget);
     clients.set_budget(budget);
 }
 
-/// Hands all over and stays on the line until it breaks.
-async fn hand_over(socket: UnixStream, driver: &Rc<Driver>, clients: &Rc<Clients>, version: u64) {
+/// Sends the state to the new process, then reports what is still in flight until the connection breaks.
+async fn hand_over(
+    socket: UnixStream,
+    driver: &Rc<Driver>,
+    clients: &Rc<Clients>,
+    configuration_version: u64,
+) {
     clients.stop_accepting();
     let (state, addresses) = driver.hand_over();
     let state = HandoverState {
@@ -192,7 +207,7 @@
         addresses,
         is_out_of_service: clients.is_out_of_service(),
         descriptors: open_descriptors(driver, clients),
-        configuration_version: version,
+        configuration_version,
     };
     let (reader, mut writer) = socket.into_split();
     let Ok(mut line) = serde_json::to_vec(&state) else { return };
@@ -200,38 +215,38 @@
     let sent = timeout(STATE_TIMEOUT, writer.write_all(&line)).await;
     drop(line);
     let mut lines = BufReader::new(reader);
-    let serves = timeout(SERVING_TIMEOUT, read_message(&mut lines)).await;
-    let (Ok(Ok(())), Ok(Some(HandoverMessage::Serving))) = (sent, serves) else { return };
-    info!("another process has taken over; this one ends what it has");
+    let serving = timeout(SERVING_TIMEOUT, read_message(&mut lines)).await;
+    let (Ok(Ok(())), Ok(Some(HandoverMessage::Serving))) = (sent, serving) else { return };
+    info!("another process has taken over; this one completes its open requests");
     clients.drain();
     let messages = driver.subscribe_to_handover_messages();
-    let said = tokio::task::spawn_local(write_messages(writer, messages, None));
-    let tell = async {
-        let mut before = None;
+    let write_task = tokio::task::spawn_local(write_messages(writer, messages, None));
+    let report_in_flight = async {
+        let mut last_report = None;
         loop {
-            let now = (driver.attempts_in_flight(), open_descriptors(driver, clients));
-            if before.as_ref() != Some(&now) {
+            let report = (driver.attempts_in_flight(), open_descriptors(driver, clients));
+            if last_report.as_ref() != Some(&report) {
                 driver.send_to_other_process(HandoverMessage::InFlight {
-                    attempts: now.0.clone(),
-                    descriptors: now.1,
+                    attempts: report.0.clone(),
+                    descriptors: report.1,
                 });
-                before = Some(now);
+                last_report = Some(report);
             }
             sleep(REPORT_INTERVAL).await;
         }
     };
-    let hear = async {
+    let handle_messages = async {
         while let Some(message) = read_message(&mut lines).await {
             if let HandoverMessage::WorkerSetOffline { id, is_offline } = message {
                 driver.set_worker_offline(&id, is_offline);
             }
         }
     };
-    tokio::select! { () = tell => {}, () = hear => {} }
-    said.abort();
+    tokio::select! { () = report_in_flight => {}, () = handle_messages => {} }
+    write_task.abort();
 }
 
-/// The next message; `None`: the other process has gone.
+/// Reads the next message; `None` once the other process has closed the connection.
 async fn read_message(lines: &mut (impl AsyncBufReadExt + Unpin)) -> Option<HandoverMessage> {
     loop {
         let mut line = Vec::new();
@@ -239,14 +254,14 @@
         if read.ok().is_none_or(|n| n == 0) {
             return None;
         }
-        // What can't be understood is passed over: the line itself is what counts.
+        // Messages of an unknown kind, from another version, are ignored; the connection stays up.
         if let Ok(message) = serde_json::from_slice(&line) {
             return Some(message);
         }
     }
 }
 
-/// Writes messages, a line each, until the other process has gone.
+/// Writes `first` and then the messages of the channel, one a line, until the connection breaks or the channel closes.
 async fn write_messages(
     mut writer: impl AsyncWriteExt + Unpin,
     mut messages: mpsc::UnboundedReceiver<HandoverMessage>,
--- a/crates/gateway/src/bin/opalrun-gateway/handover/golden_tests.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/handover/golden_tests.rs
@@ -1,10 +1,10 @@
-//! What two processes of one gateway say to each other stays readable between versions: golden files.
+//! Checks against golden files that this version reads and writes the handover messages of earlier versions.
 
 use super::*;
 use crate::golden::{case, check};
 use std::fmt::Debug;
 
-/// The text of a message stands for it: what it holds has no equality of its own.
+/// JSON text of a message, compared in its place, as the message types don't implement equality.
 #[derive(PartialEq)]
 struct Text(String);
 
@@ -15,11 +15,11 @@
 }
 
 fn text(value: &impl Serialize) -> Text {
-    Text(serde_json::to_string(value).expect("a message can be written"))
+    Text(serde_json::to_string(value).expect("a message is serializable"))
 }
 
 #[test]
-fn messages_are_read_and_written_as_an_earlier_version_wrote_them() {
+fn messages_match_the_encoding_of_earlier_versions() {
     let messages = [
         ("serving", HandoverMessage::Serving),
         ("hand", HandoverMessage::WorkerSetOffline { id: "worker-1".into(), is_offline: true }),
@@ -29,12 +29,12 @@
         "handover_message",
         &messages.map(|(stem, message)| case(stem, text(&message))),
         |text| text.0.clone().into_bytes(),
-        |bytes| text(&serde_json::from_slice::<HandoverMessage>(bytes).expect("a message")),
+        |bytes| text(&serde_json::from_slice::<HandoverMessage>(bytes).expect("a valid message")),
     );
 }
 
 #[test]
-fn what_is_handed_over_is_read_and_written_as_an_earlier_version_wrote_it() {
+fn the_handover_state_matches_the_encoding_of_earlier_versions() {
     let state = HandoverState {
         format_version: FORMAT_VERSION,
         state: State::default(),
@@ -47,6 +47,6 @@
         "handover_state",
         &[case("complete", text(&state))],
         |text| text.0.clone().into_bytes(),
-        |bytes| text(&serde_json::from_slice::<HandoverState>(bytes).expect("what is handed over")),
+        |bytes| text(&serde_json::from_slice::<HandoverState>(bytes).expect("a valid handover state")),
     );
 }
--- a/crates/gateway/src/bin/opalrun-gateway/handover_message.rs
+++ b/crates/gateway/src/bin/opalrun-gateway/handover_message.rs
@@ -1,28 +1,28 @@
-//! What two processes of one gateway say to each other while both are there.
+//! Messages between the old and the new process of one gateway during a handover.
 
 use opalrun_gateway::CustomerId;
 use serde::{Deserialize, Serialize};
 
-/// One message, a line of JSON. The names on the wire are those of the first version.
+/// One message, sent as a line of JSON. The names on the wire are those of the first version.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum HandoverMessage {
-    /// The new process takes clients.
+    /// The new process accepts clients.
     Serving,
-    /// An operator took a worker out, or put it back.
+    /// An operator took a worker offline, or back online.
     #[serde(rename = "Hand")]
     WorkerSetOffline {
-        /// The worker's id.
+        /// Worker id.
         id: String,
-        /// Whether it is out.
+        /// Whether the worker is offline now.
         #[serde(rename = "out")]
         is_offline: bool,
     },
-    /// What the old process still has in flight.
+    /// What the old process still has in flight; sent on every change.
     #[serde(rename = "Out")]
     InFlight {
-        /// Attempts, by customer.
+        /// Number of attempts in flight, by customer.
         attempts: Vec<(CustomerId, u32)>,
-        /// Descriptors that the process may still hold.
+        /// Number of descriptors that the old process may still hold.
         #[serde(rename = "held")]
         descriptors: usize,
     },
--- a/crates/gateway/tests/upgrade.rs
+++ b/crates/gateway/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! A new version under load: two processes of the built program on one listening socket.
+//! Upgrade under load: two processes of the built program on one listening socket.
 
 mod fakes;
 use fakes::*;
@@ -11,12 +11,13 @@
     thread,
 };
 
-struct Platform {
+/// The inherited listening socket, and the temporary folder that all processes of one gateway share.
+struct Host {
     listener: TcpListener,
     folder: PathBuf,
 }
 
-impl Platform {
+impl Host {
     fn new() -> Self {
         Self {
             listener: TcpListener::bind("127.0.0.1:0").expect("a free port"),
@@ -26,12 +27,12 @@
     fn start(&self, setup: &NodeSetup) -> Node {
         setup.start_on_listener(&self.listener, &self.folder)
     }
-    fn place(&self) -> PathBuf {
+    fn socket_path(&self) -> PathBuf {
         self.folder.join("yardspur-handover.sock")
     }
 }
 
-impl Drop for Platform {
+impl Drop for Host {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
@@ -44,143 +45,151 @@
 }
 
 #[test]
-fn what_the_old_process_held_to_the_new_one_holds_to_and_nothing_in_hand_is_lost() {
+fn the_new_process_keeps_the_old_one_s_state_and_open_requests_are_answered() {
     let gate = Arc::new(Gate::default());
     let (one, two) = (Worker::start(Behaviour::Respond("ok")), Worker::start(Behaviour::Respond("ok")));
     let (setup, _discovery) = setup(&[&one, &two]);
-    let platform = Platform::new();
-    let mut old = platform.start(&setup);
+    let host = Host::new();
+    let mut old = host.start(&setup);
     assert_eq!(old.admin_status("GET /control/ready"), 200);
     assert_eq!(old.admin_status("POST /control/workers/w0/offline"), 200);
-    // All of the even share of a burst of 8 that two gateways have.
+    // Spends all of this gateway's even share: half of a burst of 8, as there are two gateways.
     let quota = |txn: &str| ClientRequest::new(txn).with_header("X-Plan", "pieni");
     while old.request(&quota("spends")).status() == 200 {}
     two.set_behaviour(Behaviour::RespondWhenOpened(gate.clone()));
     two.drain_requests();
-    let (mut idle, mut held) = (old.connect(), old.connect());
-    held.send(&ClientRequest::submit("held"));
+    let (mut idle, mut waiting) = (old.connect(), old.connect());
+    waiting.send(&ClientRequest::submit("held"));
     two.next_request();
-    let new = platform.start(&setup);
+    let new = host.start(&setup);
     assert_eq!(new.admin_status("GET /control/ready"), 200);
     old.wait_for_log("another process has taken over");
-    assert_eq!(old.admin_status("GET /control/ready"), 503, "one of them takes clients");
+    assert_eq!(old.admin_status("GET /control/ready"), 503, "only the new process accepts clients");
     gate.open();
-    let answer = held.read_response().expect("it is not cut off");
+    let answer = waiting.read_response().expect("the open request is answered");
     assert_eq!((answer.status(), answer.header("connection")), (200, "close"));
     assert!(idle.read_response().is_none(), "an idle connection is closed");
-    assert!(old.wait_for_exit().success(), "it leaves once its last client has");
-    new.wait_for_log("has left");
-    assert_eq!(new.request(&quota("again")).status(), 429, "what was spent stays spent");
+    assert!(old.wait_for_exit().success(), "the old process exits after its last client");
+    new.wait_for_log("the previous process has exited");
+    assert_eq!(new.request(&quota("again")).status(), 429, "the spent share stays spent");
     let mut client = new.connect();
     (0..8).for_each(|i| {
-        assert_eq!(client.request(&ClientRequest::new(&format!("n{i}"))).status(), 200, "and it is kept")
+        assert_eq!(
+            client.request(&ClientRequest::new(&format!("n{i}"))).status(),
+            200,
+            "the connection is kept open"
+        )
     });
-    assert!(one.drain_requests().is_empty(), "the worker is still out");
+    assert!(one.drain_requests().is_empty(), "the worker is still offline");
     assert_eq!(new.admin_status("POST /control/workers/w0/online"), 200);
-    assert_eq!(platform.start(&setup).admin_status("POST /control/workers/w0/offline"), 200, "and a third");
+    assert_eq!(
+        host.start(&setup).admin_status("POST /control/workers/w0/offline"),
+        200,
+        "a third process takes over"
+    );
 }
 
 #[test]
-fn a_worker_taken_out_meanwhile_is_out_for_both() {
+fn a_worker_taken_offline_during_the_handover_is_offline_for_both_processes() {
     let (one, two) = (Worker::start(Behaviour::Respond("ok")), Worker::start(Behaviour::Respond("ok")));
     let (setup, _discovery) = setup(&[&one, &two]);
-    let platform = Platform::new();
-    let old = platform.start(&setup);
-    // Each brings its first request to the old process later.
-    let mut kept: Vec<Client> = (0..8).map(|_| old.connect()).collect();
+    let host = Host::new();
+    let old = host.start(&setup);
+    // These clients send their first request to the old process after the handover.
+    let mut clients: Vec<Client> = (0..8).map(|_| old.connect()).collect();
     let mut last = old.connect();
     assert_eq!(last.request(&ClientRequest::new("accepted after those")).status(), 200);
-    let new = platform.start(&setup);
+    let new = host.start(&setup);
     old.wait_for_log("another process has taken over");
     assert_eq!(new.admin_status("POST /control/workers/w0/offline"), 200);
     old.wait_for_log("worker \"w0\" offline: done");
     one.drain_requests();
-    for (i, client) in kept.iter_mut().enumerate() {
+    for (i, client) in clients.iter_mut().enumerate() {
         client.send(&ClientRequest::new(&format!("k{i}")));
-        // Where the closing crossed the request, a client sends it once more.
+        // The old process may close the connection before the request arrives; a real client would send it again.
         assert!(client.read_response().is_none_or(|a| a.status() == 200));
     }
     assert!(one.drain_requests().is_empty());
 }
 
 #[test]
-fn if_the_new_process_ends_the_old_one_takes_clients_again() {
+fn if_the_new_process_ends_the_old_one_accepts_clients_again() {
     let worker = Worker::start(Behaviour::Respond("ok"));
     let (setup, _discovery) = setup(&[&worker]);
-    let platform = Platform::new();
-    let old = platform.start(&setup);
-    // One that has a client left does not leave.
+    let host = Host::new();
+    let old = host.start(&setup);
+    // The old process does not exit while it has a client.
     let gate = Arc::new(Gate::default());
     worker.set_behaviour(Behaviour::RespondWhenOpened(gate));
-    let mut held = old.connect();
-    held.send(&ClientRequest::new("held"));
+    let mut waiting = old.connect();
+    waiting.send(&ClientRequest::new("held"));
     worker.next_request();
     worker.set_behaviour(Behaviour::Respond("ok"));
-    let back = || {
-        old.wait_for_log("takes clients again");
+    let assert_old_serves = || {
+        old.wait_for_log("accepts clients again");
         assert_eq!(
             (old.admin_status("GET /control/ready"), old.request(&ClientRequest::new("a")).status()),
             (200, 200)
         );
     };
-    drop(platform.start(&setup));
-    back();
-    // One that comes and says nothing of use, or only goes, takes nothing with it.
-    for said in [&b""[..], b"nonsense\n"] {
+    drop(host.start(&setup));
+    assert_old_serves();
+    // A peer that closes the connection, or sends no valid message, does not take over.
+    for bytes in [&b""[..], b"nonsense\n"] {
         let mut peer = loop {
-            match UnixStream::connect(platform.place()) {
+            match UnixStream::connect(host.socket_path()) {
                 Ok(peer) => break peer,
-                Err(_) => thread::yield_now(), // It is about to listen there again.
+                Err(_) => thread::yield_now(), // The old process is not listening again yet.
             }
         };
-        peer.write_all(said).expect("a socket");
-        let mut estate = String::new();
-        BufReader::new(&peer).read_line(&mut estate).expect("a line");
-        assert!(estate.starts_with('{'));
+        peer.write_all(bytes).expect("a socket");
+        let mut state = String::new();
+        BufReader::new(&peer).read_line(&mut state).expect("a line");
+        assert!(state.starts_with('{'));
         drop(peer);
-        back();
+        assert_old_serves();
     }
 }
 
 #[test]
-fn broken_or_stale_remains_are_no_reason_not_to_start() {
+fn a_gateway_starts_whatever_stale_or_invalid_peer_is_at_the_socket() {
     let worker = Worker::start(Behaviour::Respond("ok"));
     let (setup, _discovery) = setup(&[&worker]);
-    let stale = |place: &Path| drop(UnixListener::bind(place).expect("a place"));
-    let file = |place: &Path| std::fs::write(place, "{\"form\":1}").expect("a place");
-    let says = |text: &'static str| {
-        move |place: &Path| {
-            let listener = UnixListener::bind(place).expect("a place");
+    let stale = |path: &Path| drop(UnixListener::bind(path).expect("the socket is bound"));
+    let file = |path: &Path| std::fs::write(path, "{\"form\":1}").expect("the file is written");
+    let sends = |text: &'static str| {
+        move |path: &Path| {
+            let listener = UnixListener::bind(path).expect("the socket is bound");
             thread::spawn(move || {
-                let (mut socket, _) = listener.accept().expect("a caller");
+                let (mut socket, _) = listener.accept().expect("a connection");
                 let _ = socket.write_all(text.as_bytes());
             });
         }
     };
-    let silent = |place: &Path| {
-        let listener = UnixListener::bind(place).expect("a place");
+    let sends_nothing = |path: &Path| {
+        let listener = UnixListener::bind(path).expect("the socket is bound");
         thread::spawn(move || {
             listener.accept().map(|(s, _)| BufReader::new(s).read_line(&mut String::new()))
         });
     };
-    let remains: [&dyn Fn(&Path); 7] = [
+    let peers: [&dyn Fn(&Path); 7] = [
         &|_| {},
         &stale,
         &file,
-        &says(""),
-        &says("{\"form\":1,\"state\":{}}\n"),
-        &says("{\"form\":99,\"state\":null,\"addrs\":{},\"away\":false,\"held\":0}\n"),
-        &silent,
+        &sends(""),
+        &sends("{\"form\":1,\"state\":{}}\n"),
+        &sends("{\"form\":99,\"state\":null,\"addrs\":{},\"away\":false,\"held\":0}\n"),
+        &sends_nothing,
     ];
-    for remains in remains {
-        let platform = Platform::new();
-        remains(&platform.place());
-        let node = platform.start(&setup);
+    for set_up_peer in peers {
+        let host = Host::new();
+        set_up_peer(&host.socket_path());
+        let node = host.start(&setup);
         assert_eq!(
             (node.admin_status("GET /control/ready"), node.request(&ClientRequest::new("a")).status()),
             (200, 200)
         );
-        let _new = platform.start(&setup);
+        let _new = host.start(&setup);
         node.wait_for_log("another process has taken over");
     }
 }
