--- a/crates/gateway/tests/fleet_members.rs
+++ b/crates/gateway/tests/fleet_members.rs
@@ -91,13 +91,13 @@
     let nodes = fleet(&addrs, &worker);
     nodes.iter().for_each(|(node, ..)| drop(until(node, has_members(1))));
     let (a, b, customer) = (&nodes[0].0, &nodes[1].0, "00000000b4d65521");
-    let ask = |i: usize| {
+    let spend_request = |i: usize| {
         ClientRequest::new(&format!("spend-{i}"))
             .with_header("X-Plan", "pieni")
             .with_header("X-Customer", customer)
     };
     let served = |node: &Node, from: usize| {
-        (from..from + 12).filter(|i| node.request(&ask(*i)).status() == 200).count()
+        (from..from + 12).filter(|i| node.request(&spend_request(*i)).status() == 200).count()
     };
     // The plan has a burst of eight and almost no rate.
     let of_a = served(a, 0);
--- a/crates/gateway/tests/handover.rs
+++ b/crates/gateway/tests/handover.rs
@@ -27,10 +27,10 @@
     assert!(before >= 10, "{before}");
     let mut new = successor(&mut old, settings());
     // The counter does not answer from now on: only leased units and the rest of the even share are granted.
-    let ask = |rig: &mut Harness, tag: &str| {
-        (0..30).filter(|i| !sent_attempts(&rig.request(&format!("{tag}{i}"))).is_empty()).count()
+    let count_sent = |harness: &mut Harness, tag: &str| {
+        (0..30).filter(|i| !sent_attempts(&harness.request(&format!("{tag}{i}"))).is_empty()).count()
     };
-    let (by_old, by_new) = (ask(&mut old, "old"), ask(&mut new, "new"));
+    let (by_old, by_new) = (count_sent(&mut old, "old"), count_sent(&mut new, "new"));
     assert_eq!(by_old, 0, "the old process has nothing left to grant");
     assert!(before + by_new <= 20, "{before} before and {by_new} after the handover, of a burst of 20");
     old.gateway.resume(old.now);
@@ -80,11 +80,13 @@
         vec![server("b", Lifecycle::Draining, 0.0), server("d", Lifecycle::Running, started)],
     );
     let mut new = successor(&mut old, free);
-    for rig in [&mut old, &mut new] {
-        rig.actions.clear();
-        (0..20).for_each(|i| drop(rig.request(&format!("j{i}"))));
+    for harness in [&mut old, &mut new] {
+        harness.actions.clear();
+        (0..20).for_each(|i| drop(harness.request(&format!("j{i}"))));
     }
-    let to = |rig: &Harness, id: &str| sent_attempts(&rig.actions).iter().filter(|(_, s)| &**s == id).count();
+    let to = |harness: &Harness, id: &str| {
+        sent_attempts(&harness.actions).iter().filter(|(_, s)| &**s == id).count()
+    };
     assert_eq!(
         (to(&new, "a"), to(&new, "b"), to(&old, "d")),
         (0, 0, 0),
--- a/crates/gateway/tests/power_loss.rs
+++ b/crates/gateway/tests/power_loss.rs
@@ -13,25 +13,25 @@
     (s.gateway_index, s.gateway_count, s.has_counter, s.max_attempts, s.warm_up) =
         (index, count, false, 1, 0.0);
     s.plans = vec![plan(RATE, BURST)];
-    let mut rig = Harness::new(s);
-    rig.now = now;
-    rig
+    let mut harness = Harness::new(s);
+    harness.now = now;
+    harness
 }
 
 /// Sends one request and ends its attempts with success; returns whether any attempt was sent.
-fn is_sent(rig: &mut Harness, job: &str, spread: u32) -> bool {
-    let request = Request { spread, ..request(job, rig.now) };
-    let out = rig.handle_event(Event::Request(request));
+fn is_sent(harness: &mut Harness, job: &str, spread: u32) -> bool {
+    let request = Request { spread, ..request(job, harness.now) };
+    let out = harness.handle_event(Event::Request(request));
     let sends = sent_attempts(&out);
     for (job, server) in &sends {
-        rig.attempt_ended(job, 0, server, Status::Ok);
+        harness.attempt_ended(job, 0, server, Status::Ok);
     }
     !sends.is_empty()
 }
 
 /// Returns the state of customer `c` as it is written to disk: with one block less of the even share.
-fn ledger(rig: &Harness) -> Option<Ledger> {
-    Some(rig.gateway.ledger(rig.now, "c", 1.0)?.1)
+fn ledger(harness: &Harness) -> Option<Ledger> {
+    Some(harness.gateway.ledger(harness.now, "c", 1.0)?.1)
 }
 
 /// Runs a random history of two to five gateways, of which sometimes one or all lose power; `has_disk`: whether they restore
@@ -41,20 +41,20 @@
     let mut rng = fastrand::Rng::with_seed(seed);
     let n = rng.u32(2..6);
     let (begin, mut now, mut granted) = (100.0, 100.0, 0.0);
-    let mut rigs: Vec<Harness> = (0..n).map(|me| start(me, n, begin)).collect();
+    let mut harnesses: Vec<Harness> = (0..n).map(|me| start(me, n, begin)).collect();
     let mut disks: Vec<Option<Ledger>> = vec![None; n as usize];
     let (mut written_at, mut is_unwritten) = (vec![begin; n as usize], vec![false; n as usize]);
     for step in 0..400 {
         now += rng.f64() * 0.3;
         let at = rng.usize(..n as usize);
-        rigs[at].now = now;
-        if is_sent(&mut rigs[at], &format!("j{step}"), n) {
+        harnesses[at].now = now;
+        if is_sent(&mut harnesses[at], &format!("j{step}"), n) {
             granted += 1.0;
             // One send may be missing on a disk that has the customer's state: it is covered by the block by which the
             // even share was written reduced.
             is_unwritten[at] = !is_unwritten[at] && disks[at].is_some() && rng.bool();
             if !is_unwritten[at] {
-                (disks[at], written_at[at]) = (ledger(&rigs[at]), now);
+                (disks[at], written_at[at]) = (ledger(&harnesses[at]), now);
             }
         }
         if rng.u8(..) < 12 {
@@ -62,7 +62,7 @@
             let all_lose_power = rng.bool();
             now += outage;
             for at in (0..n as usize).filter(|i| all_lose_power || *i == at) {
-                rigs[at] = start(at as u32, n, now);
+                harnesses[at] = start(at as u32, n, now);
                 is_unwritten[at] = false;
                 let on_disk = disks[at].clone().filter(|_| has_disk).map(|ledger| {
                     // After a reboot the time that has provably passed may be less than the real time.
@@ -71,7 +71,7 @@
                 });
                 let recovered =
                     RecoveredState { customers: on_disk.into_iter().collect(), ..RecoveredState::default() };
-                rigs[at].gateway.recover(now, recovered);
+                harnesses[at].gateway.recover(now, recovered);
             }
         }
     }
@@ -96,13 +96,13 @@
     // Windows of 16 s: four bursts divided by the rate; each customer's windows have their own phase.
     let mut s = settings();
     (s.plans, s.warm_up) = (vec![plan(2.0, 8.0)], 0.0);
-    let (mut counter, mut rig) = (InstantCounter::default(), Harness::new(s.clone()));
-    assert_eq!(counter.request_many(&mut rig, "before", 1), 1);
-    let (_, mut ledger) = rig.gateway.ledger(rig.now, "c", 0.0).expect("the customer is known");
+    let (mut counter, mut harness) = (InstantCounter::default(), Harness::new(s.clone()));
+    assert_eq!(counter.request_many(&mut harness, "before", 1), 1);
+    let (_, mut ledger) = harness.gateway.ledger(harness.now, "c", 0.0).expect("the customer is known");
     ledger.lease = 3.0;
     let restored_lease = |downtime: f64, max_elapsed: Option<f64>| {
         let mut successor = Harness::new(s.clone());
-        successor.now = rig.now + downtime;
+        successor.now = harness.now + downtime;
         let recovered = RecoveredState {
             customers: vec![("c".into(), 0, downtime, ledger.clone())],
             max_elapsed,
@@ -113,7 +113,7 @@
     };
     let is_same_window = |downtime: f64| {
         let mut other = Harness::new(s.clone());
-        other.now = rig.now + downtime;
+        other.now = harness.now + downtime;
         InstantCounter::default().request(&mut other, "w");
         other.gateway.ledger(other.now, "c", 0.0).expect("the customer is known").1.window == ledger.window
     };
@@ -128,41 +128,42 @@
 
 #[test]
 fn customers_with_lost_state_start_with_an_empty_share_and_ceilings_always_start_empty() {
-    let mut rig = start(0, 2, 100.0);
-    rig.gateway.recover(100.0, RecoveredState { others_spent: Some(0.0), ..RecoveredState::default() });
-    assert!(!is_sent(&mut rig, "at once", 2));
+    let mut harness = start(0, 2, 100.0);
+    harness.gateway.recover(100.0, RecoveredState { others_spent: Some(0.0), ..RecoveredState::default() });
+    assert!(!is_sent(&mut harness, "at once", 2));
     // Each gateway's share of the rate gains half a unit in two seconds.
-    rig.now = 104.5;
-    assert!(is_sent(&mut rig, "refilled since", 2));
+    harness.now = 104.5;
+    assert!(is_sent(&mut harness, "refilled since", 2));
     let mut s = settings();
     (s.has_counter, s.warm_up) = (false, 0.0);
     s.plans = vec![plan(1.0, 4.0)];
     (s.plans[0].ceiling_rate, s.plans[0].ceiling_burst) = (2.0, 8.0);
-    let mut rig = Harness::new(s);
+    let mut harness = Harness::new(s);
     let ledger = Ledger { spread: 2, share: 4.0, ..Ledger::default() };
-    rig.gateway.recover(
+    harness.gateway.recover(
         100.0,
         RecoveredState { customers: vec![("c".into(), 0, 50.0, ledger)], ..RecoveredState::default() },
     );
-    assert!(!is_sent(&mut rig, "under a ceiling", 2));
+    assert!(!is_sent(&mut harness, "under a ceiling", 2));
 }
 
 #[test]
 fn state_of_removed_plans_and_gateways_is_ignored() {
-    let mut rig = start(0, 2, 100.0);
+    let mut harness = start(0, 2, 100.0);
     let ledger = Ledger { spread: 900, share: 1e9, owed: 2.0, ..Ledger::default() };
     let customers = vec![("c".into(), 0, 1.0, ledger.clone()), ("d".into(), 7, 1.0, ledger)];
-    rig.gateway.recover(
+    harness.gateway.recover(
         100.0,
         RecoveredState { customers, offline_servers: vec!["a".into()], ..RecoveredState::default() },
     );
-    assert_eq!(rig.gateway.customers().map(|id| &**id).collect::<Vec<_>>(), ["c"]);
-    let (plan, restored) = rig.gateway.ledger(100.0, "c", 0.0).expect("the customer is known");
+    assert_eq!(harness.gateway.customers().map(|id| &**id).collect::<Vec<_>>(), ["c"]);
+    let (plan, restored) = harness.gateway.ledger(100.0, "c", 0.0).expect("the customer is known");
     assert_eq!((plan, restored.spread, restored.owed), (0, 2, 2.0));
     assert!(restored.share <= BURST / 2.0, "no more than a new share: {}", restored.share);
     let to_a = (0..20).filter(|i| {
         sent_attempts(
-            &rig.handle_event(Event::Request(Request { plan: 0, ..request(&format!("x{i}"), rig.now) })),
+            &harness
+                .handle_event(Event::Request(Request { plan: 0, ..request(&format!("x{i}"), harness.now) })),
         )
         .iter()
         .any(|(_, s)| &**s == "a")
