--- a/crates/control/src/host/freshness.rs
+++ b/crates/control/src/host/freshness.rs
@@ -20,7 +20,7 @@
 pub fn is_fresh(replica: &Replica, now: u64) -> bool {
     replica.has_recent_contact(now, MAX_LEADER_CONTACT_AGE_MS)
         && replica.is_acknowledged_by_leader(now, MAX_CONTACT_AGE_AT_LEADER_MS)
-        && replica.is_up_to_date()
+        && replica.has_applied_committed_entries()
 }
 
 /// Detects by the gap between two ticks that this process was suspended. Messages that were queued meanwhile must not
--- a/crates/control/src/host/group.rs
+++ b/crates/control/src/host/group.rs
@@ -128,6 +128,6 @@
         opalrun_replication::ProposeError::NotLeader { leader } => {
             ProposeError::NotOwner(leader.map(node_identity))
         }
-        opalrun_replication::ProposeError::Busy => ProposeError::NoQuorum,
+        opalrun_replication::ProposeError::TooManyUncommitted => ProposeError::NoQuorum,
     }
 }
--- a/crates/control/tests/linearizability.rs
+++ b/crates/control/tests/linearizability.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use opalrun_control::Control;
-use opalrun_model_check::{Operation, Sequential, check_linearizable};
+use opalrun_model_check::{Operation, SequentialSpec, check_linearizable};
 use opalrun_wire::ids::{NodeIdentity, Shard};
 use std::{
     cell::{Cell, RefCell},
@@ -39,7 +39,7 @@
 
 struct OneConfiguration;
 
-impl Sequential for OneConfiguration {
+impl SequentialSpec for OneConfiguration {
     type Call = Order;
     type Reply = OperatorAnswer;
     type State = ConfigurationState;
--- a/crates/control/tests/world/callers.rs
+++ b/crates/control/tests/world/callers.rs
@@ -4,7 +4,7 @@
     configuration_shard::{ConfigurationCommand, ConfigurationOutcome},
     sessions::SessionCommand,
 };
-use opalrun_model_check::{Operation, Sequential};
+use opalrun_model_check::{Operation, SequentialSpec};
 use opalrun_wire::{
     feed::{Change, FeedUpdate, Worker, WorkerState},
     frame::encode,
@@ -69,7 +69,7 @@
 /// Generation, body and all that was accepted.
 pub type ConfigurationState = (u64, u64, BTreeSet<(u64, u64)>);
 
-impl Sequential for Configuration {
+impl SequentialSpec for Configuration {
     type Call = Order;
     type Reply = OperatorAnswer;
     type State = ConfigurationState;
--- a/crates/control/tests/world/node.rs
+++ b/crates/control/tests/world/node.rs
@@ -12,7 +12,7 @@
     LogIndex, LogPosition, Membership, Options, Payload, ReadIndexResult, Replica, Snapshot,
     SnapshotMetadata, Term, Write,
 };
-use opalrun_simulation::GroupDisk;
+use opalrun_simulation::ReplicaDisk;
 use opalrun_wire::{
     feed::ControlNode,
     ids::{NodeIdentity, Shard},
@@ -41,7 +41,7 @@
 pub struct Node {
     pub slot: usize,
     pub identity: NodeIdentity,
-    pub disks: Vec<GroupDisk>,
+    pub disks: Vec<ReplicaDisk>,
     pub process: Option<Process>,
     /// Writes under way to the disk, with when each is synced.
     pub writes: VecDeque<(u64, Shard, Write)>,
@@ -94,7 +94,7 @@
         Self {
             slot,
             identity,
-            disks: (0..GROUPS).map(|_| GroupDisk::new(base.clone())).collect(),
+            disks: (0..GROUPS).map(|_| ReplicaDisk::new(base.clone())).collect(),
             process: None,
             writes: VecDeque::new(),
             back_at: Some(0),
@@ -225,7 +225,7 @@
                 None
             }
             Err(opalrun_replication::ProposeError::NotLeader { .. }) => Some(ControlAnswer::NotOwner),
-            Err(opalrun_replication::ProposeError::Busy) => Some(ControlAnswer::Unavailable),
+            Err(opalrun_replication::ProposeError::TooManyUncommitted) => Some(ControlAnswer::Unavailable),
         }
     }
 
--- a/crates/control/tests/world/world/operations.rs
+++ b/crates/control/tests/world/world/operations.rs
@@ -26,7 +26,7 @@
     }
 
     pub(super) fn deliver(&mut self) {
-        while let Some((slot, packet)) = self.network.arrived(self.now) {
+        while let Some((slot, packet)) = self.network.pop_arrived(self.now) {
             let now = self.now;
             let node = &mut self.nodes[slot];
             if now < node.frozen_until {
--- a/crates/model-check/src/history.rs
+++ b/crates/model-check/src/history.rs
@@ -14,13 +14,13 @@
 /// No order of the operations explains the answers.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display(
-    "no order explains the answers; after {placed} operations none of these fits: {unplaced:#?}"
+    "no order explains the answers; after {linearized} operations none of these fits: {candidates_left:#?}"
 ))]
 pub struct NotLinearizable {
     /// Operations in the longest order that was found.
-    pub placed: usize,
+    pub linearized: usize,
     /// The operations that could come next after that order, none of which fits: number in the history and `Debug` text.
-    pub unplaced: Vec<String>,
+    pub candidates_left: Vec<String>,
 }
 
 /// An operation as a caller saw it.
@@ -35,7 +35,7 @@
 }
 
 /// The state machine that a history is held against.
-pub trait Sequential {
+pub trait SequentialSpec {
     /// What may be asked.
     type Call: Debug;
     /// What is answered.
@@ -51,7 +51,7 @@
 ///
 /// # Errors
 /// [`NotLinearizable`] where no order of the operations explains the answers.
-pub fn check_linearizable<S: Sequential>(
+pub fn check_linearizable<S: SequentialSpec>(
     machine: &S,
     initial: &S::State,
     history: &[Operation<S::Call, S::Reply>],
@@ -60,54 +60,55 @@
         machine,
         history,
         visited: FnvHashSet::default(),
-        placed: vec![false; history.len()],
-        max_placed: 0,
-        unplaced: Vec::new(),
+        linearized: vec![false; history.len()],
+        max_linearized: 0,
+        candidates_left: Vec::new(),
     };
-    if search.place_next(initial) {
+    if search.linearize_next(initial) {
         return Ok(());
     }
-    let unplaced = search.unplaced.iter().map(|number| format!("{number}: {:?}", history[*number]));
-    Err(NotLinearizable { placed: search.max_placed, unplaced: unplaced.collect() })
+    let candidates_left =
+        search.candidates_left.iter().map(|number| format!("{number}: {:?}", history[*number]));
+    Err(NotLinearizable { linearized: search.max_linearized, candidates_left: candidates_left.collect() })
 }
 
-struct Search<'a, S: Sequential> {
+struct Search<'a, S: SequentialSpec> {
     machine: &'a S,
     history: &'a [Operation<S::Call, S::Reply>],
-    /// Sets of placed operations, with the state after them, from which no way leads on.
+    /// Sets of linearized operations, with the state after them, from which no way leads on.
     visited: FnvHashSet<(Vec<u64>, S::State)>,
     /// Whether each operation has its position in the order.
-    placed: Vec<bool>,
+    linearized: Vec<bool>,
     /// Operations in the longest order so far.
-    max_placed: usize,
+    max_linearized: usize,
     /// Operations that could come next after the longest order so far.
-    unplaced: Vec<usize>,
+    candidates_left: Vec<usize>,
 }
 
-impl<S: Sequential> Search<'_, S> {
+impl<S: SequentialSpec> Search<'_, S> {
     /// Places one of the operations that may come next, and all after it. Returns whether that succeeds.
-    fn place_next(&mut self, state: &S::State) -> bool {
+    fn linearize_next(&mut self, state: &S::State) -> bool {
         // What was called after the first answer that is still to come can't be next.
-        let remaining = || (0..self.history.len()).filter(|number| !self.placed[*number]);
+        let remaining = || (0..self.history.len()).filter(|number| !self.linearized[*number]);
         let answers = remaining().filter_map(|number| self.history[number].answer.as_ref());
         let Some(first_answer) = answers.map(|(at, _)| *at).min() else {
             return true;
         };
         let candidates: Vec<usize> =
             remaining().filter(|number| self.history[*number].called_at <= first_answer).collect();
-        let count = self.placed.iter().filter(|placed| **placed).count();
-        if count >= self.max_placed {
-            self.max_placed = count;
-            self.unplaced.clone_from(&candidates);
+        let count = self.linearized.iter().filter(|linearized| **linearized).count();
+        if count >= self.max_linearized {
+            self.max_linearized = count;
+            self.candidates_left.clone_from(&candidates);
         }
-        if !self.visited.insert((self.placed_bits(), state.clone())) {
+        if !self.visited.insert((self.linearized_bits(), state.clone())) {
             return false;
         }
-        candidates.into_iter().any(|number| self.place(number, state))
+        candidates.into_iter().any(|number| self.linearize(number, state))
     }
 
     /// Places an operation next, and all others after it. Returns whether that succeeds.
-    fn place(&mut self, number: usize, state: &S::State) -> bool {
+    fn linearize(&mut self, number: usize, state: &S::State) -> bool {
         let operation = &self.history[number];
         let (next, reply) = self.machine.apply(state, &operation.call);
         let fits = match &operation.answer {
@@ -118,17 +119,17 @@
         if !fits {
             return false;
         }
-        self.placed[number] = true;
-        let succeeds = self.place_next(&next);
-        self.placed[number] = succeeds;
+        self.linearized[number] = true;
+        let succeeds = self.linearize_next(&next);
+        self.linearized[number] = succeeds;
         succeeds
     }
 
-    /// The operations that are placed, one bit each.
-    fn placed_bits(&self) -> Vec<u64> {
-        let mut bits = vec![0; self.placed.len().div_ceil(BITS_PER_WORD)];
-        for (number, placed) in self.placed.iter().enumerate() {
-            bits[number / BITS_PER_WORD] |= u64::from(*placed) << (number % BITS_PER_WORD);
+    /// The operations that are linearized, one bit each.
+    fn linearized_bits(&self) -> Vec<u64> {
+        let mut bits = vec![0; self.linearized.len().div_ceil(BITS_PER_WORD)];
+        for (number, linearized) in self.linearized.iter().enumerate() {
+            bits[number / BITS_PER_WORD] |= u64::from(*linearized) << (number % BITS_PER_WORD);
         }
         bits
     }
--- a/crates/model-check/src/lib.rs
+++ b/crates/model-check/src/lib.rs
@@ -12,7 +12,7 @@
 mod history;
 
 pub use fingerprint::Fingerprint;
-pub use history::{NotLinearizable, Operation, Sequential, check_linearizable};
+pub use history::{NotLinearizable, Operation, SequentialSpec, check_linearizable};
 
 use fnv::FnvHashMap;
 use std::{collections::VecDeque, error::Error, fmt::Debug};
@@ -24,7 +24,7 @@
     /// What may happen in a state.
     type Event: Clone + Debug;
     /// The rules that a state can break.
-    type BrokenRule: Error;
+    type InvariantViolation: Error;
 
     /// The events that may happen in a state.
     fn events(&self, state: &Self::State) -> Vec<Self::Event>;
@@ -36,12 +36,12 @@
     ///
     /// # Errors
     /// The rule that it breaks.
-    fn check(&self, state: &Self::State) -> Result<(), Self::BrokenRule>;
+    fn check(&self, state: &Self::State) -> Result<(), Self::InvariantViolation>;
 }
 
 /// What an exploration found.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Outcome<R> {
+pub struct Outcome<V> {
     /// Different states that were reached.
     pub states: usize,
     /// Events that were applied.
@@ -49,16 +49,16 @@
     /// The longest shortest way to a state.
     pub depth: usize,
     /// Every state that can be reached was reached.
-    pub is_exhausted: bool,
+    pub is_exhaustive: bool,
     /// The first broken rule.
-    pub violation: Option<Violation<R>>,
+    pub counterexample: Option<Counterexample<V>>,
 }
 
 /// A broken rule.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Violation<R> {
+pub struct Counterexample<V> {
     /// The rule.
-    pub rule: R,
+    pub violation: V,
     /// The `Debug` texts of the shortest sequence of events that leads there.
     pub events: Vec<String>,
 }
@@ -78,14 +78,15 @@
 }
 
 /// Explores from a state until all is reached, a rule is broken or `max_states` are known.
-pub fn explore<M: Model>(model: &M, initial: M::State, max_states: usize) -> Outcome<M::BrokenRule> {
+pub fn explore<M: Model>(model: &M, initial: M::State, max_states: usize) -> Outcome<M::InvariantViolation> {
     let mut search = Search { model, origins: FnvHashMap::default(), queue: VecDeque::new() };
-    let mut outcome = Outcome { states: 0, transitions: 0, depth: 0, is_exhausted: false, violation: None };
+    let mut outcome =
+        Outcome { states: 0, transitions: 0, depth: 0, is_exhaustive: false, counterexample: None };
     let first = Fingerprint::of(&initial);
-    outcome.violation = search.reach(initial, first, Origin { parent: first, event: None }, 0);
-    while outcome.violation.is_none() && search.origins.len() < max_states {
+    outcome.counterexample = search.reach(initial, first, Origin { parent: first, event: None }, 0);
+    while outcome.counterexample.is_none() && search.origins.len() < max_states {
         let Some(Reached { state, fingerprint, depth }) = search.queue.pop_front() else {
-            outcome.is_exhausted = true;
+            outcome.is_exhaustive = true;
             break;
         };
         outcome.depth = depth;
@@ -98,8 +99,8 @@
                 continue;
             }
             let origin = Origin { parent: fingerprint, event: Some(event) };
-            outcome.violation = search.reach(next, reached, origin, depth + 1);
-            if outcome.violation.is_some() {
+            outcome.counterexample = search.reach(next, reached, origin, depth + 1);
+            if outcome.counterexample.is_some() {
                 break;
             }
         }
@@ -123,12 +124,12 @@
         fingerprint: Fingerprint,
         origin: Origin<M::Event>,
         depth: usize,
-    ) -> Option<Violation<M::BrokenRule>> {
+    ) -> Option<Counterexample<M::InvariantViolation>> {
         self.origins.insert(fingerprint, origin);
         let checked = self.model.check(&state);
         self.queue.push_back(Reached { state, fingerprint, depth });
-        let rule = checked.err()?;
-        Some(Violation { rule, events: self.path_to(fingerprint) })
+        let violation = checked.err()?;
+        Some(Counterexample { violation, events: self.path_to(fingerprint) })
     }
 
     /// The events that lead to a state that was reached.
--- a/crates/model-check/tests/explore.rs
+++ b/crates/model-check/tests/explore.rs
@@ -27,7 +27,7 @@
 impl Model for Jugs {
     type State = [u32; 2];
     type Event = Event;
-    type BrokenRule = ForbiddenFilling;
+    type InvariantViolation = ForbiddenFilling;
 
     fn events(&self, _: &[u32; 2]) -> Vec<Event> {
         (0..2).flat_map(|jug| [Event::Fill(jug), Event::Empty(jug), Event::Pour(jug)]).collect()
@@ -58,23 +58,23 @@
 fn all_states_are_reached() {
     let outcome = explore(&Jugs { forbidden: None }, [0, 0], usize::MAX);
     // Of 24 fillings those are reached in which at least one jug is empty or full.
-    assert_eq!((outcome.states, outcome.is_exhausted), (16, true));
-    assert_eq!(outcome.violation, None);
+    assert_eq!((outcome.states, outcome.is_exhaustive), (16, true));
+    assert_eq!(outcome.counterexample, None);
 }
 
 #[test]
 fn a_broken_rule_comes_with_the_shortest_sequence_of_events() {
     let outcome = explore(&Jugs { forbidden: Some(4) }, [0, 0], usize::MAX);
-    let violation = outcome.violation.expect("it can be reached");
-    assert_eq!(violation.rule.to_string(), "the large jug holds 4");
+    let counterexample = outcome.counterexample.expect("it can be reached");
+    assert_eq!(counterexample.violation.to_string(), "the large jug holds 4");
     let events = ["Fill(1)", "Pour(1)", "Empty(0)", "Pour(1)", "Fill(1)", "Pour(1)"];
-    assert_eq!(violation.events, events);
+    assert_eq!(counterexample.events, events);
 }
 
 #[test]
 fn a_limit_ends_the_search_and_says_so() {
     let outcome = explore(&Jugs { forbidden: None }, [0, 0], 3);
-    assert!(!outcome.is_exhausted && outcome.states >= 3);
+    assert!(!outcome.is_exhaustive && outcome.states >= 3);
 }
 
 #[test]
--- a/crates/model-check/tests/history.rs
+++ b/crates/model-check/tests/history.rs
@@ -1,6 +1,6 @@
 //! Histories of a register that changes by compare-and-set.
 
-use opalrun_model_check::{Operation, Sequential, check_linearizable};
+use opalrun_model_check::{Operation, SequentialSpec, check_linearizable};
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Call {
@@ -10,7 +10,7 @@
 
 struct Register;
 
-impl Sequential for Register {
+impl SequentialSpec for Register {
     type Call = Call;
     type Reply = Result<u64, u64>;
     type State = u64;
--- a/crates/replication/src/append_entries.rs
+++ b/crates/replication/src/append_entries.rs
@@ -32,7 +32,7 @@
             return Err(not_leader);
         }
         if !self.has_capacity_for(command.len()) {
-            return Err(ProposeError::Busy);
+            return Err(ProposeError::TooManyUncommitted);
         }
         let index = self.append_as_leader(Payload::Command(command));
         Ok(LogPosition { index, term: self.hard_state.term })
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -42,7 +42,7 @@
     },
     /// Too many entries, or bytes of entries, are not committed yet.
     #[snafu(display("too many entries wait to be committed"))]
-    Busy,
+    TooManyUncommitted,
 }
 
 /// One member's replica of a group's log.
@@ -164,7 +164,7 @@
     /// leader, and so those that follow it, know what its predecessors committed only once an entry of its own term is
     /// committed (Raft §8).
     #[must_use]
-    pub fn is_up_to_date(&self) -> bool {
+    pub fn has_applied_committed_entries(&self) -> bool {
         let is_of_this_term = self.log.term(self.commit_index) == Some(self.hard_state.term);
         is_of_this_term && self.applied_index >= self.commit_index.max(self.leader_commit)
     }
--- a/crates/replication/tests/model_check/group.rs
+++ b/crates/replication/tests/model_check/group.rs
@@ -44,7 +44,7 @@
 
 /// A rule of Raft that was broken.
 #[derive(Debug, Clone, PartialEq, Snafu)]
-pub enum BrokenRule {
+pub enum InvariantViolation {
     /// State Machine Safety.
     #[snafu(display("{entry:?} is committed after {known:?}"))]
     EntryReplaced { known: Rc<Entry>, entry: Rc<Entry> },
@@ -118,7 +118,7 @@
     /// By term.
     leaders: BTreeMap<Term, MemberId>,
     left: Budget,
-    broken: Option<BrokenRule>,
+    broken: Option<InvariantViolation>,
 }
 
 #[derive(Debug, Clone)]
@@ -294,7 +294,7 @@
 impl Model for Group {
     type State = State;
     type Event = Event;
-    type BrokenRule = BrokenRule;
+    type InvariantViolation = InvariantViolation;
 
     fn events(&self, state: &State) -> Vec<Event> {
         let mut events = Vec::new();
@@ -375,7 +375,7 @@
         self.carry_out(state, place);
     }
 
-    fn check(&self, state: &State) -> Result<(), BrokenRule> {
+    fn check(&self, state: &State) -> Result<(), InvariantViolation> {
         state.broken.clone().map_or(Ok(()), Err)
     }
 }
@@ -385,7 +385,7 @@
     let known = state.committed.get(entry.index.previous().0 as usize).cloned();
     match known {
         Some(known) if known != *entry => {
-            state.broken = Some(BrokenRule::EntryReplaced { known, entry: entry.clone() });
+            state.broken = Some(InvariantViolation::EntryReplaced { known, entry: entry.clone() });
         }
         Some(_) => {}
         None => state.committed.push(entry.clone()),
@@ -396,7 +396,7 @@
         // Disks may have been lost since.
         let lost = state.nodes.iter().filter(|node| node.identity > MemberId(NEW_IDENTITY)).count();
         if disks + lost < membership.commit_quorum(HOSTS_LOST) {
-            state.broken = Some(BrokenRule::TooFewDisks { entry: entry.clone(), disks });
+            state.broken = Some(InvariantViolation::TooFewDisks { entry: entry.clone(), disks });
         }
     }
 }
@@ -410,14 +410,14 @@
     let (term, identity) = (node.replica.term(), node.identity);
     let first = *state.leaders.entry(term).or_insert(identity);
     if first != identity {
-        state.broken = Some(BrokenRule::TwoLeaders { first, second: identity, term });
+        state.broken = Some(InvariantViolation::TwoLeaders { first, second: identity, term });
     }
     let is_newest = state.leaders.keys().next_back() == Some(&term);
     let known = node.replica.commit_index();
     let log = node.replica.entries_after(known);
     let lacks = |entry: &&Rc<Entry>| entry.index > known && !log.contains(entry);
     if let Some(missing) = state.committed.iter().find(|entry| is_newest && lacks(entry)) {
-        state.broken = Some(BrokenRule::IncompleteLeader { term, missing: missing.clone() });
+        state.broken = Some(InvariantViolation::IncompleteLeader { term, missing: missing.clone() });
     }
 }
 
--- a/crates/replication/tests/model_check/main.rs
+++ b/crates/replication/tests/model_check/main.rs
@@ -7,7 +7,7 @@
 
 mod group;
 
-use group::{BrokenRule, Budget, Group, Mistake};
+use group::{Budget, Group, InvariantViolation, Mistake};
 use opalrun_model_check::{Outcome, explore};
 
 /// States that are explored of a size that is too large to be exhausted.
@@ -40,7 +40,7 @@
     Repaired { by_snapshot: bool },
 }
 
-fn check(group: &Group, start: Start, max_states: usize) -> Outcome<BrokenRule> {
+fn check(group: &Group, start: Start, max_states: usize) -> Outcome<InvariantViolation> {
     let initial = match start {
         Start::New => group.new_group(),
         Start::Led => group.led(),
@@ -53,16 +53,16 @@
     outcome
 }
 
-fn keeps_the_rules(budget: Budget, start: Start, max_states: usize) -> Outcome<BrokenRule> {
+fn keeps_the_rules(budget: Budget, start: Start, max_states: usize) -> Outcome<InvariantViolation> {
     let outcome = check(&Group { budget, mistake: None }, start, max_states);
-    assert_eq!(outcome.violation, None);
+    assert_eq!(outcome.counterexample, None);
     outcome
 }
 
 fn find(budget: Budget, mistake: Mistake, start: Start) {
     let outcome = check(&Group { budget, mistake: Some(mistake) }, start, ALL_STATES);
-    let violation = outcome.violation.unwrap_or_else(|| panic!("{mistake:?} was not found"));
-    println!("{mistake:?}: {} after {} events", violation.rule, violation.events.len());
+    let counterexample = outcome.counterexample.unwrap_or_else(|| panic!("{mistake:?} was not found"));
+    println!("{mistake:?}: {} after {} events", counterexample.violation, counterexample.events.len());
 }
 
 const NOTHING: Budget = Budget { timeouts: 0, proposals: 0, heartbeats: 0, power_losses: 0, disk_losses: 0 };
@@ -70,13 +70,13 @@
 #[test]
 fn one_election_is_exhausted() {
     let outcome = keeps_the_rules(Budget { timeouts: 1, ..NOTHING }, Start::New, ALL_STATES);
-    assert!(outcome.is_exhausted);
+    assert!(outcome.is_exhaustive);
 }
 
 #[test]
 fn one_proposal_is_exhausted() {
     let outcome = keeps_the_rules(Budget { proposals: 1, ..NOTHING }, Start::Led, ALL_STATES);
-    assert!(outcome.is_exhausted);
+    assert!(outcome.is_exhaustive);
 }
 
 /// 51,290 states, which an unoptimised build does not reach soon: so all of them where larger sizes are asked for.
@@ -84,14 +84,14 @@
 fn a_proposal_and_a_heartbeat() {
     let budget = Budget { proposals: 1, heartbeats: 1, ..NOTHING };
     let outcome = keeps_the_rules(budget, Start::Led, nearest());
-    assert!(outcome.is_exhausted || !is_large());
+    assert!(outcome.is_exhaustive || !is_large());
 }
 
 #[test]
 fn a_proposal_and_a_loss_of_power_are_exhausted() {
     let outcome =
         keeps_the_rules(Budget { proposals: 1, power_losses: 1, ..NOTHING }, Start::Led, ALL_STATES);
-    assert!(outcome.is_exhausted);
+    assert!(outcome.is_exhaustive);
 }
 
 #[test]
@@ -112,19 +112,19 @@
 #[test]
 fn a_partitioned_member_and_a_lost_disk_are_exhausted() {
     let budget = Budget { timeouts: 1, disk_losses: 1, ..NOTHING };
-    assert!(keeps_the_rules(budget, Start::LedWithPartitionedMember, ALL_STATES).is_exhausted);
+    assert!(keeps_the_rules(budget, Start::LedWithPartitionedMember, ALL_STATES).is_exhaustive);
 }
 
 #[test]
 fn a_partitioned_member_and_a_loss_of_power_are_exhausted() {
     let budget = Budget { timeouts: 1, power_losses: 1, ..NOTHING };
-    assert!(keeps_the_rules(budget, Start::LedWithPartitionedMember, ALL_STATES).is_exhausted);
+    assert!(keeps_the_rules(budget, Start::LedWithPartitionedMember, ALL_STATES).is_exhaustive);
 }
 
 #[test]
 fn two_candidates_in_one_term_and_a_loss_of_power_are_exhausted() {
     let budget = Budget { power_losses: 1, ..NOTHING };
-    assert!(keeps_the_rules(budget, Start::TwoCandidates, ALL_STATES).is_exhausted);
+    assert!(keeps_the_rules(budget, Start::TwoCandidates, ALL_STATES).is_exhaustive);
 }
 
 /// A second disk is lost after the first was replaced, so the members change a second time.
@@ -140,7 +140,7 @@
 fn an_election_and_a_lost_disk_after_a_repair_are_exhausted() {
     for by_snapshot in [false, true] {
         let budget = Budget { timeouts: 1, disk_losses: 1, ..NOTHING };
-        assert!(keeps_the_rules(budget, Start::Repaired { by_snapshot }, ALL_STATES).is_exhausted);
+        assert!(keeps_the_rules(budget, Start::Repaired { by_snapshot }, ALL_STATES).is_exhaustive);
     }
 }
 
@@ -148,7 +148,7 @@
 fn an_election_and_a_loss_of_power_after_a_repair_are_exhausted() {
     for by_snapshot in [false, true] {
         let budget = Budget { timeouts: 1, power_losses: 1, ..NOTHING };
-        assert!(keeps_the_rules(budget, Start::Repaired { by_snapshot }, ALL_STATES).is_exhausted);
+        assert!(keeps_the_rules(budget, Start::Repaired { by_snapshot }, ALL_STATES).is_exhaustive);
     }
 }
 
--- a/crates/replication/tests/rules/commit.rs
+++ b/crates/replication/tests/rules/commit.rs
@@ -47,7 +47,7 @@
         assert!(taken <= MAX_UNCOMMITTED_BYTES);
     }
     assert!(taken + 4 * MEGABYTE >= MAX_UNCOMMITTED_BYTES, "{taken} bytes were taken");
-    assert_eq!(replica.propose(vec![0; 4 * MEGABYTE]), Err(ProposeError::Busy));
+    assert_eq!(replica.propose(vec![0; 4 * MEGABYTE]), Err(ProposeError::TooManyUncommitted));
     replica.propose(vec![0; 100]).expect("a short one has room");
 }
 
@@ -57,7 +57,7 @@
     elect(&mut replica, &[]);
     synced(&mut replica);
     replica.propose(vec![0; MAX_UNCOMMITTED_BYTES + 1]).expect("nothing else waits");
-    assert_eq!(replica.propose(vec![0]), Err(ProposeError::Busy));
+    assert_eq!(replica.propose(vec![0]), Err(ProposeError::TooManyUncommitted));
     synced(&mut replica);
     replica.propose(vec![0]).expect("it is committed");
 }
--- a/crates/replication/tests/rules/up_to_date.rs
+++ b/crates/replication/tests/rules/up_to_date.rs
@@ -15,15 +15,18 @@
 #[test]
 fn a_new_leader_is_up_to_date_once_an_entry_of_its_own_term_is_committed() {
     let mut replica = follower_of_term_2();
-    assert!(replica.is_up_to_date());
+    assert!(replica.has_applied_committed_entries());
     let now = elect(&mut replica, &[2]);
     synced(&mut replica);
     assert_eq!(replica.commit_index(), LogIndex(2));
-    assert!(!replica.is_up_to_date(), "an earlier leader may have committed more than it knows");
+    assert!(
+        !replica.has_applied_committed_entries(),
+        "an earlier leader may have committed more than it knows"
+    );
     accept(&mut replica, now, 2, 0, 3);
     synced(&mut replica);
     assert_eq!(replica.commit_index(), LogIndex(3));
-    assert!(replica.is_up_to_date());
+    assert!(replica.has_applied_committed_entries());
 }
 
 #[test]
@@ -31,13 +34,13 @@
     let mut replica = follower_of_term_2();
     replica.step(10, from(3, Term(3), append((2, 2), &[], 2)));
     synced(&mut replica);
-    assert!(!replica.is_up_to_date(), "the leader of term 3 has committed nothing in it");
+    assert!(!replica.has_applied_committed_entries(), "the leader of term 3 has committed nothing in it");
     replica.step(20, from(3, Term(3), append((2, 2), &[(3, 3)], 2)));
     synced(&mut replica);
-    assert!(!replica.is_up_to_date(), "the entry of term 3 is not committed");
+    assert!(!replica.has_applied_committed_entries(), "the entry of term 3 is not committed");
     replica.step(30, from(3, Term(3), append((3, 3), &[], 3)));
     synced(&mut replica);
-    assert!(replica.is_up_to_date());
+    assert!(replica.has_applied_committed_entries());
 }
 
 #[test]
@@ -45,5 +48,5 @@
     let mut replica = follower_of_term_2();
     replica.step(10, from(2, Term(2), append((2, 2), &[], 9)));
     synced(&mut replica);
-    assert!(!replica.is_up_to_date(), "entries 3 to 9 are committed");
+    assert!(!replica.has_applied_committed_entries(), "entries 3 to 9 are committed");
 }
--- a/crates/replication/tests/simulation/world.rs
+++ b/crates/replication/tests/simulation/world.rs
@@ -4,7 +4,7 @@
     Entry, LogIndex, LogPosition, Member, MemberId, Membership, Message, Options, Payload, ReadIndexResult,
     Replica, Snapshot, SnapshotMetadata, Term, Write, timing,
 };
-use opalrun_simulation::GroupDisk;
+use opalrun_simulation::ReplicaDisk;
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
     rc::Rc,
@@ -68,7 +68,7 @@
     identity: MemberId,
     address: usize,
     replica: Option<Replica>,
-    disk: GroupDisk,
+    disk: ReplicaDisk,
     writes: VecDeque<(u64, Write)>,
     register: Register,
     applied: LogIndex,
@@ -147,7 +147,7 @@
                 last_included_term: Term(0),
                 membership: first_members.clone(),
             };
-            let disk = GroupDisk::new(base);
+            let disk = ReplicaDisk::new(base);
             world.nodes.push(Node {
                 identity: MemberId(address as u64 + 1),
                 address,
@@ -495,7 +495,7 @@
         self.crash(index);
         let node = &mut self.nodes[index];
         node.identity = self.next_identity;
-        node.disk = GroupDisk::default();
+        node.disk = ReplicaDisk::default();
         self.next_identity.0 += 1;
     }
 }
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -5,14 +5,14 @@
 
 /// The disk of one replica: all writes that were carried out, as if each were synced at once.
 #[derive(Debug, Clone, Default)]
-pub struct GroupDisk {
+pub struct ReplicaDisk {
     hard_state: HardState,
     snapshot: Option<Rc<Snapshot>>,
     base: SnapshotMetadata,
     entries: Vec<Rc<Entry>>,
 }
 
-impl GroupDisk {
+impl ReplicaDisk {
     /// The disk of a replica that begins after a snapshot, or at a group's start with its first members.
     #[must_use]
     pub fn new(base: SnapshotMetadata) -> Self {
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -5,5 +5,5 @@
 mod disk;
 mod network;
 
-pub use disk::GroupDisk;
+pub use disk::ReplicaDisk;
 pub use network::{Network, NetworkFaults};
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -29,7 +29,7 @@
     in_flight: BTreeMap<(u64, u64), Packet<M>>,
     next_number: u64,
     /// Ways on which nothing passes.
-    partitions: BTreeSet<Way>,
+    partitions: BTreeSet<Link>,
 }
 
 #[derive(Debug, Clone)]
@@ -40,7 +40,7 @@
 
 /// The way from one node to another one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Way {
+struct Link {
     from: usize,
     to: usize,
 }
@@ -60,18 +60,18 @@
 
     /// Nothing sent from now on passes this way. What is in flight still arrives.
     pub fn partition(&mut self, from: usize, to: usize) {
-        self.partitions.insert(Way { from, to });
+        self.partitions.insert(Link { from, to });
     }
 
     /// Messages pass this way again.
     pub fn reconnect(&mut self, from: usize, to: usize) {
-        self.partitions.remove(&Way { from, to });
+        self.partitions.remove(&Link { from, to });
     }
 
     /// Whether messages pass this way.
     #[must_use]
     pub fn is_connected(&self, from: usize, to: usize) -> bool {
-        !self.partitions.contains(&Way { from, to })
+        !self.partitions.contains(&Link { from, to })
     }
 
     /// Sends a message, which arrives after a random delay, unless it is lost.
@@ -92,8 +92,8 @@
         self.deliver_at(at, to, message);
     }
 
-    /// Removes the next message that has arrived. Returns its receiver and the message.
-    pub fn arrived(&mut self, now: u64) -> Option<(usize, M)> {
+    /// Removes the next message that has pop_arrived. Returns its receiver and the message.
+    pub fn pop_arrived(&mut self, now: u64) -> Option<(usize, M)> {
         let first = self.in_flight.first_entry().filter(|entry| entry.key().0 <= now)?;
         let packet = first.remove();
         Some((packet.to, packet.message))
--- a/crates/store-client/tests/model_check.rs
+++ b/crates/store-client/tests/model_check.rs
@@ -240,7 +240,7 @@
 impl Model for Count {
     type State = State;
     type Event = Event;
-    type BrokenRule = BudgetExceeded;
+    type InvariantViolation = BudgetExceeded;
 
     fn events(&self, state: &State) -> Vec<Event> {
         let mut events = Vec::new();
@@ -340,15 +340,15 @@
 /// Explores all states within the bounds, and expects no violation.
 fn assert_no_violation(bounds: Bounds) {
     let outcome = check(bounds, MAX_STATES);
-    assert_eq!(outcome.violation, None);
-    assert!(outcome.is_exhausted);
+    assert_eq!(outcome.counterexample, None);
+    assert!(outcome.is_exhaustive);
 }
 
 /// Explores the states with a defect injected, and expects a violation.
 fn assert_defect_is_found(bounds: Bounds, defect: Defect) {
     let outcome = check(Bounds { defect: Some(defect), ..bounds }, MAX_STATES);
-    let violation = outcome.violation.unwrap_or_else(|| panic!("{defect:?} was not detected"));
-    println!("{defect:?}: {} after {:?}", violation.rule, violation.events);
+    let counterexample = outcome.counterexample.unwrap_or_else(|| panic!("{defect:?} was not detected"));
+    println!("{defect:?}: {} after {:?}", counterexample.violation, counterexample.events);
 }
 
 #[test]
@@ -386,7 +386,7 @@
 fn three_holders_stay_within_the_budget_in_the_nearest_states() {
     let max_states = if is_large() { LARGE_STATES } else { NEAREST_STATES };
     let outcome = check(Bounds { budget: 2, acquisitions: vec![1, 1, 1], ..SMALL }, max_states);
-    assert_eq!(outcome.violation, None);
+    assert_eq!(outcome.counterexample, None);
 }
 
 /// Runs only if the large model check is requested: it takes a minute in an optimised build.
