--- a/crates/replication/src/append_entries.rs
+++ b/crates/replication/src/append_entries.rs
@@ -1,4 +1,4 @@
-//! How a leader replicates its log: proposals, heartbeats, entries and the responses to them (Raft §5.3).
+//! Log replication by the leader: proposals, heartbeats, append requests and their responses (Raft §5.3).
 
 use crate::{
     AppendOutcome, LogIndex, LogPosition, MemberId, MessageBody, Payload, ProposeError, Term,
@@ -8,21 +8,21 @@
     timing,
 };
 
-/// Entries of one request.
+/// Maximum number of entries in one append request.
 const MAX_APPEND_ENTRIES: usize = 256;
-/// Bytes of the entries of one request. A single entry may be longer.
+/// Maximum size of the entries in one append request, in bytes. A single larger entry is sent alone.
 const MAX_APPEND_BYTES: usize = 256 << 10;
-/// Entries that may wait to be committed.
+/// Maximum number of uncommitted entries.
 const MAX_UNCOMMITTED_ENTRIES: u64 = 4096;
-/// Bytes of entries that may wait to be committed. A single entry may be longer.
+/// Maximum size of the uncommitted entries, in bytes. A larger command is accepted if no other entry is uncommitted.
 pub const MAX_UNCOMMITTED_BYTES: usize = 32 << 20;
 
 impl Replica {
-    /// Appends a command to the log. Returns its position: if an entry with this index and another term is committed, this
-    /// command is not.
+    /// Appends a command to the log. Returns its position. If an entry with the same index and a different term is committed,
+    /// the command was not and never will be.
     ///
     /// # Errors
-    /// [`ProposeError`]: nothing was appended.
+    /// [`ProposeError`], in which case nothing was appended.
     pub fn propose(&mut self, command: Vec<u8>) -> Result<LogPosition, ProposeError> {
         let not_leader = ProposeError::NotLeader { leader: self.leader_id.filter(|_| !self.is_leader()) };
         let Some(leader) = self.role.leader() else {
@@ -49,12 +49,12 @@
             && uncommitted_bytes + command_bytes <= MAX_UNCOMMITTED_BYTES
     }
 
-    /// Steps down when no majority answers (thesis §6.2), and sends heartbeats when they are due.
+    /// Steps down if no majority responds (thesis §6.2), and sends heartbeats when they are due.
     pub(crate) fn tick_leader(&mut self) {
         if !self.has_recent_contact(self.now, timing::MAX_ELECTION_TIMEOUT_MS) {
             return self.become_follower(self.hard_state.term, None);
         }
-        self.abandon_late_transfer();
+        self.abort_expired_transfer();
         let now = self.now;
         if self.role.leader().is_some_and(|leader| leader.heartbeats.is_due(now)) {
             self.change_membership();
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Begins a new round of heartbeats.
+    /// Begins a new heartbeat round and sends a heartbeat to every other member.
     pub(crate) fn send_heartbeats(&mut self) {
         let now = self.now;
         let Some(leader) = self.role.leader_mut() else {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Sends a request without entries, which asks whether the logs are the same so far and carries the commit index.
+    /// Sends an append request without entries, which checks whether the member's log matches and carries the commit index.
     fn send_heartbeat(&mut self, identity: MemberId) {
         let leader_commit = self.commit_index;
         let Some(leader) = self.role.leader_mut() else {
@@ -87,7 +87,8 @@
         let Some(peer) = leader.progress.get_mut(&identity) else {
             return;
         };
-        // A member that waits for a snapshot is asked about the start of the log, which it has anyway.
+        // A member that is being sent a snapshot is asked about its last matching entry, or the start of the log, so that
+        // it does not reject the heartbeat.
         let previous_index =
             if peer.is_receiving_snapshot() { peer.match_index } else { peer.next_index.previous() };
         let previous_term = self.log.term(previous_index);
@@ -108,8 +109,8 @@
         self.send(identity, body);
     }
 
-    /// Sends what became due since the last call of `ready`: a round for reads, entries, the commit index, chunks of
-    /// snapshots, and the request that completes a transfer of leadership.
+    /// Sends the messages that have become due since the last call of `ready`: a heartbeat round for reads, entries, the
+    /// commit index, snapshot chunks, and the request that completes a leadership transfer.
     pub(crate) fn send_due_messages(&mut self) {
         let Some(leader) = self.role.leader() else {
             return;
@@ -133,7 +134,7 @@
         }
     }
 
-    /// The next request with entries for a member, if there is one to send.
+    /// Returns the next append request with entries for a member, if one may be sent.
     fn next_append_entries(&mut self, identity: MemberId) -> Option<MessageBody> {
         let leader = self.role.leader_mut()?;
         let round = leader.heartbeats.current();
@@ -159,7 +160,7 @@
         })
     }
 
-    /// Sends a new commit index at once.
+    /// Sends the commit index to a member that has not been sent the current one.
     fn send_commit_index(&mut self, identity: MemberId) {
         let commit_index = self.commit_index;
         let is_behind =
@@ -169,7 +170,7 @@
         }
     }
 
-    /// Records that a member answered a round. Returns whether it is one.
+    /// Records that a member responded to a heartbeat round. Returns whether the sender is a member.
     pub(crate) fn record_response(&mut self, from: MemberId, round: u64) -> bool {
         let now = self.now;
         let Some(leader) = self.role.leader_mut() else {
@@ -212,9 +213,9 @@
         }
     }
 
-    /// Commits what a commit quorum has synced. Only entries of the own term are counted: an entry of an earlier term may
-    /// still be replaced although a majority has it (Raft §5.4.2, figure 8). Those before are committed with it, by log
-    /// matching.
+    /// Advances the commit index to the last entry synced by a commit quorum. Only entries of the leader's own term are
+    /// committed by counting replicas: an entry of an earlier term may still be replaced although a majority has it (Raft
+    /// §5.4.2, figure 8). Preceding entries are committed indirectly, by the Log Matching property.
     pub(crate) fn advance_commit_index(&mut self) {
         let Some(leader) = self.role.leader() else {
             return;
--- a/crates/replication/src/contact.rs
+++ b/crates/replication/src/contact.rs
@@ -1,9 +1,10 @@
-//! Whether a replica and its group are in contact.
+//! Contact of a replica with its group.
 
 use crate::replica::Replica;
 
 impl Replica {
-    /// Whether within the last `limit_ms` this replica heard the leader, or as leader was followed by a majority.
+    /// Returns whether this replica heard from the leader within the last `limit_ms`, or, if it is the leader, whether a
+    /// majority followed it within that time.
     #[must_use]
     pub fn has_recent_contact(&self, now: u64, limit_ms: u64) -> bool {
         let membership = self.log.membership();
@@ -16,8 +17,9 @@
         is_heard && self.leader_id.is_some()
     }
 
-    /// Whether within the last `limit_ms` the leader is known to have heard this replica: messages pass both ways. A
-    /// replica that hears its leader and is not heard by it knows what is committed, and nothing that it sends arrives.
+    /// Returns whether the leader is known to have received a response to a message that arrived here within the last
+    /// `limit_ms`, so that messages pass in both directions. A follower behind a one-way partition still learns what is
+    /// committed, but none of its messages reach the leader.
     #[must_use]
     pub fn is_acknowledged_by_leader(&self, now: u64, limit_ms: u64) -> bool {
         self.is_leader() || self.leader_contact.is_acknowledged_within(now, limit_ms)
--- a/crates/replication/src/election.rs
+++ b/crates/replication/src/election.rs
@@ -1,8 +1,8 @@
 //! Leader election: terms, pre-votes and votes (Raft §5.2, §5.4.1; thesis §9.6).
 //!
-//! A replica votes for one candidate a term, and only when the vote is synced; a candidate needs a majority. So a term has
-//! one leader at most (Election Safety, Raft §5.2). A vote goes only to a log that is at least as up-to-date as the own one,
-//! so a leader has every committed entry (Leader Completeness, Raft §5.4.3).
+//! A replica votes for at most one candidate in a term, and responds only once the vote is synced; a candidate needs a
+//! majority. So a term has at most one leader (Election Safety, Raft §5.2). A vote is granted only if the candidate's log is
+//! at least as up-to-date as the voter's, so a leader has every committed entry (Leader Completeness, Raft §5.4.3).
 
 use crate::{
     AppendOutcome, HardState, LogIndex, LogPosition, MemberId, Message, MessageBody, Payload, Term,
@@ -11,7 +11,7 @@
 use std::collections::BTreeSet;
 
 impl Replica {
-    /// Begins an election when no leader was heard for the election time-out.
+    /// Begins an election if no leader was heard from during the election time-out.
     pub(crate) fn tick_election(&mut self) {
         if !self.election_timer.has_expired(self.now) {
             return;
@@ -23,8 +23,8 @@
         }
     }
 
-    /// Asks whether an election would succeed before a new term begins: a replica that was partitioned does not disturb
-    /// the others (thesis §9.6).
+    /// Requests pre-votes: asks whether an election would succeed before beginning a new term, so that a replica that was
+    /// partitioned does not depose the leader when it returns (thesis §9.6).
     fn begin_pre_vote(&mut self) {
         let votes = BTreeSet::from([self.options.identity]);
         self.role = Role::PreCandidate { votes, since: self.now };
@@ -38,7 +38,7 @@
         self.count_pre_votes();
     }
 
-    /// Begins an election in a new term. Nothing is sent before the own vote is synced.
+    /// Begins an election in a new term. Vote requests are sent once this replica's own vote is synced.
     fn begin_election(&mut self, is_leadership_transfer: bool) {
         let voted_for = Some(self.options.identity);
         let own_vote_write = self.set_hard_state(HardState { term: self.hard_state.term.next(), voted_for });
@@ -56,7 +56,7 @@
         self.log.membership().voters().filter(|voter| *voter != self.options.identity).collect()
     }
 
-    /// Becomes a follower in this term, which may be the current one.
+    /// Becomes a follower in `term`, which may be the current term.
     pub(crate) fn become_follower(&mut self, term: Term, leader_id: Option<MemberId>) {
         if term > self.hard_state.term {
             self.set_hard_state(HardState { term, voted_for: None });
@@ -67,8 +67,8 @@
         self.election_timer.reset(self.now);
     }
 
-    /// Adopts the newer term of a message (Raft §5.1), except for what must not disturb a group with a leader. Returns
-    /// whether the message is to be handled.
+    /// Adopts the newer term of a message (Raft §5.1). Pre-votes never change the term, and a vote request is ignored while
+    /// a leader is active unless it results from a leadership transfer. Returns whether the message is to be handled.
     pub(crate) fn adopt_term(&mut self, message: &Message) -> bool {
         match &message.body {
             MessageBody::RequestPreVote { .. } | MessageBody::RequestPreVoteResponse { is_granted: true } => {
@@ -85,7 +85,7 @@
         true
     }
 
-    /// Answers a request of an old term, so that its sender learns the current one (Raft §5.1).
+    /// Rejects a request of an old term, so that its sender learns the current term (Raft §5.1).
     pub(crate) fn reject_stale_term(&mut self, message: &Message) {
         let rejected = |round: u64, previous_log_index: LogIndex| {
             let outcome = AppendOutcome::Rejected { previous_log_index, hint_index: self.commit_index };
@@ -105,16 +105,16 @@
         self.send(message.from, body);
     }
 
-    /// Whether there is a leader, so that nobody else should be elected (thesis §4.2.3).
+    /// Returns whether there is an active leader, in which case vote requests are disregarded (thesis §4.2.3).
     fn has_active_leader(&self) -> bool {
         let limit_ms =
             if self.is_leader() { timing::MAX_ELECTION_TIMEOUT_MS } else { timing::MIN_ELECTION_TIMEOUT_MS };
         self.has_recent_contact(self.now, limit_ms)
     }
 
-    /// Whether this replica has just asked for pre-votes itself and has priority over another one with the same log.
-    /// Without an order between them each would get the other's pre-vote, become a candidate in the same term, and have to
-    /// begin again after a time-out, the more surely the more of the voters are needed.
+    /// Returns whether this replica has recently requested pre-votes itself and has priority over a pre-candidate with the
+    /// same log. The member with the higher identity has priority. Without priorities, each would receive the other's
+    /// pre-vote, become a candidate in the same term, and split the vote; this is more likely the more voters are needed.
     fn has_priority_over(&self, other: MemberId, last_log: LogPosition) -> bool {
         let Role::PreCandidate { since, .. } = &self.role else {
             return false;
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Counts the own vote once it is synced.
+    /// Counts this replica's own vote once it is synced.
     pub(crate) fn count_own_vote(&mut self) {
         let own_identity = self.options.identity;
         if let Role::Candidate { votes, own_vote_write } = &mut self.role
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Becomes the leader, and appends an empty entry, by which it learns what is committed (Raft §8).
+    /// Becomes the leader, and appends an empty entry, whose commit tells the leader which entries are committed (Raft §8).
     fn become_leader(&mut self) {
         let term_start_index = self.log.last_index() + 1;
         let leader = LeaderState::new(term_start_index, self.now);
@@ -206,7 +206,7 @@
         self.append_as_leader(Payload::Empty);
     }
 
-    /// The leader transfers its leadership to this replica: it begins an election without a pre-vote.
+    /// Handles the leader's request to take over the leadership: begins an election without a pre-vote.
     pub(crate) fn on_timeout_now(&mut self) {
         let is_voter = self.log.membership().is_voter(self.options.identity);
         if is_voter && matches!(self.role, Role::Follower | Role::PreCandidate { .. }) {
--- a/crates/replication/src/election_timer.rs
+++ b/crates/replication/src/election_timer.rs
@@ -1,8 +1,8 @@
-//! The randomized election time-out (Raft §5.2), by which split votes are rare.
+//! The randomized election time-out (Raft §5.2), which makes split votes rare.
 
 use crate::timing;
 
-/// When a replica begins an election unless it hears a leader.
+/// The time at which a replica begins an election unless it hears from a leader.
 #[derive(Debug, Clone)]
 pub(crate) struct ElectionTimer {
     random: fastrand::Rng,
@@ -10,7 +10,7 @@
 }
 
 impl ElectionTimer {
-    /// The timer of a replica that starts now.
+    /// Creates the timer of a replica that starts now; its first time-out is shorter than later ones.
     pub fn new(seed: u64, now: u64) -> Self {
         let mut random = fastrand::Rng::with_seed(seed);
         let range = timing::MIN_FIRST_ELECTION_TIMEOUT_MS..=timing::MAX_FIRST_ELECTION_TIMEOUT_MS;
@@ -18,13 +18,13 @@
         Self { random, deadline }
     }
 
-    /// Begins a new random time-out.
+    /// Restarts the timer with a new random time-out.
     pub fn reset(&mut self, now: u64) {
         let range = timing::MIN_ELECTION_TIMEOUT_MS..=timing::MAX_ELECTION_TIMEOUT_MS;
         self.deadline = now + self.random.u64(range);
     }
 
-    /// Whether the time is over.
+    /// Returns whether the time-out has expired.
     pub fn has_expired(&self, now: u64) -> bool {
         now >= self.deadline
     }
--- a/crates/replication/src/entry.rs
+++ b/crates/replication/src/entry.rs
@@ -1,39 +1,39 @@
-//! Entries of the log.
+//! Log entries.
 
 use crate::{LogIndex, LogPosition, Membership, Term};
 use rkyv::{Archive, Deserialize, Serialize};
 use std::rc::Rc;
 
-/// An entry of the log.
+/// A log entry.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
-    /// Its position in the log.
+    /// The entry's index in the log.
     pub index: LogIndex,
-    /// The term of the leader that created it.
+    /// The term of the leader that created the entry.
     pub term: Term,
-    /// What it holds.
+    /// The entry's content.
     pub payload: Payload,
 }
 
-/// What an entry holds.
+/// The content of a log entry.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, Eq)]
 pub enum Payload {
-    /// Nothing: the first entry of a new leader, by which it learns what is committed (Raft §8).
+    /// No operation: the first entry of a new leader, whose commit tells it which entries are committed (Raft §8).
     Empty,
     /// A command for the state machine.
     Command(Vec<u8>),
-    /// The membership from this entry on, whether it is committed or not (Raft §6).
+    /// The membership in effect from this entry on, whether or not the entry is committed (Raft §6).
     MembershipChange(Membership),
 }
 
 impl Entry {
-    /// Its index and term.
+    /// Returns the entry's index and term.
     #[must_use]
     pub fn position(&self) -> LogPosition {
         LogPosition { index: self.index, term: self.term }
     }
 
-    /// About how many bytes it takes in memory and in a message.
+    /// Returns the approximate size of the entry in memory and in a message, in bytes.
     #[must_use]
     pub fn size(&self) -> usize {
         const FIXED_BYTES: usize = 48;
@@ -44,5 +44,5 @@
     }
 }
 
-/// An entry that the log, the messages and the writes share.
+/// An entry shared by the log, messages and disk writes.
 pub(crate) type SharedEntry = Rc<Entry>;
--- a/crates/replication/src/follower.rs
+++ b/crates/replication/src/follower.rs
@@ -1,4 +1,4 @@
-//! What a follower does with the entries of its leader (Raft §5.3).
+//! Handling of a leader's entries and heartbeats by a follower (Raft §5.3).
 
 use crate::{
     AppendOutcome, LogIndex, LogPosition, MemberId, MessageBody, entry::SharedEntry, replica::Replica,
@@ -6,7 +6,7 @@
 };
 
 impl Replica {
-    /// A message of the current term's leader arrived.
+    /// Records that a message from the leader of the current term arrived.
     pub(crate) fn on_leader_message(&mut self, leader_id: MemberId, round: u64, acknowledged_round: u64) {
         if !matches!(self.role, Role::Follower) {
             self.become_follower(self.hard_state.term, Some(leader_id));
@@ -17,8 +17,8 @@
         self.election_timer.reset(self.now);
     }
 
-    /// Appends entries if the log has the entry before them (Raft §5.3, the consistency check), and answers once they are
-    /// synced.
+    /// Appends entries if the log contains the entry that precedes them (Raft §5.3, the consistency check), and responds once
+    /// they are synced. Heartbeats are answered immediately.
     pub(crate) fn on_append_entries(
         &mut self,
         leader_id: MemberId,
@@ -28,7 +28,7 @@
         round: u64,
     ) {
         self.leader_commit = self.leader_commit.max(leader_commit);
-        // What is committed is the same everywhere (State Machine Safety, Raft §5.4.3), so an entry before it needs no check.
+        // Committed entries are identical on all replicas (State Machine Safety, Raft §5.4.3), so they need no check.
         let is_committed = previous.index <= self.commit_index;
         if !is_committed && !self.log.contains(previous) {
             let hint_index = self.log.conflict_hint(previous.index, self.commit_index);
@@ -48,8 +48,8 @@
         self.send_after_sync(leader_id, MessageBody::AppendEntriesResponse { round, outcome });
     }
 
-    /// Appends the entries that the log does not have yet. One that conflicts with the log replaces the entry of its index
-    /// and all after it; committed entries are never replaced.
+    /// Appends the entries that the log does not contain yet. An entry that conflicts with the log replaces the existing
+    /// entry at its index and all that follow it; committed entries are never replaced.
     fn append_entries(&mut self, entries: Vec<SharedEntry>) {
         for entry in entries {
             if entry.index <= self.commit_index || self.log.contains(entry.position()) {
--- a/crates/replication/src/hard_state.rs
+++ b/crates/replication/src/hard_state.rs
@@ -1,13 +1,13 @@
-//! The persistent state of a replica beside its log (Raft, figure 2).
+//! The persistent state of a replica other than its log (Raft, figure 2).
 
 use crate::{MemberId, Term};
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// What must be synced before a replica answers in a term.
+/// The state that must be synced to disk before a replica responds to a message of the term.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct HardState {
-    /// The newest term known (`currentTerm`).
+    /// The latest term that the replica has seen (`currentTerm`).
     pub term: Term,
-    /// Whom this replica voted for in that term (`votedFor`).
+    /// The candidate that received this replica's vote in that term (`votedFor`).
     pub voted_for: Option<MemberId>,
 }
--- a/crates/replication/src/heartbeat_rounds.rs
+++ b/crates/replication/src/heartbeat_rounds.rs
@@ -1,19 +1,20 @@
-//! The rounds of heartbeats of a leader. An answer to a round shows that the follower followed when the round was sent.
+//! The heartbeat rounds of a leader. A response to a round proves that the follower followed this leader when the round was
+//! sent.
 
 use crate::timing;
 use std::collections::VecDeque;
 
-/// Answers to rounds older than this do not count.
+/// Responses to rounds older than this do not count.
 const MAX_ROUND_AGE_MS: u64 = 2 * timing::MAX_ELECTION_TIMEOUT_MS;
 
-/// The rounds of heartbeats of a leader.
+/// The heartbeat rounds of a leader.
 #[derive(Debug, Clone)]
 pub(crate) struct HeartbeatRounds {
-    /// The newest round; 0 before the first.
+    /// The number of the latest round; 0 before the first.
     current: u64,
-    /// When the newest round was sent, or the leader elected.
+    /// When the latest round was sent, or the leader was elected if no round was sent yet.
     last_sent_at: u64,
-    /// Recent rounds, oldest first.
+    /// The rounds of the last [`MAX_ROUND_AGE_MS`], oldest first.
     recent: VecDeque<SentRound>,
 }
 
@@ -24,17 +25,17 @@
 }
 
 impl HeartbeatRounds {
-    /// The rounds of a leader that was elected now.
+    /// Creates the rounds of a leader that was elected at `now`.
     pub fn new(now: u64) -> Self {
         Self { current: 0, last_sent_at: now, recent: VecDeque::new() }
     }
 
-    /// The newest round.
+    /// Returns the number of the latest round.
     pub fn current(&self) -> u64 {
         self.current
     }
 
-    /// Whether the next heartbeat is due.
+    /// Returns whether the next heartbeat is due.
     pub fn is_due(&self, now: u64) -> bool {
         now >= self.last_sent_at + timing::HEARTBEAT_INTERVAL_MS
     }
@@ -49,7 +50,7 @@
         }
     }
 
-    /// When a round was sent; `None` if that was long ago.
+    /// Returns when a round was sent; `None` if it is unknown or older than [`MAX_ROUND_AGE_MS`].
     pub fn sent_at(&self, round: u64) -> Option<u64> {
         let position = self.recent.partition_point(|sent| sent.round < round);
         self.recent.get(position).filter(|sent| sent.round == round).map(|sent| sent.sent_at)
--- a/crates/replication/src/ids.rs
+++ b/crates/replication/src/ids.rs
@@ -1,4 +1,4 @@
-//! Terms, positions in the log, and identities of members.
+//! Terms, log indexes and member identities.
 
 use facet::Facet;
 use rkyv::{Archive, Deserialize, Serialize};
@@ -7,7 +7,7 @@
     ops::{Add, Sub},
 };
 
-/// A term: it numbers elections, and has one leader at most (Raft §5.2). 0 comes before the first election.
+/// A term. Terms are numbered consecutively, and each has at most one leader (Raft §5.2). 0 precedes the first election.
 #[derive(
     Archive, Serialize, Deserialize, Facet, Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default,
 )]
@@ -16,7 +16,7 @@
 pub struct Term(pub u64);
 
 impl Term {
-    /// The term that the next election begins.
+    /// Returns the following term, which the next election begins.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
@@ -29,7 +29,7 @@
     }
 }
 
-/// The position of an entry in the log, from 1. 0 stands for the log's start, before the first entry.
+/// The index of an entry in the log, counted from 1. 0 denotes the start of the log, before the first entry.
 #[derive(
     Archive, Serialize, Deserialize, Facet, Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default,
 )]
@@ -38,36 +38,36 @@
 pub struct LogIndex(pub u64);
 
 impl LogIndex {
-    /// The log's start, before the first entry.
+    /// The start of the log, before the first entry.
     pub const START: Self = Self(0);
-    /// Beyond the last entry of any log.
+    /// An index beyond the last entry of any log.
     pub const MAX: Self = Self(u64::MAX);
 
-    /// The position of the next entry.
+    /// Returns the index of the next entry.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
     }
 
-    /// The position of the entry before, or the log's start.
+    /// Returns the index of the preceding entry, or [`Self::START`].
     #[must_use]
     pub const fn previous(self) -> Self {
         Self(self.0.saturating_sub(1))
     }
 
-    /// The number of entries behind `other`, up to this one; 0 where this one comes first.
+    /// Returns the number of entries after `other`, up to and including this one; 0 if `other` is not before this index.
     #[must_use]
     pub const fn entries_since(self, other: Self) -> u64 {
         self.0.saturating_sub(other.0)
     }
 
-    /// The position `entries` further on, or [`Self::MAX`].
+    /// Returns the index `entries` further on, or [`Self::MAX`] on overflow.
     #[must_use]
     pub const fn saturating_add(self, entries: u64) -> Self {
         Self(self.0.saturating_add(entries))
     }
 
-    /// The position `entries` before, or the log's start.
+    /// Returns the index `entries` earlier, or [`Self::START`] on underflow.
     #[must_use]
     pub const fn saturating_sub(self, entries: u64) -> Self {
         Self(self.0.saturating_sub(entries))
@@ -80,7 +80,7 @@
     }
 }
 
-/// The position so many entries further on.
+/// Returns the index that many entries further on.
 impl Add<u64> for LogIndex {
     type Output = Self;
 
@@ -89,7 +89,7 @@
     }
 }
 
-/// The number of entries between two positions, of which the first lies further on.
+/// Returns the number of entries after `other`, up to and including this one. `other` must not be the larger index.
 impl Sub for LogIndex {
     type Output = u64;
 
@@ -98,7 +98,8 @@
     }
 }
 
-/// The index and term of an entry. Entries of two logs that have both in common are the same (Raft §5.3, log matching).
+/// The index and term of an entry. Entries of two logs with the same index and term are identical (Raft §5.3, Log
+/// Matching).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LogPosition {
     /// The entry's index.
@@ -107,7 +108,8 @@
     pub term: Term,
 }
 
-/// The identity of a member: drawn on an empty disk, so never the same after the loss of one.
+/// The identity of a member: chosen at random when its disk is empty, so a member that lost its disk never reuses its old
+/// identity.
 #[derive(
     Archive, Serialize, Deserialize, Facet, Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default,
 )]
--- a/crates/replication/src/install_snapshot.rs
+++ b/crates/replication/src/install_snapshot.rs
@@ -1,5 +1,5 @@
-//! Snapshots for members that need entries which were compacted away (Raft §7): sent in chunks, one at a time to each such
-//! member, and received.
+//! Sending and receiving of snapshots for members that need compacted entries (Raft §7). Snapshots are sent in chunks, one
+//! chunk at a time to each member.
 
 use crate::{
     AppendOutcome, LogIndex, MemberId, MessageBody, Snapshot,
@@ -11,9 +11,10 @@
 };
 use std::rc::Rc;
 
-/// Sending, as the leader.
+/// Sending of snapshots by the leader.
 impl Replica {
-    /// Takes the state as last handed out to be applied, for members that need it.
+    /// Accepts the state after all entries returned so far by [`ready`](Self::ready), to be sent to members that need a
+    /// snapshot.
     pub fn offer_snapshot(&mut self, state: Vec<u8>) {
         let metadata = self.applied_snapshot_metadata();
         if let Some(leader) = self.role.leader_mut() {
@@ -21,7 +22,7 @@
         }
     }
 
-    /// Sends the next chunk to a member if it is due.
+    /// Sends the next snapshot chunk to a member if it is due.
     pub(crate) fn send_snapshot_chunk(&mut self, identity: MemberId) {
         let now = self.now;
         let base_index = self.log.base_index();
@@ -34,7 +35,7 @@
         let ProgressState::Snapshot(progress) = &mut peer.state else {
             return;
         };
-        // One that ends before the log begins would be of no use.
+        // After installing a snapshot that ends before the base index, the member would still lack compacted entries.
         let usable =
             leader.snapshot.as_ref().filter(|snapshot| snapshot.metadata().last_included_index >= base_index);
         let Some(snapshot) = usable else {
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Drops the snapshot once no member needs it.
+    /// Drops the outgoing snapshot once no member needs it.
     pub(crate) fn drop_unused_snapshot(&mut self) {
         if let Some(leader) = self.role.leader_mut()
             && !leader.progress.values().any(Progress::is_receiving_snapshot)
@@ -87,7 +88,7 @@
     }
 }
 
-/// Receiving, as a follower.
+/// Receiving of snapshots by a follower.
 impl Replica {
     pub(crate) fn on_install_snapshot(&mut self, leader_id: MemberId, chunk: &SnapshotChunk, round: u64) {
         let (index, term) = (chunk.metadata.last_included_index, chunk.metadata.last_included_term);
@@ -110,7 +111,7 @@
             return self.request_chunk(leader_id, index, received_bytes, round);
         }
         let Some(snapshot) = incoming.into_snapshot() else {
-            // The digest is another one: it begins again from its first chunk.
+            // The digest does not match: restart the transfer from the first chunk.
             return self.request_chunk(leader_id, index, 0, round);
         };
         self.install(snapshot);
@@ -133,7 +134,7 @@
         self.send(leader_id, body);
     }
 
-    /// Replaces the whole log.
+    /// Replaces the entire log with a snapshot.
     fn install(&mut self, snapshot: Snapshot) {
         let index = snapshot.metadata.last_included_index;
         self.log = RaftLog::new(snapshot.metadata.clone());
--- a/crates/replication/src/leader_contact.rs
+++ b/crates/replication/src/leader_contact.rs
@@ -1,21 +1,22 @@
-//! Whether the leader that a follower hears also hears the follower.
+//! Detects whether a follower's responses reach its leader.
 
 use crate::Term;
 use std::collections::VecDeque;
 
-/// Rounds whose time of arrival is remembered.
+/// Maximum number of unacknowledged rounds whose arrival time is kept.
 const MAX_REMEMBERED_ROUNDS: usize = 256;
 
-/// What a follower knows of the way from itself to its leader.
+/// A follower's knowledge of whether its responses reach the leader.
 ///
-/// Each message of a leader names its round of heartbeats and the newest round that it knows the follower to have answered.
-/// As the follower remembers when each round arrived, that tells when, at the latest, the leader still heard it.
+/// Each message of a leader carries its current heartbeat round and the latest round to which it has received this
+/// follower's response. As the follower records when each round arrived, it knows the latest arrival whose response
+/// reached the leader.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct LeaderContact {
     term: Term,
-    /// Rounds that the leader is not known to have the answer to, in the order of their arrival.
+    /// Rounds whose response is not known to have reached the leader, in order of arrival.
     arrivals: VecDeque<RoundArrival>,
-    /// The arrival of the newest round that the leader has the answer to; at first the first message of the term.
+    /// When the latest acknowledged round arrived; until one is acknowledged, when the first message of the term arrived.
     acknowledged_at: Option<u64>,
 }
 
@@ -26,7 +27,7 @@
 }
 
 impl LeaderContact {
-    /// A message of the leader of a term arrived.
+    /// Records a message from the leader of `term`.
     pub fn on_leader_message(&mut self, now: u64, term: Term, round: u64, acknowledged_round: u64) {
         if self.term != term || self.acknowledged_at.is_none() {
             *self = Self { term, arrivals: VecDeque::new(), acknowledged_at: Some(now) };
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Whether an answer that reached the leader was given within the last `limit_ms`.
+    /// Returns whether a response sent within the last `limit_ms` is known to have reached the leader.
     pub fn is_acknowledged_within(&self, now: u64, limit_ms: u64) -> bool {
         self.acknowledged_at.is_some_and(|at| now.saturating_sub(at) <= limit_ms)
     }
--- a/crates/replication/src/leadership_transfer.rs
+++ b/crates/replication/src/leadership_transfer.rs
@@ -1,12 +1,13 @@
-//! Leadership transfer (thesis §3.10): the leader takes no proposals, brings its target's log up to date, and asks it to
-//! begin an election at once. If that takes too long the leader goes on.
+//! Leadership transfer (thesis §3.10): the leader stops accepting proposals, replicates its complete log to the target, and
+//! asks the target to begin an election immediately. If this takes too long, the leader aborts the transfer and resumes.
 
 use crate::{
     MemberId, MessageBody, leader_state::LeadershipTransfer, progress::Progress, replica::Replica, timing,
 };
 
 impl Replica {
-    /// Begins to transfer leadership to `target`, or to the voter with the most complete log. Returns whether there is one.
+    /// Begins to transfer leadership to `target`, or to the voter with the most complete log. Returns false if this replica
+    /// is not the leader or there is no suitable target.
     pub fn transfer_leadership(&mut self, target: Option<MemberId>) -> bool {
         let Some(target) = target.or_else(|| self.best_transfer_target()) else {
             return false;
@@ -21,7 +22,7 @@
         true
     }
 
-    /// The voter that is active, is to stay a member, and has most of the log.
+    /// Returns the active voter with the most complete log among those that are to remain members.
     fn best_transfer_target(&self) -> Option<MemberId> {
         let may_lead = |identity: MemberId, peer: &Progress| {
             let stays = self.desired_members.is_empty() || !self.must_be_removed(identity);
@@ -32,8 +33,8 @@
         candidates.max_by_key(|(_, peer)| peer.match_index).map(|(identity, _)| *identity)
     }
 
-    /// Gives up a transfer that takes too long.
-    pub(crate) fn abandon_late_transfer(&mut self) {
+    /// Aborts a transfer whose deadline has passed.
+    pub(crate) fn abort_expired_transfer(&mut self) {
         let now = self.now;
         if let Some(leader) = self.role.leader_mut()
             && leader.transfer.as_ref().is_some_and(|transfer| now >= transfer.deadline)
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Asks the target to begin an election once it has the whole log.
+    /// Asks the transfer target to begin an election once it has the complete log.
     pub(crate) fn notify_transfer_target(&mut self) {
         let last_index = self.log.last_index();
         let Some(leader) = self.role.leader_mut() else {
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,27 +1,29 @@
 //! A replicated log for one group of processes: Raft (D. Ongaro and J. Ousterhout, "In Search of an Understandable Consensus
-//! Algorithm", extended version; "thesis" is D. Ongaro, "Consensus: Bridging Theory and Practice"), without input or output
-//! of its own.
+//! Algorithm", extended version; "thesis" is D. Ongaro, "Consensus: Bridging Theory and Practice"). The implementation
+//! performs no I/O.
 //!
 //! The caller drives a [`Replica`] by [`tick`](Replica::tick), [`step`](Replica::step), [`propose`](Replica::propose),
-//! [`read_index`](Replica::read_index) and [`on_persisted`](Replica::on_persisted), and does what [`ready`](Replica::ready)
-//! returns: messages to send, writes to sync, entries to apply. The caller owns the disk, the network and the state machine.
+//! [`read_index`](Replica::read_index) and [`on_persisted`](Replica::on_persisted), and carries out what
+//! [`ready`](Replica::ready) returns: messages to send, writes to sync, entries to apply. The caller owns the disk, the
+//! network and the state machine.
 //!
 //! Beyond the paper:
-//! - an entry counts as committed when it is synced on a majority of the voters and on `hosts_lost + 1` of them;
-//! - elections begin with a pre-vote, and a vote is refused while a leader is heard, so a process that was partitioned or
-//!   removed disturbs nobody;
-//! - a leader that hears no majority for an election time-out steps down;
-//! - a follower knows whether its leader hears it, too;
-//! - a snapshot is taken only if the whole has the digest that its chunks name;
-//! - reads are confirmed by a round of heartbeats, not by clocks (`ReadIndex`);
-//! - members are identities: a process that lost its disk comes back as another one and has no vote until it is added.
+//! - an entry is committed once it is synced on a majority of the voters and on at least `hosts_lost + 1` of them;
+//! - elections begin with a pre-vote, and votes are denied while a leader is active, so a process that was partitioned or
+//!   removed cannot depose the leader;
+//! - a leader that hears from no majority for an election time-out steps down;
+//! - a follower knows whether its own messages reach the leader;
+//! - a received snapshot is installed only if the complete state matches the SHA-256 digest stated in its chunks;
+//! - reads are confirmed by a round of heartbeats (`ReadIndex`), not by clocks;
+//! - a member is identified by its data: a process that lost its disk returns under a new identity and has no vote until
+//!   the new identity is added.
 //!
 //! # Modules
-//! Types, none of which knows the replica: [`ids`], `entry`, `membership`, `quorum`, `hard_state`, `snapshot`, `message`,
+//! Types that do not depend on [`Replica`]: [`ids`], `entry`, `membership`, `quorum`, `hard_state`, `snapshot`, `message`,
 //! `ready`, [`timing`], `raft_log`, `progress`, `heartbeat_rounds`, `leader_contact`, `leader_state`, `role`,
-//! `snapshot_transfer`, `write_queue`, `election_timer`. Above them `replica` has the state, and `election`, `follower`,
-//! `append_entries`, `read_index`, `contact`, `leadership_transfer`, `install_snapshot`, `membership_change` and
-//! `compaction` have the rules; `step` passes the inputs to them.
+//! `snapshot_transfer`, `write_queue`, `election_timer`. On top of them, `replica` holds the state, and `election`,
+//! `follower`, `append_entries`, `read_index`, `contact`, `leadership_transfer`, `install_snapshot`, `membership_change`
+//! and `compaction` implement the protocol; `step` dispatches the inputs to them.
 #![forbid(unsafe_code)]
 
 mod append_entries;
--- a/crates/replication/src/membership_change.rs
+++ b/crates/replication/src/membership_change.rs
@@ -1,10 +1,10 @@
-//! Membership changes, one member at a time through the log (thesis §4.1), which the leader makes until the members are
-//! those that the caller asks for.
+//! Membership changes, one member at a time through the log (thesis §4.1). The leader makes changes until the members are
+//! those that the caller desires.
 //!
-//! Any majority of the old members and any majority of the new ones share a voter when one member is added or removed, so
-//! two leaders in a term can't be elected. This needs that the latest change is committed, and that the leader has committed
-//! an entry of its own term, before the next one begins (D. Ongaro, "bug in single-server membership changes", raft-dev,
-//! 2015).
+//! When a single member is added or removed, any majority of the old members and any majority of the new ones share a voter,
+//! so two leaders cannot be elected in one term. This requires that, before the next change begins, the latest change is
+//! committed and the leader has committed an entry of its own term (D. Ongaro, "bug in single-server membership changes",
+//! raft-dev, 2015).
 
 use crate::{
     Member, MemberId, Membership, Payload,
@@ -13,29 +13,30 @@
     timing,
 };
 
-/// A learner that reaches the leader's last entry within this time has caught up (thesis §4.2.1).
+/// A learner has caught up if its last catch-up round took at most this long (thesis §4.2.1).
 const MAX_CATCH_UP_MS: u64 = timing::MIN_ELECTION_TIMEOUT_MS;
 
 impl Replica {
-    /// Sets the members that the group should have; all of them become voters. The leader makes one change at a time:
-    /// new members become learners first, each a voter when it has caught up, then those that are to go are removed. The
-    /// group never shrinks below `2 * hosts_lost + 1` voters.
+    /// Sets the members that the group should have; all of them become voters. The leader makes one change at a time: new
+    /// members are added as learners, each learner becomes a voter once it has caught up, and then members that are not
+    /// desired are removed. The group never shrinks below `2 * hosts_lost + 1` voters.
     pub fn set_desired_members(&mut self, desired: Vec<Member>) {
         self.desired_members = desired;
     }
 
-    /// The voters, if this replica leads and the latest change of the membership is committed.
+    /// Returns the voters if this replica is the leader and the latest membership change is committed.
     #[must_use]
     pub fn committed_voters(&self) -> Option<Vec<MemberId>> {
         self.is_membership_committed().then(|| self.log.membership().voters().collect())
     }
 
-    /// Whether this replica leads, knows what is committed, and the latest change of the membership is.
+    /// Returns whether this replica is a leader that has committed an entry of its own term, and the latest membership
+    /// change is committed.
     fn is_membership_committed(&self) -> bool {
         self.knows_committed_entries() && self.log.membership_index() <= self.commit_index
     }
 
-    /// Takes the next step towards the desired members, if one is possible now.
+    /// Makes the next change towards the desired members if one is currently possible.
     pub(crate) fn change_membership(&mut self) {
         self.drop_unused_snapshot();
         if self.desired_members.is_empty() || !self.is_membership_committed() {
@@ -44,7 +45,10 @@
         if self.role.leader().is_some_and(|leader| leader.transfer.is_some()) {
             return;
         }
-        let next = self.with_new_learners().or_else(|| self.with_promotion()).or_else(|| self.with_removal());
+        let next = self
+            .membership_with_new_learners()
+            .or_else(|| self.membership_with_promotion())
+            .or_else(|| self.membership_with_removal());
         if let Some(membership) = next {
             self.append_as_leader(Payload::MembershipChange(membership));
             self.track_members();
@@ -53,13 +57,14 @@
         }
     }
 
-    /// Whether a member is none of those that the group should have.
+    /// Returns whether a member is not among the desired members.
     pub(crate) fn must_be_removed(&self, identity: MemberId) -> bool {
         !self.desired_members.iter().any(|member| member.identity == identity)
     }
 
-    /// The membership with all new members as learners, and new addresses of old ones. Neither changes a quorum.
-    fn with_new_learners(&self) -> Option<Membership> {
+    /// Returns the membership with all new members added as learners and with updated addresses of existing members.
+    /// Neither changes a quorum. `None` if there is no difference.
+    fn membership_with_new_learners(&self) -> Option<Membership> {
         let mut members = self.log.membership().members.clone();
         for desired in &self.desired_members {
             match members.iter_mut().find(|member| member.identity == desired.identity) {
@@ -71,8 +76,8 @@
         (membership != *self.log.membership()).then_some(membership)
     }
 
-    /// The membership with one learner that has caught up as a voter.
-    fn with_promotion(&self) -> Option<Membership> {
+    /// Returns the membership with one caught-up learner promoted to voter, if there is one and a commit quorum is active.
+    fn membership_with_promotion(&self) -> Option<Membership> {
         let progress = &self.role.leader()?.progress;
         let is_ready = |member: &&Member| {
             !member.is_voter
@@ -94,20 +99,21 @@
             && self.is_recently_active(peer)
     }
 
-    /// Whether a member has responded recently.
+    /// Returns whether a member has responded within the last [`timing::RECENTLY_ACTIVE_MS`].
     pub(crate) fn is_recently_active(&self, peer: &Progress) -> bool {
         self.now.saturating_sub(peer.last_response_at) <= timing::RECENTLY_ACTIVE_MS
     }
 
-    /// The membership without one member that is to go; learners first.
-    fn with_removal(&self) -> Option<Membership> {
+    /// Returns the membership without one member that is not desired, learners first, if there is one that may be removed
+    /// and a commit quorum is active.
+    fn membership_with_removal(&self) -> Option<Membership> {
         let own_identity = self.options.identity;
-        let must_go =
+        let is_removable =
             |member: &&Member| member.identity != own_identity && self.must_be_removed(member.identity);
         let members = &self.log.membership().members;
-        let learner = members.iter().filter(must_go).find(|member| !member.is_voter);
+        let learner = members.iter().filter(is_removable).find(|member| !member.is_voter);
         let removed =
-            learner.or_else(|| members.iter().find(must_go).filter(|_| self.may_shrink()))?.identity;
+            learner.or_else(|| members.iter().find(is_removable).filter(|_| self.may_shrink()))?.identity;
         let mut next = self.log.membership().clone();
         next.members.retain(|member| member.identity != removed);
         self.can_commit_with(&next).then_some(next)
@@ -117,7 +123,7 @@
         self.log.membership().voter_count() > 2 * self.options.hosts_lost + 1
     }
 
-    /// Whether enough voters of a membership are active to commit with it.
+    /// Returns whether enough voters of `membership` are active to commit entries.
     fn can_commit_with(&self, membership: &Membership) -> bool {
         let Some(leader) = self.role.leader() else {
             return false;
@@ -130,7 +136,7 @@
         active >= membership.commit_quorum(self.options.hosts_lost)
     }
 
-    /// Tracks the progress of the newest members, and of no others.
+    /// Tracks the progress of exactly the other members of the latest membership.
     pub(crate) fn track_members(&mut self) {
         let (own_identity, now, next_index) = (self.options.identity, self.now, self.log.last_index() + 1);
         let membership = self.log.membership();
@@ -143,7 +149,7 @@
         }
     }
 
-    /// A leader that is no member any more, as of a committed entry, steps down (thesis §4.2.2).
+    /// Steps down if a committed membership change has removed this leader (thesis §4.2.2).
     pub(crate) fn step_down_when_removed(&mut self) {
         let is_committed = self.log.membership_index() <= self.commit_index;
         if is_committed && self.log.membership().get(self.options.identity).is_none() {
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -1,5 +1,5 @@
 //! Messages between the replicas of a group: the remote procedure calls of the Raft paper (figures 2 and 13), with requests
-//! and responses as messages of their own. Any of them may be lost, delayed, repeated or overtaken.
+//! and responses as separate messages. Any message may be lost, delayed, duplicated or reordered.
 
 use crate::{Entry, LogIndex, MemberId, SnapshotMetadata, Term};
 use rkyv::{Archive, Deserialize, Serialize};
@@ -10,9 +10,9 @@
 pub struct Message {
     /// The sender.
     pub from: MemberId,
-    /// The receiver. A process with another identity drops the message.
+    /// The receiver. A process with a different identity drops the message.
     pub to: MemberId,
-    /// The sender's term; for a pre-vote the term that it would begin.
+    /// The sender's term. In a pre-vote request: the term that the sender would begin.
     pub term: Term,
     /// The request or response.
     pub body: MessageBody,
@@ -21,99 +21,99 @@
 /// A request or response.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub enum MessageBody {
-    /// Asks whether the receiver would vote for the sender in the message's term (thesis §9.6).
+    /// Asks whether the receiver would grant the sender its vote in the message's term (thesis §9.6).
     RequestPreVote {
-        /// The sender's last entry.
+        /// The index of the sender's last log entry.
         last_log_index: LogIndex,
-        /// That entry's term.
+        /// The term of that entry.
         last_log_term: Term,
     },
-    /// Answers a pre-vote. When granted, the message's term is the one asked about.
+    /// Responds to a pre-vote request. If granted, the message's term is the requested term.
     RequestPreVoteResponse {
-        /// Whether the sender would get the vote.
+        /// Whether the responder would grant its vote.
         is_granted: bool,
     },
-    /// Asks for the receiver's vote.
+    /// Requests the receiver's vote.
     RequestVote {
-        /// The sender's last entry.
+        /// The index of the sender's last log entry.
         last_log_index: LogIndex,
-        /// That entry's term.
+        /// The term of that entry.
         last_log_term: Term,
-        /// The leader transferred its leadership to the sender, so the receiver votes although it has just heard a leader
-        /// (thesis §3.10, §4.2.3).
+        /// Whether the election was requested by the leader to transfer its leadership to the sender. The receiver then
+        /// votes even if it has recently heard from a leader (thesis §3.10, §4.2.3).
         is_leadership_transfer: bool,
     },
-    /// Answers a request for a vote.
+    /// Responds to a vote request.
     RequestVoteResponse {
-        /// Whether the candidate got the vote.
+        /// Whether the candidate received the vote.
         is_granted: bool,
     },
-    /// Replicates entries; without entries a heartbeat.
+    /// Replicates log entries; a heartbeat if it carries no entries.
     AppendEntries {
-        /// The entry before the first one of `entries`.
+        /// The index of the entry immediately preceding `entries`.
         previous_log_index: LogIndex,
-        /// That entry's term.
+        /// The term of that entry.
         previous_log_term: Term,
-        /// Entries to append.
+        /// The entries to append.
         entries: Vec<Rc<Entry>>,
         /// The leader's commit index.
         leader_commit: LogIndex,
-        /// The leader's newest round of heartbeats.
+        /// The leader's latest heartbeat round.
         round: u64,
-        /// The newest round that the leader knows the receiver to have answered.
+        /// The latest heartbeat round to which the leader has received this receiver's response.
         acknowledged_round: u64,
     },
-    /// Answers entries, or a whole snapshot.
+    /// Responds to an append request, or to the last chunk of a snapshot.
     AppendEntriesResponse {
-        /// The round answered.
+        /// The heartbeat round of the request.
         round: u64,
-        /// What became of the entries.
+        /// Whether the entries were accepted.
         outcome: AppendOutcome,
     },
     /// A chunk of a snapshot.
     InstallSnapshot {
-        /// The entries that the snapshot replaces.
+        /// The metadata of the snapshot: last included index and term, and the membership.
         metadata: SnapshotMetadata,
-        /// Bytes of the whole state.
+        /// The size of the complete state, in bytes.
         total_bytes: u64,
-        /// The SHA-256 digest of the whole state.
+        /// The SHA-256 digest of the complete state.
         digest: [u8; 32],
-        /// Where the chunk begins in the state, in bytes.
+        /// The byte offset of the chunk in the state.
         offset: u64,
-        /// The chunk.
+        /// The bytes of the chunk.
         data: Vec<u8>,
-        /// The leader's newest round of heartbeats.
+        /// The leader's latest heartbeat round.
         round: u64,
-        /// The newest round that the leader knows the receiver to have answered.
+        /// The latest heartbeat round to which the leader has received this receiver's response.
         acknowledged_round: u64,
     },
-    /// Asks for the next chunk of a snapshot.
+    /// Acknowledges the received part of a snapshot and requests the next chunk.
     InstallSnapshotResponse {
-        /// The last entry that the snapshot covers.
+        /// The index of the last entry that the snapshot replaces.
         last_included_index: LogIndex,
-        /// Bytes received without a gap.
+        /// The number of contiguous bytes received from the start of the state.
         received_bytes: u64,
-        /// The round answered.
+        /// The heartbeat round of the request.
         round: u64,
     },
-    /// Asks the receiver to begin an election at once: the leader transfers its leadership (thesis §3.10).
+    /// Asks the receiver to begin an election immediately, as the leader transfers its leadership (thesis §3.10).
     TimeoutNow,
 }
 
-/// What became of entries that a follower was sent.
+/// The result of an append request.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AppendOutcome {
-    /// The follower's log is the leader's up to an entry, and synced.
+    /// The follower's log matches the leader's up to `match_index`, and is synced up to there.
     Accepted {
-        /// The entry.
+        /// The index of the last matching entry.
         match_index: LogIndex,
     },
-    /// The follower has no entry of the leader's term at the previous index.
+    /// The follower's log has no entry with the request's previous index and term.
     Rejected {
-        /// The previous index of the request.
+        /// The previous log index of the request.
         previous_log_index: LogIndex,
-        /// An entry up to which the logs may be the same, from which the leader goes on (Raft §5.3, the optimization for
-        /// conflicting terms).
+        /// The last index up to which the logs may match; the leader continues from there (Raft §5.3, the optimization
+        /// that skips a whole conflicting term).
         hint_index: LogIndex,
     },
 }
--- a/crates/replication/src/progress.rs
+++ b/crates/replication/src/progress.rs
@@ -1,59 +1,60 @@
-//! What a leader knows of another member's log.
+//! A leader's view of another member's log.
 
 use crate::LogIndex;
 use std::collections::VecDeque;
 
-/// Requests with entries that may be in flight to one member.
+/// Maximum number of append requests with entries in flight to one member.
 const MAX_INFLIGHT_APPENDS: usize = 8;
 
-/// What a leader knows of another member's log.
+/// A leader's view of another member's log.
 #[derive(Debug, Clone)]
 pub(crate) struct Progress {
-    /// The last entry up to which the member's log is known to be the leader's, and synced (`matchIndex`).
+    /// The highest index up to which the member's log is known to match the leader's, and to be synced (`matchIndex`).
     pub match_index: LogIndex,
-    /// The next entry to send (`nextIndex`).
+    /// The index of the next entry to send (`nextIndex`).
     pub next_index: LogIndex,
     pub state: ProgressState,
-    /// The newest round of heartbeats that it answered.
+    /// The latest heartbeat round to which the member has responded.
     pub acknowledged_round: u64,
-    /// When it last responded.
+    /// When the member's last response arrived, in milliseconds of the replica's clock.
     pub last_response_at: u64,
-    /// The latest moment at which it is known to have followed this leader: when the newest round that it answered was
-    /// sent.
+    /// The latest time at which the member is known to have followed this leader: when the latest heartbeat round that it
+    /// acknowledged was sent. In milliseconds of the replica's clock.
     pub followed_at: u64,
-    /// The commit index that was last sent.
+    /// The commit index that was last sent to the member.
     pub sent_commit_index: LogIndex,
-    /// How long it recently took to reach the entry that was the leader's last when it set out, in milliseconds; `None`
-    /// while that is not known.
+    /// Duration of the last completed catch-up round (thesis §4.2.1), in milliseconds: the time that the member needed to
+    /// receive all entries which the leader had at the start of the round. `None` before the first round is complete, and
+    /// from the start of a snapshot transfer until the next round is complete.
     pub catch_up_ms: Option<u64>,
     catch_up_goal: CatchUpGoal,
-    /// The last entries of requests that were sent and not answered.
+    /// The last index of each append request that was sent and not acknowledged.
     inflight_appends: VecDeque<LogIndex>,
 }
 
-/// Which entries a member is sent.
+/// How entries are sent to a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ProgressState {
-    /// It is not known up to where the logs are the same: heartbeats ask.
+    /// The last matching index is unknown; heartbeats probe for it.
     Probe,
-    /// Entries are sent without waiting for responses.
+    /// Entries are pipelined, without waiting for responses.
     Replicate,
-    /// It needs entries that were compacted away.
+    /// Switches to sending a snapshot, as the member needs entries that were compacted.
     Snapshot(SnapshotProgress),
 }
 
-/// How far a member has received a snapshot.
+/// The progress of a snapshot transfer to a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct SnapshotProgress {
-    /// The last entry that the snapshot covers; 0 before there is a snapshot.
+    /// The index of the last entry that the snapshot replaces; 0 until a snapshot is available.
     pub last_included_index: LogIndex,
-    /// Bytes that the member has.
+    /// The number of bytes that the member has received.
     pub received_bytes: u64,
-    /// When the last chunk was sent; `None` if the next one is due.
+    /// When the last chunk was sent, in milliseconds of the replica's clock; `None` if the next chunk is due.
     pub chunk_sent_at: Option<u64>,
 }
 
-/// The round of the paper's catch-up: the leader's last entry at a moment (thesis §4.2.1).
+/// A catch-up round: the index of the leader's last entry at the start of the round (thesis §4.2.1).
 #[derive(Debug, Clone, Copy)]
 struct CatchUpGoal {
     index: LogIndex,
@@ -61,7 +62,7 @@
 }
 
 impl Progress {
-    /// A member of which nothing is known yet; `next_index` is one after the leader's last entry.
+    /// Creates the progress of a member whose log is unknown. `next_index` is the index after the leader's last entry.
     pub fn new(next_index: LogIndex, now: u64) -> Self {
         Self {
             match_index: LogIndex::START,
@@ -77,23 +78,23 @@
         }
     }
 
-    /// Whether another request with entries may be sent.
+    /// Returns whether another request with entries may be sent.
     pub fn may_send_entries(&self) -> bool {
         self.state == ProgressState::Replicate && self.inflight_appends.len() < MAX_INFLIGHT_APPENDS
     }
 
-    /// Whether it is being sent a snapshot.
+    /// Returns whether the member is being sent a snapshot.
     pub fn is_receiving_snapshot(&self) -> bool {
         matches!(self.state, ProgressState::Snapshot(_))
     }
 
-    /// Entries up to `last` were sent.
+    /// Records that entries up to `last` were sent.
     pub fn on_sent(&mut self, last: LogIndex) {
         self.inflight_appends.push_back(last);
         self.next_index = last.next();
     }
 
-    /// Its log is the leader's up to `match_index`.
+    /// Records that the member's log matches the leader's up to `match_index`.
     pub fn on_accepted(&mut self, match_index: LogIndex) {
         self.match_index = self.match_index.max(match_index);
         self.next_index = self.next_index.max(self.match_index.next());
@@ -112,8 +113,9 @@
         }
     }
 
-    /// Measures by how much time it is behind. Bytes and entries would not tell: some commands are a thousand times as
-    /// long as others.
+    /// Completes a catch-up round if the member has reached its last entry, records the round's duration, and begins the
+    /// next round. The lag is measured in time, not in bytes or entries, as some commands are a thousand times as long as
+    /// others.
     pub fn record_catch_up(&mut self, now: u64, leader_last_index: LogIndex) {
         if self.match_index >= self.catch_up_goal.index {
             self.catch_up_ms = Some(now.saturating_sub(self.catch_up_goal.set_at));
@@ -121,7 +123,8 @@
         }
     }
 
-    /// It has no entry of the leader's term at `previous_log_index`. Returns whether this was not known.
+    /// Records that the member rejected an append request: its log does not match at `previous_log_index`. Returns whether
+    /// the rejection took effect: stale and duplicate rejections, and those during a snapshot transfer, are ignored.
     pub fn on_rejected(&mut self, previous_log_index: LogIndex, hint_index: LogIndex) -> bool {
         if previous_log_index <= self.match_index || self.is_receiving_snapshot() {
             return false;
@@ -136,7 +139,7 @@
         true
     }
 
-    /// It needs entries that were compacted away.
+    /// Switches to sending a snapshot, as the member needs entries that were compacted.
     pub fn begin_snapshot(&mut self) {
         let snapshot =
             SnapshotProgress { last_included_index: LogIndex::START, received_bytes: 0, chunk_sent_at: None };
--- a/crates/replication/src/raft_log.rs
+++ b/crates/replication/src/raft_log.rs
@@ -1,28 +1,28 @@
-//! The log as it is kept in memory: the entries after a snapshot, and the memberships that they contain.
+//! The in-memory log: the entries after the compacted prefix, and the memberships that they contain.
 
 use crate::{LogIndex, LogPosition, Membership, Payload, SnapshotMetadata, Term, entry::SharedEntry};
 use std::collections::VecDeque;
 
-/// A membership and the entry that contains it.
+/// A membership and the index of the entry that contains it.
 #[derive(Debug, Clone)]
 struct LoggedMembership {
     index: LogIndex,
     membership: Membership,
 }
 
-/// The entries of the log that are kept in memory.
+/// The part of the log that is kept in memory.
 #[derive(Debug, Clone)]
 pub(crate) struct RaftLog {
-    /// The last entry that was compacted away.
+    /// The index of the last compacted entry; 0 if none was compacted.
     base_index: LogIndex,
     base_term: Term,
     entries: VecDeque<SharedEntry>,
-    /// Memberships, oldest first, never empty: the one as of the base and those of the entries after it.
+    /// Memberships, oldest first, never empty: the one in effect at the base index and those of the entries after it.
     memberships: Vec<LoggedMembership>,
 }
 
 impl RaftLog {
-    /// An empty log after a snapshot.
+    /// Creates an empty log that continues after a snapshot.
     pub fn new(base: SnapshotMetadata) -> Self {
         let index = base.last_included_index;
         Self {
@@ -33,22 +33,22 @@
         }
     }
 
-    /// The last entry that was compacted away; 0 if none was.
+    /// Returns the index of the last compacted entry; 0 if none was compacted.
     pub fn base_index(&self) -> LogIndex {
         self.base_index
     }
 
-    /// The last entry.
+    /// Returns the index of the last entry.
     pub fn last_index(&self) -> LogIndex {
         self.base_index + self.entries.len() as u64
     }
 
-    /// The term of the last entry.
+    /// Returns the term of the last entry.
     fn last_term(&self) -> Term {
         self.entries.back().map_or(self.base_term, |entry| entry.term)
     }
 
-    /// The term of an entry; `None` where it was compacted away or is not there yet.
+    /// Returns the term of an entry; `None` if the entry was compacted or does not exist yet.
     pub fn term(&self, index: LogIndex) -> Option<Term> {
         if index == self.base_index {
             return Some(self.base_term);
@@ -56,7 +56,7 @@
         self.get(index).map(|entry| entry.term)
     }
 
-    /// An entry; `None` where it was compacted away or is not there yet.
+    /// Returns an entry; `None` if it was compacted or does not exist yet.
     pub fn get(&self, index: LogIndex) -> Option<&SharedEntry> {
         if index <= self.base_index {
             return None;
@@ -64,7 +64,7 @@
         self.entries.get(self.entries_before(index))
     }
 
-    /// How many of the entries that are kept come before this index.
+    /// Returns the number of retained entries before this index.
     fn entries_before(&self, index: LogIndex) -> usize {
         index.previous().entries_since(self.base_index) as usize
     }
@@ -82,12 +82,12 @@
     /// Removes this entry and all after it.
     pub fn truncate_from(&mut self, index: LogIndex) {
         self.entries.truncate(self.entries_before(index));
-        while self.memberships.len() > 1 && self.newest_membership().index >= index {
+        while self.memberships.len() > 1 && self.latest_membership().index >= index {
             self.memberships.pop();
         }
     }
 
-    /// Removes the entries up to and with this one, which a snapshot covers.
+    /// Removes the entries up to and including this one, which a snapshot replaces.
     pub fn compact(&mut self, index: LogIndex) {
         let Some(term) = self.term(index) else {
             return;
@@ -100,21 +100,21 @@
         }
     }
 
-    /// The newest membership, committed or not: a replica uses the newest one in its log (Raft §6).
+    /// Returns the latest membership in the log, committed or not: a replica always uses the latest one (Raft §6).
     pub fn membership(&self) -> &Membership {
-        &self.newest_membership().membership
+        &self.latest_membership().membership
     }
 
-    /// The entry that contains the newest membership.
+    /// Returns the index of the entry that contains the latest membership.
     pub fn membership_index(&self) -> LogIndex {
-        self.newest_membership().index
+        self.latest_membership().index
     }
 
-    fn newest_membership(&self) -> &LoggedMembership {
+    fn latest_membership(&self) -> &LoggedMembership {
         &self.memberships[self.memberships.len() - 1]
     }
 
-    /// What a snapshot as of this entry replaces; `None` where the entry is not known.
+    /// Returns the metadata of a snapshot that ends at this entry; `None` if the entry was compacted or does not exist.
     pub fn snapshot_metadata_at(&self, index: LogIndex) -> Option<SnapshotMetadata> {
         let last_included_term = self.term(index)?;
         let in_force = self.memberships.iter().rev().find(|logged| logged.index <= index)?;
@@ -122,31 +122,32 @@
         Some(SnapshotMetadata { last_included_index: index, last_included_term, membership })
     }
 
-    /// Bytes of the entries after `after` up to `last`.
+    /// Returns the total size of the entries after `after`, up to and including `last`, in bytes.
     pub fn bytes_between(&self, after: LogIndex, last: LogIndex) -> usize {
         let first = self.entries_before(after.max(self.base_index).next());
         let end = self.entries_before(last.next()).min(self.entries.len());
         self.entries.range(first.min(end)..end).map(|entry| entry.size()).sum()
     }
 
-    /// Entries from `index` on, at most `max_entries` and about `max_bytes`, but one at least.
+    /// Returns entries from `index` on, limited to `max_entries` and `max_bytes`. The first entry is returned even if it
+    /// exceeds `max_bytes`.
     pub fn range(&self, index: LogIndex, max_entries: usize, max_bytes: usize) -> Vec<SharedEntry> {
-        let mut taken = Vec::new();
+        let mut range = Vec::new();
         let mut bytes = 0;
         let mut next = index;
         while let Some(entry) = self.get(next) {
             bytes += entry.size();
-            if taken.len() == max_entries || (!taken.is_empty() && bytes > max_bytes) {
+            if range.len() == max_entries || (!range.is_empty() && bytes > max_bytes) {
                 break;
             }
-            taken.push(entry.clone());
+            range.push(entry.clone());
             next = next.next();
         }
-        taken
+        range
     }
 
-    /// An entry up to which the log may be the leader's, which has another term at `index`: the whole term that conflicts
-    /// is passed over (Raft §5.3). Committed entries are never in conflict.
+    /// Returns the last index up to which the log may match that of a leader with a different entry at `index`: all
+    /// entries of the conflicting term are skipped (Raft §5.3). Committed entries never conflict.
     pub fn conflict_hint(&self, index: LogIndex, commit_index: LogIndex) -> LogIndex {
         let Some(term) = self.term(index) else {
             return self.last_index();
@@ -158,18 +159,18 @@
         first.previous().max(commit_index)
     }
 
-    /// The last entry's index and term.
+    /// Returns the index and term of the last entry.
     pub fn last_position(&self) -> LogPosition {
         LogPosition { index: self.last_index(), term: self.last_term() }
     }
 
-    /// Whether a candidate's log that ends so is at least as up-to-date as this one: the election restriction, by which a
-    /// leader has every committed entry (Raft §5.4.1).
+    /// Returns whether a candidate's log that ends at `candidate_last` is at least as up-to-date as this one: the election
+    /// restriction, which ensures that a leader has every committed entry (Raft §5.4.1).
     pub fn is_up_to_date(&self, candidate_last: LogPosition) -> bool {
         (candidate_last.term, candidate_last.index) >= (self.last_term(), self.last_index())
     }
 
-    /// Whether the log has the entry at this position.
+    /// Returns whether the log has an entry with this index and term.
     pub fn contains(&self, position: LogPosition) -> bool {
         self.term(position.index) == Some(position.term)
     }
--- a/crates/replication/src/read_index.rs
+++ b/crates/replication/src/read_index.rs
@@ -1,19 +1,20 @@
 //! Linearizable reads without the log (`ReadIndex`: Raft §8, thesis §6.4).
 //!
-//! A leader may have been replaced without knowing it. It answers a read only after a majority has answered a round of
-//! heartbeats that began after the request: then no newer leader had been elected when the request came, and everything that
-//! was committed before it is at or before its commit index, provided that an entry of its own term is committed. No clock
-//! is trusted.
+//! A leader may have been replaced without knowing it. It confirms a read only after a majority has responded to a heartbeat
+//! round that began after the request: then no newer leader had been elected when the request arrived, and every entry that
+//! was committed before the request is at or before the commit index, provided that an entry of the leader's own term is
+//! committed. The argument does not rely on clocks.
 
 use crate::{MemberId, ProposeError, ReadIndexResult, leader_state::PendingRead, replica::Replica};
 
 impl Replica {
-    /// Asks for an entry up to which the state must be applied before it may be read: every entry that was committed
-    /// before the call is then applied, and this replica was the leader after it. `request` is the caller's number for the
-    /// request, with which the result comes in [`Ready::read_results`](crate::Ready::read_results).
+    /// Requests the index up to which the state machine must be applied before its state may be read. Every entry that was
+    /// committed before the call is then applied, and this replica was still the leader after the call. `request` is the
+    /// caller's identifier for the request, with which the result is returned in
+    /// [`Ready::read_results`](crate::Ready::read_results).
     ///
     /// # Errors
-    /// [`ProposeError::NotLeader`].
+    /// [`ProposeError::NotLeader`] if this replica is not the leader.
     pub fn read_index(&mut self, request: u64) -> Result<(), ProposeError> {
         let leader_id = self.leader_id;
         let Some(leader) = self.role.leader_mut() else {
@@ -24,7 +25,7 @@
         Ok(())
     }
 
-    /// Confirms the reads whose round a majority has answered.
+    /// Confirms the reads whose heartbeat round has been acknowledged by a majority.
     pub(crate) fn confirm_reads(&mut self) {
         if !self.knows_committed_entries() {
             return;
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Fails all reads, as this replica ceases to be the leader.
+    /// Fails all pending reads, as this replica is no longer the leader.
     pub(crate) fn fail_pending_reads(&mut self) {
         if let Some(leader) = self.role.leader_mut() {
             let failed = leader.pending_reads.drain(..);
@@ -57,7 +58,8 @@
         }
     }
 
-    /// Whether this replica is a leader that knows what earlier leaders committed: an entry of its own term is committed.
+    /// Returns whether this replica is a leader that knows which entries earlier leaders committed, because an entry of its
+    /// own term is committed.
     pub(crate) fn knows_committed_entries(&self) -> bool {
         self.role.leader().is_some_and(|leader| self.commit_index >= leader.term_start_index)
     }
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -1,4 +1,4 @@
-//! A replica: its state, and the operations on it that are the same in every role.
+//! A replica: its state, and the operations that are the same in every role.
 
 use crate::{
     Entry, HardState, LogIndex, Member, MemberId, Membership, Message, MessageBody, Payload, Ready,
@@ -8,30 +8,30 @@
 use snafu::Snafu;
 use std::rc::Rc;
 
-/// How a replica works.
+/// Options of a replica.
 #[derive(Debug, Clone, Copy)]
 pub struct Options {
-    /// The identity of this process.
+    /// The identity of this replica's member.
     pub identity: MemberId,
-    /// Disks that may be lost at one time (the setting `fault_tolerance.hosts_lost`).
+    /// The number of disks that may be lost at the same time (the setting `fault_tolerance.hosts_lost`).
     pub hosts_lost: usize,
-    /// Seeds the random election time-outs.
+    /// The seed of the random election time-outs.
     pub seed: u64,
 }
 
-/// What was found on disk.
+/// The state of a replica as read from its disk.
 #[derive(Debug, Clone, Default)]
 pub struct RestoredState {
-    /// The last term and vote.
+    /// The last synced term and vote.
     pub hard_state: HardState,
-    /// The entries that the snapshot replaces; at a group's start index 0 with its first members, or without members in a
-    /// process that is no member yet.
+    /// The metadata of the snapshot on disk. Without a snapshot: index 0 with the initial membership, or with no members if
+    /// this process is not a member yet.
     pub base: SnapshotMetadata,
-    /// The entries after it.
+    /// The log entries after the snapshot.
     pub entries: Vec<Entry>,
 }
 
-/// Why a proposal or a read was not begun.
+/// The reason why a proposal or a read request was not accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum ProposeError {
     /// This replica is not the leader, or is transferring its leadership.
@@ -40,17 +40,17 @@
         /// The leader, if known.
         leader: Option<MemberId>,
     },
-    /// Too many entries, or bytes of entries, are not committed yet.
-    #[snafu(display("too many entries wait to be committed"))]
+    /// The limit of uncommitted entries, in number or in bytes, is reached.
+    #[snafu(display("too many uncommitted entries"))]
     TooManyUncommitted,
 }
 
 /// One member's replica of a group's log.
 ///
-/// The caller drives it: [`tick`](Self::tick) lets time pass, [`step`](Self::step) takes a message,
-/// [`propose`](Self::propose) and [`read_index`](Self::read_index) take requests, [`on_persisted`](Self::on_persisted)
-/// tells what is synced. After any of these [`ready`](Self::ready) returns what there is to do. Times are milliseconds of a
-/// monotonic clock.
+/// The caller drives it: [`tick`](Self::tick) advances the time, [`step`](Self::step) handles a message,
+/// [`propose`](Self::propose) and [`read_index`](Self::read_index) accept requests, [`on_persisted`](Self::on_persisted)
+/// reports synced writes. After any of these, [`ready`](Self::ready) returns the required actions. Times are in
+/// milliseconds of a monotonic clock.
 #[derive(Debug, Clone)]
 pub struct Replica {
     pub(crate) options: Options,
@@ -58,27 +58,27 @@
     pub(crate) hard_state: HardState,
     pub(crate) log: RaftLog,
     pub(crate) commit_index: LogIndex,
-    /// The highest commit index that a leader has sent.
+    /// The highest commit index received from a leader.
     pub(crate) leader_commit: LogIndex,
-    /// The last entry that was handed out to be applied (`lastApplied`).
+    /// The index of the last entry returned to the caller for application (`lastApplied`).
     pub(crate) applied_index: LogIndex,
     pub(crate) role: Role,
     pub(crate) leader_id: Option<MemberId>,
-    /// When a leader was last heard; `None` before the first.
+    /// When the last message from a leader arrived; `None` before the first one.
     pub(crate) leader_heard_at: Option<u64>,
-    /// Whether that leader hears this replica as well.
+    /// Tracks whether this replica's responses reach the leader.
     pub(crate) leader_contact: LeaderContact,
     pub(crate) election_timer: ElectionTimer,
-    /// The members that the group should have, as the caller last said; empty before.
+    /// The members that the group should have, as last set by the caller; empty until set.
     pub(crate) desired_members: Vec<Member>,
     pub(crate) incoming_snapshot: Option<IncomingSnapshot>,
     pub(crate) write_queue: WriteQueue,
-    /// What the next call of `ready` returns, but for writes and committed entries.
+    /// The result of the next call of `ready`, except for writes and committed entries.
     pub(crate) pending: Ready,
 }
 
 impl Replica {
-    /// A replica as it was found on disk.
+    /// Creates a replica from the state on its disk.
     #[must_use]
     pub fn new(options: Options, restored: RestoredState, now: u64) -> Self {
         let mut log = RaftLog::new(restored.base);
@@ -106,70 +106,71 @@
         }
     }
 
-    /// The leader, if known.
+    /// Returns the leader, if known.
     #[must_use]
     pub fn leader(&self) -> Option<MemberId> {
         self.leader_id
     }
 
-    /// Whether this replica is the leader.
+    /// Returns whether this replica is the leader.
     #[must_use]
     pub fn is_leader(&self) -> bool {
         self.role.leader().is_some()
     }
 
-    /// The newest term known.
+    /// Returns the latest term that this replica has seen.
     #[must_use]
     pub fn term(&self) -> Term {
         self.hard_state.term
     }
 
-    /// The term and vote, which must be kept when the writes so far are replaced by a snapshot.
+    /// Returns the term and vote. They must be preserved when the writes so far are replaced by a snapshot.
     #[must_use]
     pub fn hard_state(&self) -> HardState {
         self.hard_state
     }
 
-    /// The last entry known to be committed.
+    /// Returns the index of the last entry known to be committed.
     #[must_use]
     pub fn commit_index(&self) -> LogIndex {
         self.commit_index
     }
 
-    /// The newest membership, committed or not.
+    /// Returns the latest membership in the log, committed or not.
     #[must_use]
     pub fn membership(&self) -> &Membership {
         self.log.membership()
     }
 
-    /// The last entry of the log.
+    /// Returns the index of the last log entry.
     #[must_use]
     pub fn last_index(&self) -> LogIndex {
         self.log.last_index()
     }
 
-    /// The entries after this one, to be written again.
+    /// Returns the log entries after `index`, to be written again after a snapshot.
     #[must_use]
     pub fn entries_after(&self, index: LogIndex) -> Vec<Rc<Entry>> {
         self.log.range(index + 1, usize::MAX, usize::MAX)
     }
 
-    /// What a snapshot of the state as last handed out to be applied replaces.
+    /// Returns the metadata of a snapshot of the state after all entries returned so far by
+    /// [`ready`](Self::ready) were applied.
     #[must_use]
     pub fn applied_snapshot_metadata(&self) -> SnapshotMetadata {
         self.log.snapshot_metadata_at(self.applied_index).unwrap_or_default()
     }
 
-    /// Whether this replica has handed out everything that was committed, as far as the leader of this term knows. A new
-    /// leader, and so those that follow it, know what its predecessors committed only once an entry of its own term is
-    /// committed (Raft §8).
+    /// Returns whether this replica has returned, for application, every entry that the leader of the current term knows to
+    /// be committed. A new leader and its followers know which entries its predecessors committed only once an entry of the
+    /// leader's own term is committed (Raft §8); before that, the result is false.
     #[must_use]
     pub fn has_applied_committed_entries(&self) -> bool {
         let is_of_this_term = self.log.term(self.commit_index) == Some(self.hard_state.term);
         is_of_this_term && self.applied_index >= self.commit_index.max(self.leader_commit)
     }
 
-    /// Sets term and vote. Returns the sequence number of the write that makes them last.
+    /// Sets term and vote. Returns the sequence number of the write that makes them durable.
     pub(crate) fn set_hard_state(&mut self, hard_state: HardState) -> u64 {
         self.hard_state = hard_state;
         self.write_queue.write_hard_state(hard_state)
@@ -181,20 +182,20 @@
         self.write_queue.write_entry(entry);
     }
 
-    /// Appends an entry of this leader's term. Returns its index.
+    /// Appends an entry in the current term, as the leader. Returns the entry's index.
     pub(crate) fn append_as_leader(&mut self, payload: Payload) -> LogIndex {
         let index = self.log.last_index() + 1;
         self.append_to_log(Rc::new(Entry { index, term: self.hard_state.term, payload }));
         index
     }
 
-    /// Sends a message at once.
+    /// Sends a message without waiting for pending writes.
     pub(crate) fn send(&mut self, to: MemberId, body: MessageBody) {
         let message = self.message(to, body);
         self.pending.messages.push(message);
     }
 
-    /// Sends a message once everything written so far is synced.
+    /// Sends a message once all writes queued so far are synced.
     pub(crate) fn send_after_sync(&mut self, to: MemberId, body: MessageBody) {
         let message = self.message(to, body);
         self.pending.messages.extend(self.write_queue.defer(message));
--- a/crates/replication/src/role.rs
+++ b/crates/replication/src/role.rs
@@ -1,33 +1,33 @@
-//! The role of a replica in its term (Raft §5.1), with the state that only this role has.
+//! The role of a replica in its current term (Raft §5.1), with the state specific to each role.
 
 use crate::{MemberId, leader_state::LeaderState};
 use std::collections::BTreeSet;
 
-/// The role of a replica in its term.
+/// The role of a replica in its current term.
 #[derive(Debug, Clone)]
 pub(crate) enum Role {
-    /// Follows a leader, or waits for one.
+    /// Follows a leader, or waits for one to be elected.
     Follower,
-    /// Asks whether it would be voted for (thesis §9.6).
+    /// Has requested pre-votes: asks whether it would win an election (thesis §9.6).
     PreCandidate {
-        /// Who would vote for it.
+        /// Members that granted their pre-vote.
         votes: BTreeSet<MemberId>,
-        /// When it asked.
+        /// When the pre-votes were requested, in milliseconds of the replica's clock.
         since: u64,
     },
-    /// Asks for votes.
+    /// Has requested votes.
     Candidate {
-        /// Who voted for it.
+        /// Members that granted their vote.
         votes: BTreeSet<MemberId>,
-        /// The write of its own vote, which counts once it is synced.
+        /// The sequence number of the write of the replica's own vote, which counts once that write is synced.
         own_vote_write: u64,
     },
-    /// Leads in its term.
+    /// The leader of its term.
     Leader(Box<LeaderState>),
 }
 
 impl Role {
-    /// The leader's state, in a leader.
+    /// Returns the leader state if this replica is the leader.
     pub fn leader(&self) -> Option<&LeaderState> {
         match self {
             Self::Leader(leader) => Some(leader),
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The leader's state, in a leader.
+    /// Returns the leader state if this replica is the leader.
     pub fn leader_mut(&mut self) -> Option<&mut LeaderState> {
         match self {
             Self::Leader(leader) => Some(leader),
--- a/crates/replication/src/step.rs
+++ b/crates/replication/src/step.rs
@@ -1,11 +1,11 @@
-//! The inputs of a replica and what it makes of them: `tick`, `step`, `on_persisted` and `ready`.
+//! The entry points that drive a replica: `tick`, `step`, `on_persisted` and `ready`.
 
 use crate::{
     LogPosition, Message, MessageBody, Ready, replica::Replica, role::Role, snapshot_transfer::SnapshotChunk,
 };
 
 impl Replica {
-    /// Lets time pass. `now` is in milliseconds of a monotonic clock.
+    /// Advances the replica's time to `now`, in milliseconds of a monotonic clock, and runs expired timers.
     pub fn tick(&mut self, now: u64) {
         self.now = now.max(self.now);
         match &self.role {
@@ -14,7 +14,7 @@
         }
     }
 
-    /// Takes a message. One for another identity is dropped.
+    /// Handles a message. Messages addressed to another identity are dropped.
     pub fn step(&mut self, now: u64, message: Message) {
         self.now = now.max(self.now);
         if message.to != self.options.identity || message.from == self.options.identity {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Every write up to this sequence number is synced.
+    /// Records that every write up to this sequence number is synced.
     pub fn on_persisted(&mut self, sequence: u64) {
         let released = self.write_queue.on_persisted(sequence);
         self.pending.messages.extend(released);
@@ -88,17 +88,17 @@
         self.advance_commit_index();
     }
 
-    /// Returns what there is to do. It is called after every input, or after several.
+    /// Returns the actions that the caller must carry out. Called after one or more inputs.
     pub fn ready(&mut self) -> Ready {
         if self.is_leader() {
             self.send_due_messages();
         }
-        self.hand_out_committed();
+        self.collect_committed_entries();
         let writes = self.write_queue.issue(self.log.last_index());
         Ready { writes, ..std::mem::take(&mut self.pending) }
     }
 
-    fn hand_out_committed(&mut self) {
+    fn collect_committed_entries(&mut self) {
         while self.applied_index < self.commit_index {
             let Some(entry) = self.log.get(self.applied_index.next()) else {
                 break;
--- a/crates/replication/src/timing.rs
+++ b/crates/replication/src/timing.rs
@@ -1,27 +1,26 @@
-//! Durations of the protocol, in milliseconds of the monotonic clock that the caller passes in.
+//! Durations of the protocol, in milliseconds of the monotonic clock that the caller supplies.
 //!
-//! `broadcast time` ≪ `election timeout` (Raft §5.6): a heartbeat is sent several times within the shortest election
-//! time-out.
+//! `broadcast time` ≪ `election timeout` (Raft §5.6): several heartbeats are sent within the shortest election time-out.
 
-/// The leader sends heartbeats this often.
+/// Interval between heartbeats of the leader.
 pub const HEARTBEAT_INTERVAL_MS: u64 = 100;
-/// The shortest election time-out: a replica that hears no leader for a random time from here on begins an election. For
-/// this long after it heard a leader it refuses votes.
+/// The shortest election time-out. A replica that hears from no leader for a random time between this and
+/// [`MAX_ELECTION_TIMEOUT_MS`] begins an election. A follower denies votes for this long after it last heard from a leader.
 pub const MIN_ELECTION_TIMEOUT_MS: u64 = 350;
-/// The longest election time-out. A leader that hears no majority for this long steps down.
+/// The longest election time-out. A leader that hears from no majority for this long steps down.
 pub const MAX_ELECTION_TIMEOUT_MS: u64 = 700;
-/// The shortest election time-out of a replica that has just started. It is shorter than later on: where there is a leader
-/// the others refuse, as they hear it.
+/// The shortest election time-out of a replica that has just started. It is shorter than the regular one because it cannot
+/// depose an active leader: replicas that hear from the leader deny their votes.
 pub const MIN_FIRST_ELECTION_TIMEOUT_MS: u64 = 100;
 /// The longest election time-out of a replica that has just started.
 pub const MAX_FIRST_ELECTION_TIMEOUT_MS: u64 = 350;
-/// For this long after it has asked for pre-votes a replica gives none to a candidate of lower priority.
+/// For this long after it requested pre-votes, a replica grants none to a candidate of lower priority.
 pub const PRE_VOTE_PRIORITY_MS: u64 = 150;
-/// A transfer of leadership that takes longer is given up.
+/// A leadership transfer that takes longer is aborted.
 pub const LEADERSHIP_TRANSFER_TIMEOUT_MS: u64 = 700;
-/// A chunk of a snapshot without a response is sent again after this time.
+/// Time after which a snapshot chunk without a response is sent again.
 pub const SNAPSHOT_CHUNK_RETRY_MS: u64 = 400;
-/// A member that responded within this time counts as active when the membership is changed.
+/// A member that responded within this time counts as active in membership changes, compaction and leadership transfers.
 pub const RECENTLY_ACTIVE_MS: u64 = 500;
-/// Callers should call [`Replica::tick`](crate::Replica::tick) at least this often.
+/// Maximum interval at which callers should call [`Replica::tick`](crate::Replica::tick).
 pub const TICK_INTERVAL_MS: u64 = 50;
--- a/crates/replication/src/write_queue.rs
+++ b/crates/replication/src/write_queue.rs
@@ -1,45 +1,45 @@
-//! Writes on their way to the disk, and the messages that may be sent only when a write is synced.
+//! Pending disk writes, and the messages that may be sent only after a write is synced.
 //!
-//! A replica updates its term, vote and log on stable storage before it responds (Raft §5.1, figure 2): what it says must
-//! not be undone by a loss of power.
+//! A replica updates its term, vote and log on stable storage before it responds (Raft §5.1, figure 2), so that a power
+//! failure cannot undo what it has acknowledged.
 
 use crate::{HardState, LogIndex, Message, Snapshot, Write, entry::SharedEntry};
 use std::{collections::VecDeque, rc::Rc};
 
-/// Writes on their way to the disk.
+/// Pending disk writes.
 #[derive(Debug, Clone)]
 pub(crate) struct WriteQueue {
-    /// Writes that were not handed to the caller yet.
-    unissued: Vec<Write>,
-    /// Writes that the caller was handed and has not synced, oldest first.
+    /// Writes not yet returned to the caller.
+    queued: Vec<Write>,
+    /// Writes returned to the caller and not yet synced, oldest first.
     in_flight: VecDeque<InFlightWrite>,
     next_sequence: u64,
     persisted_sequence: u64,
-    /// The last entry of the log that is synced.
+    /// The index of the last synced log entry.
     durable_index: LogIndex,
-    /// Messages that wait for a write, in the order in which they may be sent.
+    /// Messages that wait for a write to be synced, in the order of those writes.
     deferred: VecDeque<DeferredMessage>,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct InFlightWrite {
     sequence: u64,
-    /// The last entry of the log that is synced together with this write.
+    /// The index of the last log entry that is synced once this write is.
     last_index: LogIndex,
 }
 
 #[derive(Debug, Clone)]
 struct DeferredMessage {
-    /// The write that must be synced first.
+    /// The sequence number of the write that must be synced first.
     after_write: u64,
     message: Message,
 }
 
 impl WriteQueue {
-    /// An empty queue over a disk that has the log up to an entry.
+    /// Creates an empty queue. The disk holds the log up to `durable_index`.
     pub fn new(durable_index: LogIndex) -> Self {
         Self {
-            unissued: Vec::new(),
+            queued: Vec::new(),
             in_flight: VecDeque::new(),
             next_sequence: 1,
             persisted_sequence: 0,
@@ -48,35 +48,36 @@
         }
     }
 
-    /// The last entry of the log that is synced.
+    /// The index of the last synced log entry.
     pub fn durable_index(&self) -> LogIndex {
         self.durable_index
     }
 
-    /// Whether a write is synced.
+    /// Returns whether the write with this sequence number is synced.
     pub fn is_persisted(&self, sequence: u64) -> bool {
         sequence <= self.persisted_sequence
     }
 
-    /// Writes a term and vote. Returns the sequence number of the write.
+    /// Queues a write of term and vote. Returns the sequence number of the write.
     pub fn write_hard_state(&mut self, hard_state: HardState) -> u64 {
         let write = self.open_write();
         write.hard_state = Some(hard_state);
         write.sequence
     }
 
-    /// Writes an entry.
+    /// Queues a write of a log entry.
     pub fn write_entry(&mut self, entry: SharedEntry) {
         self.open_write().entries.push(entry);
     }
 
-    /// Writes a snapshot, which replaces the log.
+    /// Queues a write of a snapshot, which replaces the log.
     pub fn write_snapshot(&mut self, snapshot: Rc<Snapshot>) {
         self.truncate_durable(LogIndex::START);
         self.begin_write().snapshot = Some(snapshot);
     }
 
-    /// Entries after this one are replaced: they don't count as synced, whatever is under way.
+    /// Records that the entries after `index` are replaced: they no longer count as synced, even when writes of the old
+    /// entries in flight complete.
     pub fn truncate_durable(&mut self, index: LogIndex) {
         self.durable_index = self.durable_index.min(index);
         for write in &mut self.in_flight {
@@ -84,9 +85,9 @@
         }
     }
 
-    /// Hands the gathered writes out; `last_index` is the last entry of the log as of now.
+    /// Returns the queued writes and marks them as in flight. `last_index` is the current last index of the log.
     pub fn issue(&mut self, last_index: LogIndex) -> Vec<Write> {
-        let writes = std::mem::take(&mut self.unissued);
+        let writes = std::mem::take(&mut self.queued);
         for write in &writes {
             self.in_flight.push_back(InFlightWrite { sequence: write.sequence, last_index: LogIndex::START });
         }
@@ -98,7 +99,7 @@
         writes
     }
 
-    /// Every write up to this sequence number is synced. Returns the messages that waited for them.
+    /// Records that every write up to this sequence number is synced. Returns the messages that waited for these writes.
     pub fn on_persisted(&mut self, sequence: u64) -> Vec<Message> {
         self.persisted_sequence = self.persisted_sequence.max(sequence);
         while let Some(write) = self.in_flight.front().copied() {
@@ -113,7 +114,7 @@
         self.deferred.drain(..released).map(|deferred| deferred.message).collect()
     }
 
-    /// Keeps a message until everything written so far is synced. Returns it if that is so already.
+    /// Defers a message until everything queued so far is synced. Returns the message if that is already the case.
     pub fn defer(&mut self, message: Message) -> Option<Message> {
         let after_write = self.next_sequence - 1;
         if self.is_persisted(after_write) {
@@ -123,21 +124,21 @@
         None
     }
 
-    /// The write that is being gathered.
+    /// Returns the write to which further data is added; begins one if there is none.
     fn open_write(&mut self) -> &mut Write {
-        if self.unissued.is_empty() {
+        if self.queued.is_empty() {
             self.begin_write();
         }
-        let newest = self.unissued.len() - 1;
-        &mut self.unissued[newest]
+        let newest = self.queued.len() - 1;
+        &mut self.queued[newest]
     }
 
-    /// Begins another write after those gathered.
+    /// Begins a new write after the queued ones.
     fn begin_write(&mut self) -> &mut Write {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
-        self.unissued.push(Write { sequence, hard_state: None, snapshot: None, entries: Vec::new() });
-        let newest = self.unissued.len() - 1;
-        &mut self.unissued[newest]
+        self.queued.push(Write { sequence, hard_state: None, snapshot: None, entries: Vec::new() });
+        let newest = self.queued.len() - 1;
+        &mut self.queued[newest]
     }
 }
