--- a/crates/control/tests/linearizability.rs
+++ b/crates/control/tests/linearizability.rs
@@ -17,12 +17,12 @@
 use tokio::{sync::Notify, task::spawn_local};
 
 /// Clear answers that each operator waits for.
-const ANSWERS: usize = 60;
+const ANSWERS_PER_OPERATOR: usize = 60;
 /// After so many answers something happens to a machine.
 const ANSWERS_BETWEEN_FAULTS: usize = 12;
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum Order {
+enum OperatorRequest {
     Put { if_match: u64, generation: u64, body: String },
     Read,
 }
@@ -37,17 +37,21 @@
 /// Generation, body, and all that was accepted.
 type ConfigurationState = (u64, String, BTreeSet<(u64, String)>);
 
-struct OneConfiguration;
+struct ConfigurationSpec;
 
-impl SequentialSpec for OneConfiguration {
-    type Call = Order;
+impl SequentialSpec for ConfigurationSpec {
+    type Call = OperatorRequest;
     type Reply = OperatorAnswer;
     type State = ConfigurationState;
 
-    fn apply(&self, state: &ConfigurationState, order: &Order) -> (ConfigurationState, OperatorAnswer) {
-        let (current, held, accepted) = state;
-        let Order::Put { if_match, generation, body } = order else {
-            return (state.clone(), OperatorAnswer::Configuration(held.clone()));
+    fn apply(
+        &self,
+        state: &ConfigurationState,
+        request: &OperatorRequest,
+    ) -> (ConfigurationState, OperatorAnswer) {
+        let (current, current_body, accepted) = state;
+        let OperatorRequest::Put { if_match, generation, body } = request else {
+            return (state.clone(), OperatorAnswer::Configuration(current_body.clone()));
         };
         let change = (*generation, body.clone());
         if accepted.contains(&change) {
@@ -66,8 +70,8 @@
 struct Shared {
     began: Instant,
     addresses: Vec<SocketAddr>,
-    history: RefCell<Vec<Operation<Order, OperatorAnswer>>>,
-    clear_answers: Cell<usize>,
+    history: RefCell<Vec<Operation<OperatorRequest, OperatorAnswer>>>,
+    definite_answers: Cell<usize>,
     answered: Notify,
 }
 
@@ -76,15 +80,15 @@
         self.began.elapsed().as_micros() as u64
     }
 
-    /// Sends an order once, to any process. At times nobody waits for the answer. Returns what was clear.
-    async fn ask(&self, order: &Order) -> Option<OperatorAnswer> {
+    /// Sends an request once, to any process. At times nobody waits for the answer. Returns what was answered.
+    async fn send_once(&self, request: &OperatorRequest) -> Option<OperatorAnswer> {
         let address = self.addresses[fastrand::usize(..self.addresses.len())];
         let recorded = self.history.borrow().len();
         let called_at = self.now();
-        self.history.borrow_mut().push(Operation { called_at, answer: None, call: order.clone() });
-        let answer = match order {
-            Order::Read => try_call(address, "GET", "/opalrun/config", "", "").await,
-            Order::Put { if_match, body, .. } => {
+        self.history.borrow_mut().push(Operation { called_at, answer: None, call: request.clone() });
+        let answer = match request {
+            OperatorRequest::Read => try_call(address, "GET", "/opalrun/config", "", "").await,
+            OperatorRequest::Put { if_match, body, .. } => {
                 let head = format!("If-Match: {if_match}\r\n");
                 try_call(address, "PUT", "/opalrun/config", &head, body).await
             }
@@ -95,11 +99,11 @@
         let answer = match answer? {
             answer if answer.status >= 500 => return None,
             answer if answer.status != 200 => OperatorAnswer::Rejected,
-            answer if *order == Order::Read => OperatorAnswer::Configuration(answer.body),
+            answer if *request == OperatorRequest::Read => OperatorAnswer::Configuration(answer.body),
             _ => OperatorAnswer::Accepted,
         };
         self.history.borrow_mut()[recorded].answer = Some((self.now(), answer.clone()));
-        self.clear_answers.set(self.clear_answers.get() + 1);
+        self.definite_answers.set(self.definite_answers.get() + 1);
         self.answered.notify_waiters();
         Some(answer)
     }
@@ -110,32 +114,32 @@
     digits.and_then(|digits| digits.parse().ok()).expect("a configuration")
 }
 
-/// Sends orders until enough were clear; one that is not clear is sent again unchanged.
-async fn operate(shared: Rc<Shared>, number: u64) {
-    let (mut known, mut accepted, mut clear) = (1, Vec::new(), 0);
-    let mut unclear: Option<Order> = None;
-    while clear < ANSWERS {
-        let order = unclear.take().unwrap_or_else(|| match fastrand::u8(0..6) {
-            0 | 1 => Order::Read,
-            2 if !accepted.is_empty() => Order::clone(&accepted[fastrand::usize(..accepted.len())]),
+/// Sends orders until enough were answered; one that is not answered is sent again unchanged.
+async fn run_operator(shared: Rc<Shared>, number: u64) {
+    let (mut known, mut accepted, mut answered) = (1, Vec::new(), 0);
+    let mut unresolved: Option<OperatorRequest> = None;
+    while answered < ANSWERS_PER_OPERATOR {
+        let request = unresolved.take().unwrap_or_else(|| match fastrand::u8(0..6) {
+            0 | 1 => OperatorRequest::Read,
+            2 if !accepted.is_empty() => OperatorRequest::clone(&accepted[fastrand::usize(..accepted.len())]),
             _ => {
                 let generation = known + fastrand::u64(1..3);
-                let body = configuration(generation, 1_000 * number + clear as u64 + 1);
-                Order::Put { if_match: known, generation, body }
+                let body = configuration(generation, 1_000 * number + answered as u64 + 1);
+                OperatorRequest::Put { if_match: known, generation, body }
             }
         });
-        let Some(answer) = shared.ask(&order).await else {
-            unclear = Some(order);
+        let Some(answer) = shared.send_once(&request).await else {
+            unresolved = Some(request);
             tokio::task::yield_now().await;
             continue;
         };
-        clear += 1;
-        match (answer, order) {
-            (OperatorAnswer::Accepted, order) => {
-                if let Order::Put { generation, .. } = &order {
+        answered += 1;
+        match (answer, request) {
+            (OperatorAnswer::Accepted, request) => {
+                if let OperatorRequest::Put { generation, .. } = &request {
                     known = known.max(*generation);
                 }
-                accepted.push(order);
+                accepted.push(request);
             }
             (OperatorAnswer::Configuration(body), _) => known = generation_of(&body),
             (OperatorAnswer::Rejected, _) => {
@@ -156,7 +160,7 @@
     let mut next = ANSWERS_BETWEEN_FAULTS;
     let mut fault = 0;
     while next < until {
-        while shared.clear_answers.get() < next {
+        while shared.definite_answers.get() < next {
             shared.answered.notified().await;
         }
         let index = fault % machines.len();
@@ -170,7 +174,7 @@
             shared.answered.notified().await;
         }
         fault += 1;
-        next = shared.clear_answers.get() + ANSWERS_BETWEEN_FAULTS;
+        next = shared.definite_answers.get() + ANSWERS_BETWEEN_FAULTS;
     }
     std::future::pending::<()>().await;
 }
@@ -201,19 +205,20 @@
             began: Instant::now(),
             addresses,
             history: RefCell::default(),
-            clear_answers: Cell::new(0),
+            definite_answers: Cell::new(0),
             answered: Notify::new(),
         });
         let operators: Vec<_> =
-            (1..=2).map(|number| spawn_local(operate(Rc::clone(&shared), number))).collect();
-        let injection = spawn_local(inject_faults(Rc::clone(&shared), machines, controls, 2 * ANSWERS));
+            (1..=2).map(|number| spawn_local(run_operator(Rc::clone(&shared), number))).collect();
+        let injection =
+            spawn_local(inject_faults(Rc::clone(&shared), machines, controls, 2 * ANSWERS_PER_OPERATOR));
         for operator in operators {
             operator.await.expect("it ends");
         }
         injection.abort();
         let accepted = BTreeSet::from([(1, first.clone())]);
         let history = shared.history.borrow();
-        let checked = check_linearizable(&OneConfiguration, &(1, first, accepted), &history);
+        let checked = check_linearizable(&ConfigurationSpec, &(1, first, accepted), &history);
         checked.expect("the answers to operators are linearizable");
     });
 }
--- a/crates/control/tests/world/callers.rs
+++ b/crates/control/tests/world/callers.rs
@@ -14,7 +14,7 @@
 
 /// What an operator asks.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Order {
+pub enum OperatorRequest {
     Put { if_match: u64, generation: u64, body: u64 },
     Read,
 }
@@ -36,9 +36,9 @@
     },
 }
 
-impl Order {
+impl OperatorRequest {
     pub fn command(&self) -> Option<Vec<u8>> {
-        let Order::Put { if_match, generation, body } = self else { return None };
+        let OperatorRequest::Put { if_match, generation, body } = self else { return None };
         let mut sha256 = [0; 32];
         sha256[..8].copy_from_slice(&body.to_le_bytes());
         let command = ConfigurationCommand::PutConfiguration {
@@ -64,32 +64,36 @@
 }
 
 /// The configuration as one process would keep it for all: the answers to operators are checked against this.
-pub struct Configuration;
+pub struct ConfigurationSpec;
 
 /// Generation, body and all that was accepted.
 pub type ConfigurationState = (u64, u64, BTreeSet<(u64, u64)>);
 
-impl SequentialSpec for Configuration {
-    type Call = Order;
+impl SequentialSpec for ConfigurationSpec {
+    type Call = OperatorRequest;
     type Reply = OperatorAnswer;
     type State = ConfigurationState;
 
-    fn apply(&self, state: &ConfigurationState, order: &Order) -> (ConfigurationState, OperatorAnswer) {
-        let (current, held, accepted) = state;
-        match order {
-            Order::Read => {
-                (state.clone(), OperatorAnswer::Configuration { generation: *current, body: *held })
+    fn apply(
+        &self,
+        state: &ConfigurationState,
+        request: &OperatorRequest,
+    ) -> (ConfigurationState, OperatorAnswer) {
+        let (current, current_body, accepted) = state;
+        match request {
+            OperatorRequest::Read => {
+                (state.clone(), OperatorAnswer::Configuration { generation: *current, body: *current_body })
             }
-            Order::Put { generation, body, .. } if accepted.contains(&(*generation, *body)) => {
+            OperatorRequest::Put { generation, body, .. } if accepted.contains(&(*generation, *body)) => {
                 (state.clone(), OperatorAnswer::Accepted)
             }
-            Order::Put { if_match, .. } if if_match != current => {
+            OperatorRequest::Put { if_match, .. } if if_match != current => {
                 (state.clone(), OperatorAnswer::Conflict { current: *current })
             }
-            Order::Put { generation, .. } if generation <= current => {
+            OperatorRequest::Put { generation, .. } if generation <= current => {
                 (state.clone(), OperatorAnswer::NotAbove { current: *current })
             }
-            Order::Put { generation, body, .. } => {
+            OperatorRequest::Put { generation, body, .. } => {
                 let mut accepted = accepted.clone();
                 accepted.insert((*generation, *body));
                 ((*generation, *body, accepted), OperatorAnswer::Accepted)
@@ -98,56 +102,56 @@
     }
 }
 
-pub type Recorded = Operation<Order, OperatorAnswer>;
+pub type Recorded = Operation<OperatorRequest, OperatorAnswer>;
 
-/// An operator: sends an order again, anywhere, until it is clear what became of it.
+/// An operator: sends an request again, anywhere, until it is clear what became of it.
 #[derive(Debug, Default)]
 pub struct Operator {
-    /// The order that has no clear answer yet.
-    pub order: Option<Order>,
+    /// The request that has no clear answer yet.
+    pub request: Option<OperatorRequest>,
     /// The operation that it waits for: its slot in the history, and until when.
-    pub waits: Option<(usize, u64)>,
+    pub pending: Option<(usize, u64)>,
     pub next_at: u64,
     /// The newest generation that it knows of.
-    pub known: u64,
-    pub accepted: Vec<Order>,
+    pub known_generation: u64,
+    pub accepted: Vec<OperatorRequest>,
     pub acknowledged: usize,
 }
 
 impl Operator {
     /// What it asks next.
-    pub fn next_order(&mut self, random: &mut fastrand::Rng, next_body: &mut u64) -> Order {
-        if let Some(order) = &self.order {
-            return order.clone();
+    pub fn next_request(&mut self, random: &mut fastrand::Rng, next_body: &mut u64) -> OperatorRequest {
+        if let Some(request) = &self.request {
+            return request.clone();
         }
-        let order = match random.u8(0..10) {
-            0..=2 => Order::Read,
+        let request = match random.u8(0..10) {
+            0..=2 => OperatorRequest::Read,
             3 if !self.accepted.is_empty() => self.accepted[random.usize(0..self.accepted.len())].clone(),
             _ => {
                 *next_body += 1;
-                let generation = self.known + random.u64(1..3);
-                Order::Put { if_match: self.known, generation, body: *next_body }
+                let generation = self.known_generation + random.u64(1..3);
+                OperatorRequest::Put { if_match: self.known_generation, generation, body: *next_body }
             }
         };
-        self.order = Some(order.clone());
-        order
+        self.request = Some(request.clone());
+        request
     }
 
     /// Takes a clear answer.
-    pub fn take(&mut self, answer: OperatorAnswer) {
-        let order = self.order.take();
-        match (answer, order) {
-            (OperatorAnswer::Accepted, Some(order)) => {
+    pub fn handle_answer(&mut self, answer: OperatorAnswer) {
+        let request = self.request.take();
+        match (answer, request) {
+            (OperatorAnswer::Accepted, Some(request)) => {
                 self.acknowledged += 1;
-                if let Order::Put { generation, .. } = order {
-                    self.known = self.known.max(generation);
+                if let OperatorRequest::Put { generation, .. } = request {
+                    self.known_generation = self.known_generation.max(generation);
                 }
-                self.accepted.push(order);
+                self.accepted.push(request);
             }
             (OperatorAnswer::Conflict { current } | OperatorAnswer::NotAbove { current }, _) => {
-                self.known = current;
+                self.known_generation = current;
             }
-            (OperatorAnswer::Configuration { generation, .. }, _) => self.known = generation,
+            (OperatorAnswer::Configuration { generation, .. }, _) => self.known_generation = generation,
             (OperatorAnswer::Accepted, None) => {}
         }
     }
@@ -158,7 +162,7 @@
 pub enum Stage {
     Ready,
     Draining,
-    Gone,
+    Removed,
 }
 
 /// A worker: calls one process after the other until one acknowledges.
@@ -169,16 +173,16 @@
     pub stage: Stage,
     /// The stage that was last acknowledged, and when.
     pub acknowledged: Option<(Stage, u64)>,
-    pub waits_until: Option<u64>,
+    pub response_deadline: Option<u64>,
     pub next_at: u64,
-    pub leaves_at: u64,
+    pub shuts_down_at: u64,
     /// It says at once that it is gone, without draining.
-    pub is_abrupt: bool,
+    pub skips_draining: bool,
 }
 
 impl SimulatedWorker {
     pub fn command(&self) -> SessionCommand {
-        if self.stage == Stage::Gone {
+        if self.stage == Stage::Removed {
             return SessionCommand::Remove { id: self.id.clone() };
         }
         SessionCommand::Put(Worker {
@@ -202,23 +206,23 @@
     pub offsets: BTreeMap<Shard, FeedOffset>,
     pub generation: u64,
     pub ready: BTreeSet<String>,
-    /// When it last heard that what it holds is fresh.
+    /// When it last last_contact that what it holds is fresh.
     pub fresh_at: u64,
-    pub follows_since: u64,
+    pub last_fresh_or_switched_at: u64,
 }
 
 impl Subscriber {
-    pub fn take(&mut self, update: FeedUpdate) {
+    pub fn apply(&mut self, update: FeedUpdate) {
         let (shard, offset, changes, is_snapshot) = match update {
             FeedUpdate::Snapshot { shard, offset, changes } => (shard, offset, changes, true),
             FeedUpdate::Changes { shard, offset, changes } => (shard, offset, changes, false),
             _ => return,
         };
-        let held = self.offsets.entry(shard).or_default();
-        if offset <= *held {
+        let offset_so_far = self.offsets.entry(shard).or_default();
+        if offset <= *offset_so_far {
             return;
         }
-        *held = offset;
+        *offset_so_far = offset;
         if is_snapshot && shard > Shard(0) {
             self.ready.clear();
         }
--- a/crates/control/tests/world/main.rs
+++ b/crates/control/tests/world/main.rs
@@ -36,10 +36,10 @@
 }
 
 /// Plays one day; a panic names the seed.
-fn play(seed: u64, machines: usize, hosts_lost: usize, faults: FaultPlan) -> World {
+fn run_seed(seed: u64, machines: usize, hosts_lost: usize, faults: FaultPlan) -> World {
     let mut world = World::new(seed, machines, hosts_lost, faults);
     let named = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
-        world.run_calm(4_000);
+        world.run_without_faults(4_000);
         world.run_with_faults(26_000);
         world.recover_and_check();
     }));
@@ -53,7 +53,7 @@
 #[test]
 fn a_day_without_faults() {
     let mut world = World::new(1, 3, 1, NO_FAULTS);
-    world.run_calm(5_000);
+    world.run_without_faults(5_000);
     world.recover_and_check();
     assert!(world.total_acknowledged() > 30, "{}", world.total_acknowledged());
 }
@@ -61,14 +61,14 @@
 #[test]
 fn three_machines_of_which_one_may_be_isolated() {
     for seed in seeds(0..40) {
-        play(seed, 3, 1, PARTITIONS);
+        run_seed(seed, 3, 1, PARTITIONS);
     }
 }
 
 #[test]
 fn five_machines_of_which_two_may_be_isolated() {
     for seed in seeds(0..20) {
-        play(seed, 5, 2, PARTITIONS);
+        run_seed(seed, 5, 2, PARTITIONS);
     }
 }
 
@@ -77,7 +77,7 @@
     let (mut disks, mut replaced) = (0, 0);
     let all = seeds(0..60);
     for seed in all.clone() {
-        let world = play(seed, 3, 1, DATA_LOSSES);
+        let world = run_seed(seed, 3, 1, DATA_LOSSES);
         disks += world.disks_lost;
         replaced += world.machines_replaced;
     }
@@ -88,6 +88,6 @@
 #[test]
 fn five_machines_with_second_losses_as_soon_as_they_must_be_borne() {
     for seed in seeds(0..20) {
-        play(seed, 5, 2, DATA_LOSSES);
+        run_seed(seed, 5, 2, DATA_LOSSES);
     }
 }
--- a/crates/control/tests/world/node.rs
+++ b/crates/control/tests/world/node.rs
@@ -23,12 +23,12 @@
 };
 
 /// The groups that are played: the configuration's, and one of sessions.
-pub const GROUPS: u16 = 2;
+pub const GROUP_COUNT: u16 = 2;
 /// Entries after which a group's log is replaced by a snapshot.
-const COMPACT_AFTER: u64 = 30;
+const COMPACTION_INTERVAL_ENTRIES: u64 = 30;
 /// Who waits for an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Waiter {
+pub enum ReplyTarget {
     /// Another process, which calls it so.
     Process { slot: usize, number: u64 },
     /// An operation of this process.
@@ -46,7 +46,7 @@
     /// Writes under way to the disk, with when each is synced.
     pub writes: VecDeque<(u64, Shard, Write)>,
     /// When the process starts again; `None` where the machine is gone for good.
-    pub back_at: Option<u64>,
+    pub restarts_at: Option<u64>,
     /// Until when it stands still.
     pub frozen_until: u64,
 }
@@ -65,10 +65,10 @@
     pub shards: Shards,
     pub applied: Vec<LogIndex>,
     pub members: MemberFailureDetector,
-    pub heard: HashMap<NodeIdentity, u64>,
+    pub last_contact: HashMap<NodeIdentity, u64>,
     pub started: u64,
-    proposals: BTreeMap<(Shard, LogIndex), (Term, Waiter)>,
-    reads: HashMap<u64, (Shard, Waiter)>,
+    proposals: BTreeMap<(Shard, LogIndex), (Term, ReplyTarget)>,
+    reads: HashMap<u64, (Shard, ReplyTarget)>,
     next_read: u64,
     suspensions: SuspensionDetector,
     pub last_quorum_contact: Option<u64>,
@@ -81,9 +81,9 @@
 pub struct Effects {
     pub packets: Vec<(NodeIdentity, Packet)>,
     pub writes: Vec<(Shard, Write)>,
-    pub answers: Vec<(Waiter, ControlAnswer)>,
+    pub answers: Vec<(ReplyTarget, ControlAnswer)>,
     /// Leadership that was seen: group, term, identity.
-    pub led: Vec<(Shard, Term, NodeIdentity)>,
+    pub leaderships: Vec<(Shard, Term, NodeIdentity)>,
     pub committed: Vec<(Shard, std::rc::Rc<opalrun_replication::Entry>)>,
 }
 
@@ -94,10 +94,10 @@
         Self {
             slot,
             identity,
-            disks: (0..GROUPS).map(|_| ReplicaDisk::new(base.clone())).collect(),
+            disks: (0..GROUP_COUNT).map(|_| ReplicaDisk::new(base.clone())).collect(),
             process: None,
             writes: VecDeque::new(),
-            back_at: Some(0),
+            restarts_at: Some(0),
             frozen_until: 0,
         }
     }
@@ -134,7 +134,7 @@
             shards,
             applied,
             members: MemberFailureDetector::new(min_members),
-            heard: HashMap::new(),
+            last_contact: HashMap::new(),
             started: now,
             proposals: BTreeMap::new(),
             reads: HashMap::new(),
@@ -143,7 +143,7 @@
             last_quorum_contact: None,
             leaving: None,
         });
-        self.back_at = None;
+        self.restarts_at = None;
     }
 
     pub fn is_running(&self, now: u64) -> bool {
@@ -169,11 +169,11 @@
         if !self.writes.is_empty() {
             return;
         }
-        for group in (0..GROUPS).map(Shard) {
+        for group in (0..GROUP_COUNT).map(Shard) {
             let (disk, replica) =
                 (&mut self.disks[group.position()], &mut process.replicas[group.position()]);
             let applied = process.applied[group.position()];
-            if applied >= disk.base_index() + COMPACT_AFTER {
+            if applied >= disk.base_index() + COMPACTION_INTERVAL_ENTRIES {
                 let header = replica.applied_snapshot_metadata();
                 replica.compact(header.last_included_index, 5, 1 << 20);
                 disk.compact(Snapshot { metadata: header, state: process.shards.snapshot(group) });
@@ -208,20 +208,25 @@
     }
 
     pub fn all_fresh(&self, now: u64) -> bool {
-        (0..GROUPS).all(|group| self.is_fresh(Shard(group), now))
+        (0..GROUP_COUNT).all(|group| self.is_fresh(Shard(group), now))
     }
 
-    /// How long it has not heard another process.
+    /// How long it has not last_contact another process.
     pub fn since_last_contact(&self, identity: NodeIdentity, now: u64) -> Duration {
-        let heard = self.heard.get(&identity).copied().unwrap_or(self.started);
-        Duration::from_millis(now.saturating_sub(heard))
+        let last_contact = self.last_contact.get(&identity).copied().unwrap_or(self.started);
+        Duration::from_millis(now.saturating_sub(last_contact))
     }
 
     /// Has a command committed, or says that another process owns the shard.
-    pub fn propose(&mut self, group: Shard, command: Vec<u8>, waiter: Waiter) -> Option<ControlAnswer> {
+    pub fn propose(
+        &mut self,
+        group: Shard,
+        command: Vec<u8>,
+        reply_target: ReplyTarget,
+    ) -> Option<ControlAnswer> {
         match self.replica(group).propose(command) {
             Ok(LogPosition { index, term }) => {
-                self.proposals.insert((group, index), (term, waiter));
+                self.proposals.insert((group, index), (term, reply_target));
                 None
             }
             Err(opalrun_replication::ProposeError::NotLeader { .. }) => Some(ControlAnswer::NotOwner),
@@ -230,12 +235,12 @@
     }
 
     /// Asks for a moment at which the state may be read.
-    pub fn read(&mut self, group: Shard, waiter: Waiter) -> Option<ControlAnswer> {
+    pub fn read(&mut self, group: Shard, reply_target: ReplyTarget) -> Option<ControlAnswer> {
         self.next_read += 1;
         let request = self.next_read;
         match self.replica(group).read_index(request) {
             Ok(()) => {
-                self.reads.insert(request, (group, waiter));
+                self.reads.insert(request, (group, reply_target));
                 None
             }
             Err(_) => Some(ControlAnswer::NotOwner),
@@ -243,10 +248,10 @@
     }
 
     /// Answers a call of another process, now or later.
-    pub fn answer(&mut self, call: ControlCall, waiter: Waiter) -> Option<ControlAnswer> {
+    pub fn answer(&mut self, call: ControlCall, reply_target: ReplyTarget) -> Option<ControlAnswer> {
         match call {
-            ControlCall::Propose { shard, command } => self.propose(shard, command, waiter),
-            ControlCall::ReadIndex { shard } => self.read(shard, waiter),
+            ControlCall::Propose { shard, command } => self.propose(shard, command, reply_target),
+            ControlCall::ReadIndex { shard } => self.read(shard, reply_target),
             ControlCall::Voters { shard } => Some(match self.replica(shard).committed_voters() {
                 Some(voters) => ControlAnswer::Voters(voters.into_iter().map(node_identity).collect()),
                 None => ControlAnswer::NotOwner,
@@ -256,20 +261,20 @@
     }
 
     /// Does what the groups ask for.
-    pub fn carry_out(&mut self, identity: NodeIdentity) -> Effects {
+    pub fn handle_ready(&mut self, identity: NodeIdentity) -> Effects {
         let mut effects = Effects::default();
-        for group in (0..GROUPS).map(Shard) {
+        for group in (0..GROUP_COUNT).map(Shard) {
             loop {
-                let output = self.replica(group).ready();
+                let ready = self.replica(group).ready();
                 if self.leads(group) {
-                    effects.led.push((group, self.replica(group).term(), identity));
+                    effects.leaderships.push((group, self.replica(group).term(), identity));
                 }
-                effects.writes.extend(output.writes.into_iter().map(|write| (group, write)));
+                effects.writes.extend(ready.writes.into_iter().map(|write| (group, write)));
                 let packet = |message: opalrun_replication::Message| {
                     (node_identity(message.to), Packet::Replication { group, message })
                 };
-                effects.packets.extend(output.messages.into_iter().map(packet));
-                if let Some(snapshot) = output.snapshot_to_install {
+                effects.packets.extend(ready.messages.into_iter().map(packet));
+                if let Some(snapshot) = ready.snapshot_to_install {
                     self.shards.restore(group, &snapshot.state).expect("a whole snapshot can be read");
                     self.applied[group.position()] = snapshot.metadata.last_included_index;
                     // Nobody knows what became of what was proposed before.
@@ -277,35 +282,35 @@
                         *of != group || *index > snapshot.metadata.last_included_index
                     });
                 }
-                for entry in output.committed_entries {
+                for entry in ready.committed_entries {
                     let reply = match &entry.payload {
                         Payload::Command(command) => self.shards.apply(group, entry.index, command),
                         _ => Vec::new(),
                     };
                     self.applied[group.position()] = entry.index;
-                    if let Some((term, waiter)) = self.proposals.remove(&(group, entry.index)) {
+                    if let Some((term, reply_target)) = self.proposals.remove(&(group, entry.index)) {
                         let answer = if term == entry.term {
                             ControlAnswer::Proposed { index: entry.index, outcome: reply }
                         } else {
                             ControlAnswer::NotOwner
                         };
-                        effects.answers.push((waiter, answer));
+                        effects.answers.push((reply_target, answer));
                     }
                     effects.committed.push((group, entry));
                 }
-                for read in output.read_results {
+                for read in ready.read_results {
                     let (request, ready) = match read {
                         ReadIndexResult::Confirmed { request, .. } => (request, true),
                         ReadIndexResult::Failed { request } => (request, false),
                     };
-                    if let Some((group, waiter)) = self.reads.remove(&request) {
+                    if let Some((group, reply_target)) = self.reads.remove(&request) {
                         let offset = ControlAnswer::Offset(log_index(self.shards.offset(group)));
                         effects
                             .answers
-                            .push((waiter, if ready { offset } else { ControlAnswer::Unavailable }));
+                            .push((reply_target, if ready { offset } else { ControlAnswer::Unavailable }));
                     }
                 }
-                if !output.is_snapshot_needed {
+                if !ready.is_snapshot_needed {
                     break;
                 }
                 let state = self.shards.snapshot(group);
--- a/crates/control/tests/world/world.rs
+++ b/crates/control/tests/world/world.rs
@@ -7,10 +7,10 @@
 
 use crate::{
     callers::{
-        Configuration, ConfigurationState, Operator, OperatorAnswer, Recorded, SimulatedWorker, Stage,
+        ConfigurationSpec, ConfigurationState, Operator, OperatorAnswer, Recorded, SimulatedWorker, Stage,
         Subscriber, operator_answer,
     },
-    node::{Effects, GROUPS, Leaving, Node, Waiter},
+    node::{Effects, GROUP_COUNT, Leaving, Node, ReplyTarget},
 };
 use opalrun_control::{
     calls::{ControlAnswer, ControlCall},
@@ -38,7 +38,7 @@
 /// How long after its return a machine still counts as lost.
 pub const CATCH_UP_MS: u64 = 4100;
 /// Later than this after an acknowledgement it holds at every gatekeeper that is fresh.
-const APPLY_MS: u64 = 2000;
+const APPLY_DEADLINE_MS: u64 = 2000;
 /// A gatekeeper that hears nothing fresh for so long goes to another process.
 const FRESH_TIMEOUT_MS: u64 = 700;
 /// A heartbeat without a change is acknowledged by a process that had contact with the quorum so recently.
@@ -79,26 +79,26 @@
 }
 
 #[derive(Debug, Clone)]
-enum Goal {
+enum OperationKind {
     Propose { group: Shard, command: Vec<u8> },
     Read,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    Begins {
+    Starting {
         at: u64,
     },
-    Waits,
+    AwaitingOwner,
     /// Until this process has applied so much.
-    Applies {
+    AwaitingApply {
         offset: LogIndex,
     },
 }
 
-struct Working {
+struct PendingOperation {
     slot: usize,
-    goal: Goal,
+    kind: OperationKind,
     phase: Phase,
     until: u64,
     caller: Caller,
@@ -106,7 +106,7 @@
 
 /// A direction of a link that a network partition has cut.
 #[derive(Debug, Clone, Copy)]
-struct CutLink {
+struct PartitionedLink {
     from: usize,
     to: usize,
     until: u64,
@@ -125,7 +125,7 @@
     slot: usize,
     at: u64,
     /// When it is back; `None` where it is gone for good.
-    back_at: Option<u64>,
+    restarts_at: Option<u64>,
 }
 
 pub struct World {
@@ -136,7 +136,7 @@
     now: u64,
     pub nodes: Vec<Node>,
     network: Network<Packet>,
-    working: BTreeMap<u64, Working>,
+    operations: BTreeMap<u64, PendingOperation>,
     next_number: u64,
     next_identity: NodeIdentity,
     next_body: u64,
@@ -149,15 +149,15 @@
     leaders: BTreeMap<(Shard, Term), NodeIdentity>,
     committed: BTreeMap<(Shard, LogIndex), Rc<Entry>>,
     /// Links that a network partition has cut.
-    partitions: Vec<CutLink>,
+    partitions: Vec<PartitionedLink>,
     /// Machines that count as lost.
     losses: Vec<Loss>,
     /// Until when machines count as lost that were all cut off or without power.
     recovering_until: u64,
     /// Machines that are asked to end.
     shutdowns: Vec<PlannedShutdown>,
-    is_calm: bool,
-    operators_rest: bool,
+    are_faults_disabled: bool,
+    are_operators_paused: bool,
     pub disks_lost: usize,
     pub machines_replaced: usize,
     /// What happened to machines, for failures.
@@ -180,10 +180,10 @@
             sequence: 1,
             stage: Stage::Ready,
             acknowledged: None,
-            waits_until: None,
+            response_deadline: None,
             next_at: 200 + 90 * number as u64,
-            leaves_at: 2_000 + 1_300 * number as u64,
-            is_abrupt: number.is_multiple_of(3),
+            shuts_down_at: 2_000 + 1_300 * number as u64,
+            skips_draining: number.is_multiple_of(3),
         };
         Self {
             random: fastrand::Rng::with_seed(seed),
@@ -193,7 +193,7 @@
             now: 0,
             nodes: (0..machines).map(node).collect(),
             network: Network::new(faults.network),
-            working: BTreeMap::new(),
+            operations: BTreeMap::new(),
             next_number: 0,
             next_identity: NodeIdentity(1000),
             next_body: 0,
@@ -208,8 +208,8 @@
             losses: Vec::new(),
             recovering_until: 0,
             shutdowns: Vec::new(),
-            is_calm: true,
-            operators_rest: false,
+            are_faults_disabled: true,
+            are_operators_paused: false,
             disks_lost: 0,
             machines_replaced: 0,
             fault_log: Vec::new(),
@@ -221,16 +221,16 @@
     }
 
     /// Lets time pass without faults.
-    pub fn run_calm(&mut self, span: u64) {
-        self.is_calm = true;
+    pub fn run_without_faults(&mut self, span: u64) {
+        self.are_faults_disabled = true;
         self.run(span);
     }
 
     /// Lets time pass with faults.
     pub fn run_with_faults(&mut self, span: u64) {
-        self.is_calm = false;
+        self.are_faults_disabled = false;
         self.run(span);
-        self.is_calm = true;
+        self.are_faults_disabled = true;
     }
 
     pub fn run(&mut self, span: u64) {
@@ -253,15 +253,15 @@
         self.recovering_until = self.now + CATCH_UP_MS;
         for node in &mut self.nodes {
             node.frozen_until = node.frozen_until.min(self.now);
-            node.back_at = node.back_at.map(|at| at.min(self.now + 500));
+            node.restarts_at = node.restarts_at.map(|at| at.min(self.now + 500));
         }
-        self.run_calm(9_000);
+        self.run_without_faults(9_000);
         let before = self.total_acknowledged();
-        self.run_calm(2_000);
+        self.run_without_faults(2_000);
         let progress = self.total_acknowledged() - before;
         assert!(progress > 5, "no progress once all is well: {progress} orders, {}", self.describe());
-        self.operators_rest = true;
-        self.run_calm(1_500);
+        self.are_operators_paused = true;
+        self.run_without_faults(1_500);
         self.check_members();
         let newest = *self.acknowledged.keys().max().expect("something was acknowledged");
         for subscriber in &self.subscribers {
@@ -278,7 +278,7 @@
     fn check_members(&mut self) {
         let present: BTreeSet<NodeIdentity> =
             self.nodes.iter().filter(|node| node.process.is_some()).map(|node| node.identity).collect();
-        for group in 0..GROUPS {
+        for group in 0..GROUP_COUNT {
             let voters = self.committed_voters(Shard(group)).expect("a healthy group has a leader");
             assert_eq!(voters, present, "group {group}");
         }
@@ -296,7 +296,7 @@
     }
 
     fn log_fault(&mut self, what: &str) {
-        let voters: Vec<_> = (0..GROUPS).map(|group| self.committed_voters(Shard(group))).collect();
+        let voters: Vec<_> = (0..GROUP_COUNT).map(|group| self.committed_voters(Shard(group))).collect();
         self.fault_log.push(format!("{} ms: {what}; voters {voters:?}", self.now));
     }
 
@@ -326,7 +326,7 @@
 
     fn check_history(&self) {
         let initial: ConfigurationState = (0, 0, BTreeSet::new());
-        if let Err(broken) = check_linearizable(&Configuration, &initial, &self.history) {
+        if let Err(broken) = check_linearizable(&ConfigurationSpec, &initial, &self.history) {
             panic!("the answers to operators are not linearizable: {broken}");
         }
     }
@@ -335,12 +335,12 @@
         self.start_machines();
         self.sync_disks();
         self.deliver();
-        self.work();
+        self.advance_operations();
         if self.now.is_multiple_of(timing::TICK_INTERVAL_MS) {
             self.tick();
             self.end_partitions();
             self.end_processes();
-            if !self.is_calm {
+            if !self.are_faults_disabled {
                 self.inject_fault();
             }
         }
--- a/crates/control/tests/world/world/faults.rs
+++ b/crates/control/tests/world/world/faults.rs
@@ -4,8 +4,11 @@
 
 impl World {
     /// Ends a process; of the writes under way a random number is on disk.
-    pub(super) fn kill(&mut self, slot: usize, back_at: Option<u64>, power_stays: bool) {
-        self.log_fault(&format!("machine {slot} ({}) ends, back at {back_at:?}", self.nodes[slot].identity));
+    pub(super) fn kill(&mut self, slot: usize, restarts_at: Option<u64>, power_stays: bool) {
+        self.log_fault(&format!(
+            "machine {slot} ({}) ends, back at {restarts_at:?}",
+            self.nodes[slot].identity
+        ));
         let waiting = self.nodes[slot].writes.len();
         let kept = if power_stays { waiting } else { self.random.usize(0..=waiting) };
         let node = &mut self.nodes[slot];
@@ -14,17 +17,17 @@
         for (_, group, write) in node.writes.drain(..).take(kept) {
             node.disks[group.position()].write(&write);
         }
-        node.back_at = back_at;
-        self.working.retain(|_, working| working.slot != slot);
+        node.restarts_at = restarts_at;
+        self.operations.retain(|_, operation| operation.slot != slot);
     }
 
-    pub(super) fn wipe(&mut self, slot: usize, back_at: u64) {
+    pub(super) fn wipe(&mut self, slot: usize, restarts_at: u64) {
         self.log_fault(&format!("machine {slot} loses its disk"));
-        self.kill(slot, Some(back_at), false);
+        self.kill(slot, Some(restarts_at), false);
         self.next_identity.0 += 1;
         let identity = self.next_identity;
         let fresh = Node::new(slot, identity, None);
-        self.nodes[slot] = Node { back_at: Some(back_at), ..fresh };
+        self.nodes[slot] = Node { restarts_at: Some(restarts_at), ..fresh };
         self.disks_lost += 1;
     }
 
@@ -32,7 +35,7 @@
     pub(super) fn present(&self) -> Vec<usize> {
         let ending = |slot: usize| self.shutdowns.iter().any(|shutdown| shutdown.slot == slot);
         let is_there = |slot: &usize| {
-            (self.nodes[*slot].process.is_some() || self.nodes[*slot].back_at.is_some()) && !ending(*slot)
+            (self.nodes[*slot].process.is_some() || self.nodes[*slot].restarts_at.is_some()) && !ending(*slot)
         };
         (0..self.nodes.len()).filter(is_there).collect()
     }
@@ -43,15 +46,15 @@
         if self.random.u8(0..100) >= self.faults.percent {
             return;
         }
-        let one_leaves = self
+        let is_any_leaving = self
             .nodes
             .iter()
             .filter_map(|node| node.process.as_ref())
             .any(|process| process.leaving.is_some());
         match self.random.u8(0..20) {
             // A machine that is being taken away can leave its groups only where they can decide.
-            0 if !one_leaves => self.lose_power_everywhere(),
-            1 if !one_leaves => self.partition_into_halves(),
+            0 if !is_any_leaving => self.lose_power_everywhere(),
+            1 if !is_any_leaving => self.partition_into_halves(),
             _ if self.losses.len() < self.hosts_lost && now >= self.recovering_until => self.lose_one(),
             _ => {}
         }
@@ -59,9 +62,9 @@
 
     pub(super) fn lose_power_everywhere(&mut self) {
         for slot in self.present() {
-            let back_at = self.now + self.random.u64(100..1_200);
-            self.kill(slot, Some(back_at), false);
-            self.recovering_until = self.recovering_until.max(back_at + CATCH_UP_MS);
+            let restarts_at = self.now + self.random.u64(100..1_200);
+            self.kill(slot, Some(restarts_at), false);
+            self.recovering_until = self.recovering_until.max(restarts_at + CATCH_UP_MS);
         }
     }
 
@@ -82,7 +85,7 @@
 
     pub(super) fn partition(&mut self, from: usize, to: usize, until: u64) {
         self.network.partition(from, to);
-        self.partitions.push(CutLink { from, to, until });
+        self.partitions.push(PartitionedLink { from, to, until });
     }
 
     /// One machine is lost for a time, or for good.
@@ -92,7 +95,7 @@
         let candidates: Vec<usize> = present.into_iter().filter(|slot| !is_lost(slot)).collect();
         let Some(slot) = self.random.choice(&candidates).copied() else { return };
         let kinds = if self.faults.members_change { 20 } else { 4 };
-        let back_at = match self.random.u8(0..kinds) {
+        let restarts_at = match self.random.u8(0..kinds) {
             0 => self.kill_for_a_while(slot),
             1 => self.freeze(slot),
             2 | 3 => self.isolate(slot),
@@ -100,14 +103,14 @@
             11..=15 => self.replace_unplanned(slot),
             _ => return self.replace_planned(slot),
         };
-        self.losses.push(Loss { slot, until: back_at + CATCH_UP_MS });
+        self.losses.push(Loss { slot, until: restarts_at + CATCH_UP_MS });
     }
 
     pub(super) fn kill_for_a_while(&mut self, slot: usize) -> u64 {
-        let back_at = self.now + self.random.u64(50..4_000);
+        let restarts_at = self.now + self.random.u64(50..4_000);
         let power_stays = self.random.bool();
-        self.kill(slot, Some(back_at), power_stays);
-        back_at
+        self.kill(slot, Some(restarts_at), power_stays);
+        restarts_at
     }
 
     pub(super) fn freeze(&mut self, slot: usize) -> u64 {
@@ -135,20 +138,20 @@
 
     /// A disk is lost; at times all other machines lose power at that moment.
     pub(super) fn lose_disk(&mut self, slot: usize) -> u64 {
-        let back_at = self.now + self.random.u64(200..2_000);
+        let restarts_at = self.now + self.random.u64(200..2_000);
         if self.random.u8(0..4) == 0 {
             self.lose_power_everywhere();
         }
-        self.wipe(slot, back_at);
-        back_at
+        self.wipe(slot, restarts_at);
+        restarts_at
     }
 
     /// A machine is gone for good; an empty one comes a little later in another slot.
     pub(super) fn replace_unplanned(&mut self, slot: usize) -> u64 {
-        let back_at = self.now + self.random.u64(0..1_500);
+        let restarts_at = self.now + self.random.u64(0..1_500);
         self.kill(slot, None, false);
-        self.add_machine(back_at);
-        back_at
+        self.add_machine(restarts_at);
+        restarts_at
     }
 
     /// An empty machine comes, and later another one is asked to end for good.
@@ -157,16 +160,16 @@
         self.add_machine(came_at);
         let ends_at = came_at + self.random.u64(200..7_000);
         self.log_fault(&format!("machine {slot} is to end at {ends_at}"));
-        self.shutdowns.push(PlannedShutdown { slot, at: ends_at, back_at: None });
+        self.shutdowns.push(PlannedShutdown { slot, at: ends_at, restarts_at: None });
         // It counts as lost from its end until its successor has had its time.
         self.losses.push(Loss { slot, until: came_at + CATCH_UP_MS });
     }
 
-    pub(super) fn add_machine(&mut self, back_at: u64) {
-        self.log_fault(&format!("machine {} comes at {back_at}", self.nodes.len()));
+    pub(super) fn add_machine(&mut self, restarts_at: u64) {
+        self.log_fault(&format!("machine {} comes at {restarts_at}", self.nodes.len()));
         self.next_identity.0 += 1;
         self.machines_replaced += 1;
         let node = Node::new(self.nodes.len(), self.next_identity, None);
-        self.nodes.push(Node { back_at: Some(back_at), ..node });
+        self.nodes.push(Node { restarts_at: Some(restarts_at), ..node });
     }
 }
--- a/crates/control/tests/world/world/members.rs
+++ b/crates/control/tests/world/world/members.rs
@@ -18,7 +18,7 @@
             }
             self.own_directory(slot);
             self.request_join(slot, &own);
-            self.carry_out(slot);
+            self.handle_ready(slot);
             self.nodes[slot].compact();
         }
     }
@@ -45,7 +45,7 @@
             process.members.evaluate(&members, identity, since_last_contact, Duration::from_millis(now));
         if let Some(identity) = dropped {
             let command = ConfigurationCommand::DropControl { identity, min_members };
-            process.propose(Shard(0), encode(&command).to_vec(), Waiter::Nobody);
+            process.propose(Shard(0), encode(&command).to_vec(), ReplyTarget::Nobody);
         }
     }
 
@@ -65,8 +65,8 @@
         let asked = self.any_slot();
         if self.network.is_connected(slot, asked) {
             let command = ConfigurationCommand::AdmitControl { node: own.clone() };
-            let goal = Goal::Propose { group: Shard(0), command: encode(&command).to_vec() };
-            self.begin(asked, goal, Caller::Nobody);
+            let kind = OperationKind::Propose { group: Shard(0), command: encode(&command).to_vec() };
+            self.begin_operation(asked, kind, Caller::Nobody);
         }
     }
 
@@ -80,7 +80,7 @@
     /// Lets processes that were asked to end leave their groups, and ends them.
     pub(super) fn end_processes(&mut self) {
         let now = self.now;
-        for PlannedShutdown { slot, at, back_at } in self.shutdowns.clone() {
+        for PlannedShutdown { slot, at, restarts_at } in self.shutdowns.clone() {
             if now < at || !self.nodes[slot].is_running(now) {
                 continue;
             }
@@ -93,7 +93,7 @@
             }
             let is_done = self.leave(slot);
             if is_done {
-                self.kill(slot, back_at, true);
+                self.kill(slot, restarts_at, true);
                 self.shutdowns.retain(|shutdown| shutdown.slot != slot);
             }
         }
@@ -111,7 +111,7 @@
                 return true;
             }
             process.leaving = Some(Leaving { ends_at: now + LEAVE_TIMEOUT_MS, is_dropped: false });
-            self.ask_to_be_dropped(slot);
+            self.request_removal(slot);
             return false;
         };
         process.leaving = Some(Leaving { is_dropped: !is_member, ..leaving });
@@ -119,20 +119,20 @@
             return true;
         }
         if is_member && now.is_multiple_of(OPERATION_TIMEOUT_MS) {
-            self.ask_to_be_dropped(slot);
+            self.request_removal(slot);
             return false;
         }
         // Its log ends where the others go on without it, so it asks them.
-        let still_counts = (0..GROUPS)
+        let still_counts = (0..GROUP_COUNT)
             .any(|group| self.committed_voters(Shard(group)).is_none_or(|voters| voters.contains(&identity)));
         leaving.is_dropped && !still_counts
     }
 
-    pub(super) fn ask_to_be_dropped(&mut self, slot: usize) {
+    pub(super) fn request_removal(&mut self, slot: usize) {
         let (identity, min_members) = (self.nodes[slot].identity, self.min_members() as u16);
         let command = ConfigurationCommand::DropControl { identity, min_members };
-        let goal = Goal::Propose { group: Shard(0), command: encode(&command).to_vec() };
-        self.begin(slot, goal, Caller::Nobody);
+        let kind = OperationKind::Propose { group: Shard(0), command: encode(&command).to_vec() };
+        self.begin_operation(slot, kind, Caller::Nobody);
     }
 }
 
--- a/crates/control/tests/world/world/outside.rs
+++ b/crates/control/tests/world/world/outside.rs
@@ -9,52 +9,53 @@
 
     pub(super) fn answer_operator(&mut self, number: usize, recorded: usize, answer: OperatorAnswer) {
         // An operator that has given up does not read the answer any more.
-        let waits = self.operators[number].waits;
-        if waits.is_none_or(|(waited, _)| waited != recorded) || self.is_answer_lost() {
+        let pending = self.operators[number].pending;
+        if pending.is_none_or(|(waited, _)| waited != recorded) || self.is_answer_lost() {
             return;
         }
         self.history[recorded].answer = Some((self.now, answer));
-        self.operators[number].waits = None;
+        self.operators[number].pending = None;
         self.operators[number].next_at = self.now + self.random.u64(5..120);
-        if let (OperatorAnswer::Accepted, crate::callers::Order::Put { generation, .. }) =
+        if let (OperatorAnswer::Accepted, crate::callers::OperatorRequest::Put { generation, .. }) =
             (answer, &self.history[recorded].call)
         {
             self.acknowledged.entry(*generation).or_insert(self.now);
         }
-        self.operators[number].take(answer);
+        self.operators[number].handle_answer(answer);
     }
 
     pub(super) fn act_as_operators(&mut self) {
         for number in 0..self.operators.len() {
             let now = self.now;
-            if let Some((_, until)) = self.operators[number].waits
+            if let Some((_, until)) = self.operators[number].pending
                 && now >= until
             {
-                self.operators[number].waits = None;
+                self.operators[number].pending = None;
                 self.operators[number].next_at = now + self.random.u64(20..200);
             }
-            if self.operators_rest
-                || self.operators[number].waits.is_some()
+            if self.are_operators_paused
+                || self.operators[number].pending.is_some()
                 || now < self.operators[number].next_at
             {
                 continue;
             }
-            let order = self.operators[number].next_order(&mut self.random, &mut self.next_body);
+            let request = self.operators[number].next_request(&mut self.random, &mut self.next_body);
             let recorded = self.history.len();
-            self.history.push(Operation { called_at: now, answer: None, call: order.clone() });
-            self.operators[number].waits = Some((recorded, now + CALLER_TIMEOUT_MS));
-            let goal = match order.command() {
-                Some(command) => Goal::Propose { group: Shard(0), command },
-                None => Goal::Read,
+            self.history.push(Operation { called_at: now, answer: None, call: request.clone() });
+            self.operators[number].pending = Some((recorded, now + CALLER_TIMEOUT_MS));
+            let kind = match request.command() {
+                Some(command) => OperationKind::Propose { group: Shard(0), command },
+                None => OperationKind::Read,
             };
             let slot = self.any_slot();
-            self.begin(slot, goal, Caller::Operator { number, recorded });
+            self.begin_operation(slot, kind, Caller::Operator { number, recorded });
         }
     }
 
     /// A machine that is not gone for good, though it may be down.
     pub(super) fn any_slot(&mut self) -> usize {
-        let known = |slot: &usize| self.nodes[*slot].process.is_some() || self.nodes[*slot].back_at.is_some();
+        let known =
+            |slot: &usize| self.nodes[*slot].process.is_some() || self.nodes[*slot].restarts_at.is_some();
         let slots: Vec<usize> = (0..self.nodes.len()).filter(known).collect();
         slots[self.random.usize(0..slots.len())]
     }
@@ -63,19 +64,19 @@
         for number in 0..self.workers.len() {
             let now = self.now;
             let worker = &mut self.workers[number];
-            if worker.waits_until.is_some_and(|until| now >= until) {
-                worker.waits_until = None;
+            if worker.response_deadline.is_some_and(|until| now >= until) {
+                worker.response_deadline = None;
             }
-            if now >= worker.leaves_at && worker.stage == Stage::Ready {
-                worker.stage = if worker.is_abrupt { Stage::Gone } else { Stage::Draining };
+            if now >= worker.shuts_down_at && worker.stage == Stage::Ready {
+                worker.stage = if worker.skips_draining { Stage::Removed } else { Stage::Draining };
                 worker.next_at = now;
             }
-            let is_done = worker.acknowledged.is_some_and(|(stage, _)| stage == Stage::Gone);
-            if is_done || worker.waits_until.is_some() || now < worker.next_at {
+            let is_done = worker.acknowledged.is_some_and(|(stage, _)| stage == Stage::Removed);
+            if is_done || worker.response_deadline.is_some() || now < worker.next_at {
                 continue;
             }
             worker.sequence += 1;
-            worker.waits_until = Some(now + CALLER_TIMEOUT_MS);
+            worker.response_deadline = Some(now + CALLER_TIMEOUT_MS);
             worker.next_at = now + if worker.acknowledged.is_some() { 1200 } else { 150 };
             self.heartbeat(number);
         }
@@ -98,9 +99,9 @@
                 return;
             }
         }
-        let goal = Goal::Propose { group: Shard(1), command: encode(&command).to_vec() };
+        let kind = OperationKind::Propose { group: Shard(1), command: encode(&command).to_vec() };
         let sequence = self.workers[number].sequence;
-        self.begin(slot, goal, Caller::Worker { number, sequence, stage });
+        self.begin_operation(slot, kind, Caller::Worker { number, sequence, stage });
     }
 
     pub(super) fn answer_worker(&mut self, number: usize, sequence: u64, stage: Stage) {
@@ -109,12 +110,12 @@
             return;
         }
         let worker = &mut self.workers[number];
-        worker.waits_until = None;
+        worker.response_deadline = None;
         if worker.acknowledged.is_none_or(|(known, _)| known != stage) {
             worker.acknowledged = Some((stage, self.now));
         }
-        if stage == Stage::Draining && self.now > worker.leaves_at + 3_000 {
-            worker.stage = Stage::Gone;
+        if stage == Stage::Draining && self.now > worker.shuts_down_at + 3_000 {
+            worker.stage = Stage::Removed;
         }
     }
 
@@ -125,21 +126,21 @@
             let slot = subscriber.slot % self.nodes.len();
             let node = &self.nodes[slot];
             if let Some(process) = node.process.as_ref().filter(|_| node.is_running(now)) {
-                for group in 0..GROUPS {
-                    let held = subscriber.offsets.get(&Shard(group)).copied();
-                    if let Some(update) = process.shards.update_since(Shard(group), held) {
-                        subscriber.take(update);
+                for group in 0..GROUP_COUNT {
+                    let offset = subscriber.offsets.get(&Shard(group)).copied();
+                    if let Some(update) = process.shards.update_since(Shard(group), offset) {
+                        subscriber.apply(update);
                     }
                 }
                 if process.all_fresh(now) {
                     subscriber.fresh_at = now;
-                    subscriber.follows_since = now;
+                    subscriber.last_fresh_or_switched_at = now;
                 }
             }
-            if now > subscriber.follows_since + FRESH_TIMEOUT_MS {
+            if now > subscriber.last_fresh_or_switched_at + FRESH_TIMEOUT_MS {
                 let slot = self.any_slot();
                 let subscriber = &mut self.subscribers[number];
-                (subscriber.slot, subscriber.follows_since) = (slot, now);
+                (subscriber.slot, subscriber.last_fresh_or_switched_at) = (slot, now);
             }
             if self.subscribers[number].fresh_at == now {
                 self.check_fresh(number);
@@ -150,7 +151,7 @@
     /// What a gatekeeper that is fresh must know.
     pub(super) fn check_fresh(&self, number: usize) {
         let subscriber = &self.subscribers[number];
-        let known_by = |at: u64| at + APPLY_MS <= self.now;
+        let known_by = |at: u64| at + APPLY_DEADLINE_MS <= self.now;
         let due =
             self.acknowledged.iter().filter(|(_, at)| known_by(**at)).map(|(generation, _)| *generation);
         let newest = due.max().unwrap_or(0);
--- a/crates/model-check/src/fingerprint.rs
+++ b/crates/model-check/src/fingerprint.rs
@@ -1,24 +1,24 @@
-//! Telling states apart without keeping them.
+//! Fingerprints, which identify states without storing them.
 
 use std::fmt::{self, Debug, Write};
 
-/// 128 bits that stand for a state.
+/// A 128-bit hash that identifies a state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Fingerprint(u128);
 
 impl Fingerprint {
-    /// The fingerprint of a state's `Debug` text.
+    /// Returns the fingerprint of the state's `Debug` text.
     ///
     /// # Panics
-    /// If the state's `Debug` fails.
+    /// If the state's `Debug` implementation fails.
     pub fn of(state: &impl Debug) -> Self {
         let mut hasher = TextHasher::new();
-        write!(hasher, "{state:?}").expect("Debug does not fail");
+        write!(hasher, "{state:?}").expect("a state's Debug implementation must not fail");
         Self(hasher.finish())
     }
 }
 
-/// Two multiplicative hashes of the text, with different constants, over eight bytes at a time.
+/// Two multiplicative hashes of a text with different constants, computed over eight bytes at a time.
 struct TextHasher {
     halves: [u64; 2],
     pending: u64,
--- a/crates/model-check/src/history.rs
+++ b/crates/model-check/src/history.rs
@@ -1,9 +1,8 @@
-//! Whether a recorded history of operations is linearizable: whether each operation can have taken effect at one moment
-//! between its call and its answer, in one order, so that a plain sequential state machine gives the answers recorded.
+//! Checks whether a recorded history of operations is linearizable: whether there is an order in which each operation took
+//! effect at one instant between its call and its response, such that a sequential state machine gives the recorded responses.
 //!
-//! After J. Wing and C. Gong, "Testing and Verifying Concurrent Objects" (1993), with the states that were visited already
-//! remembered. An operation without a clear answer may take
-//! effect at any moment after its call, or never.
+//! The algorithm is that of J. Wing and C. Gong, "Testing and Verifying Concurrent Objects" (1993), with memoization of
+//! visited states. An operation without a definite response may take effect at any time after its call, or never.
 
 use fnv::FnvHashSet;
 use snafu::Snafu;
@@ -11,46 +10,47 @@
 
 const BITS_PER_WORD: usize = u64::BITS as usize;
 
-/// No order of the operations explains the answers.
+/// No linearization of the operations gives the recorded responses.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display(
-    "no order explains the answers; after {linearized} operations none of these fits: {candidates_left:#?}"
+    "history is not linearizable: after {linearized} operations no candidate for the next one is consistent: {candidates:#?}"
 ))]
 pub struct NotLinearizable {
-    /// Operations in the longest order that was found.
+    /// Number of operations in the longest partial linearization found.
     pub linearized: usize,
-    /// The operations that could come next after that order, none of which fits: number in the history and `Debug` text.
-    pub candidates_left: Vec<String>,
+    /// The candidates for the next operation after that linearization, none of which is consistent: position in the history
+    /// and `Debug` text.
+    pub candidates: Vec<String>,
 }
 
-/// An operation as a caller saw it.
+/// An operation as observed by its caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Operation<C, R> {
-    /// When it was called.
+    /// When the operation was called.
     pub called_at: u64,
-    /// When it was answered, and by what; `None` where no clear answer came.
+    /// When the response arrived, and the response; `None` without a definite response.
     pub answer: Option<(u64, R)>,
-    /// What was asked.
+    /// The requested operation.
     pub call: C,
 }
 
-/// The state machine that a history is held against.
+/// The sequential state machine against which a history is checked.
 pub trait SequentialSpec {
-    /// What may be asked.
+    /// An operation with its arguments.
     type Call: Debug;
-    /// What is answered.
+    /// The response to an operation.
     type Reply: Debug + PartialEq;
-    /// Its state.
+    /// The state of the state machine.
     type State: Clone + Eq + Hash;
 
-    /// The state after a call, and its answer.
+    /// Returns the state after a call, and the response.
     fn apply(&self, state: &Self::State, call: &Self::Call) -> (Self::State, Self::Reply);
 }
 
-/// Checks a history that begins in a state.
+/// Checks whether a history that starts in the state `initial` is linearizable.
 ///
 /// # Errors
-/// [`NotLinearizable`] where no order of the operations explains the answers.
+/// [`NotLinearizable`] if no linearization of the operations gives the recorded responses.
 pub fn check_linearizable<S: SequentialSpec>(
     machine: &S,
     initial: &S::State,
@@ -62,33 +62,32 @@
         visited: FnvHashSet::default(),
         linearized: vec![false; history.len()],
         max_linearized: 0,
-        candidates_left: Vec::new(),
+        candidates: Vec::new(),
     };
     if search.linearize_next(initial) {
         return Ok(());
     }
-    let candidates_left =
-        search.candidates_left.iter().map(|number| format!("{number}: {:?}", history[*number]));
-    Err(NotLinearizable { linearized: search.max_linearized, candidates_left: candidates_left.collect() })
+    let candidates = search.candidates.iter().map(|number| format!("{number}: {:?}", history[*number]));
+    Err(NotLinearizable { linearized: search.max_linearized, candidates: candidates.collect() })
 }
 
 struct Search<'a, S: SequentialSpec> {
     machine: &'a S,
     history: &'a [Operation<S::Call, S::Reply>],
-    /// Sets of linearized operations, with the state after them, from which no way leads on.
+    /// Visited sets of linearized operations, one bit each, with the state after them. The search is not repeated from them.
     visited: FnvHashSet<(Vec<u64>, S::State)>,
-    /// Whether each operation has its position in the order.
+    /// Whether each operation is part of the current partial linearization.
     linearized: Vec<bool>,
-    /// Operations in the longest order so far.
+    /// Number of operations in the longest partial linearization so far.
     max_linearized: usize,
-    /// Operations that could come next after the longest order so far.
-    candidates_left: Vec<usize>,
+    /// Positions of the candidates for the next operation after that linearization.
+    candidates: Vec<usize>,
 }
 
 impl<S: SequentialSpec> Search<'_, S> {
-    /// Places one of the operations that may come next, and all after it. Returns whether that succeeds.
+    /// Linearizes one of the candidates next, then all remaining operations. Returns whether that succeeds.
     fn linearize_next(&mut self, state: &S::State) -> bool {
-        // What was called after the first answer that is still to come can't be next.
+        // An operation called after the earliest response of the remaining operations cannot be next.
         let remaining = || (0..self.history.len()).filter(|number| !self.linearized[*number]);
         let answers = remaining().filter_map(|number| self.history[number].answer.as_ref());
         let Some(first_answer) = answers.map(|(at, _)| *at).min() else {
@@ -99,7 +98,7 @@
         let count = self.linearized.iter().filter(|linearized| **linearized).count();
         if count >= self.max_linearized {
             self.max_linearized = count;
-            self.candidates_left.clone_from(&candidates);
+            self.candidates.clone_from(&candidates);
         }
         if !self.visited.insert((self.linearized_bits(), state.clone())) {
             return false;
@@ -107,13 +106,13 @@
         candidates.into_iter().any(|number| self.linearize(number, state))
     }
 
-    /// Places an operation next, and all others after it. Returns whether that succeeds.
+    /// Linearizes an operation next, then all remaining operations. Returns whether that succeeds.
     fn linearize(&mut self, number: usize, state: &S::State) -> bool {
         let operation = &self.history[number];
         let (next, reply) = self.machine.apply(state, &operation.call);
         let fits = match &operation.answer {
             Some((_, answered)) => *answered == reply,
-            // Without an answer it matters only where it changes something.
+            // An operation without a response is relevant only if it changes the state.
             None => next != *state,
         };
         if !fits {
@@ -125,7 +124,7 @@
         succeeds
     }
 
-    /// The operations that are linearized, one bit each.
+    /// Returns the set of linearized operations, one bit each.
     fn linearized_bits(&self) -> Vec<u64> {
         let mut bits = vec![0; self.linearized.len().div_ceil(BITS_PER_WORD)];
         for (number, linearized) in self.linearized.iter().enumerate() {
--- a/crates/model-check/src/lib.rs
+++ b/crates/model-check/src/lib.rs
@@ -1,11 +1,10 @@
-//! A small model checker for tests: it takes a state machine through every order of events, breadth first, and checks each
-//! state that can be reached. A broken rule comes with the shortest sequence of events that leads to it.
+//! A small explicit-state model checker for tests. It explores every order of events of a state machine, breadth first, and
+//! checks the invariants in each reachable state. A violation is reported with a shortest sequence of events that leads to it.
 //!
-//! States are told apart by a 128-bit fingerprint of their [`Debug`] text, so a state needs neither `Eq` nor `Hash`: the
-//! real state machines can be explored as they are. Two states that differ only in what `Debug` leaves out are taken for
-//! one.
+//! States are identified by a 128-bit fingerprint of their [`Debug`] text, so a state needs neither `Eq` nor `Hash`, and
+//! production state machines can be explored unchanged. States that differ only in what `Debug` omits are considered equal.
 //!
-//! Beside it, [`check_linearizable`] holds a recorded history of operations against a sequential state machine.
+//! [`check_linearizable`] checks a recorded history of operations against a sequential state machine.
 #![forbid(unsafe_code)]
 
 mod fingerprint;
@@ -17,67 +16,67 @@
 use fnv::FnvHashMap;
 use std::{collections::VecDeque, error::Error, fmt::Debug};
 
-/// What is explored.
+/// A model to explore.
 pub trait Model {
-    /// One state of everything.
+    /// A state of the whole system.
     type State: Clone + Debug;
-    /// What may happen in a state.
+    /// A transition between states.
     type Event: Clone + Debug;
-    /// The rules that a state can break.
+    /// A violated invariant.
     type InvariantViolation: Error;
 
-    /// The events that may happen in a state.
+    /// Returns the events that are possible in a state.
     fn events(&self, state: &Self::State) -> Vec<Self::Event>;
 
-    /// Lets an event happen.
+    /// Applies an event to a state.
     fn apply(&self, state: &mut Self::State, event: &Self::Event);
 
-    /// Checks a state.
+    /// Checks the invariants in a state.
     ///
     /// # Errors
-    /// The rule that it breaks.
+    /// The invariant that the state violates.
     fn check(&self, state: &Self::State) -> Result<(), Self::InvariantViolation>;
 }
 
-/// What an exploration found.
+/// The result of an exploration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Outcome<V> {
-    /// Different states that were reached.
+    /// Number of distinct states reached.
     pub states: usize,
-    /// Events that were applied.
+    /// Number of events applied.
     pub transitions: u64,
-    /// The longest shortest way to a state.
+    /// The largest number of events on a shortest path to an explored state.
     pub depth: usize,
-    /// Every state that can be reached was reached.
+    /// Whether every reachable state was reached.
     pub is_exhaustive: bool,
-    /// The first broken rule.
+    /// The first violation found.
     pub counterexample: Option<Counterexample<V>>,
 }
 
-/// A broken rule.
+/// A violated invariant and the events that lead to the violation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Counterexample<V> {
-    /// The rule.
+    /// The violated invariant.
     pub violation: V,
-    /// The `Debug` texts of the shortest sequence of events that leads there.
+    /// The `Debug` texts of a shortest sequence of events that leads to the violation.
     pub events: Vec<String>,
 }
 
-/// A state that was reached.
+/// A reached state.
 struct Reached<S> {
     state: S,
     fingerprint: Fingerprint,
-    /// Events of the shortest way to it.
+    /// Number of events on the shortest path to the state.
     depth: usize,
 }
 
-/// How a state was first reached.
+/// The transition by which a state was first reached.
 struct Origin<E> {
     parent: Fingerprint,
     event: Option<E>,
 }
 
-/// Explores from a state until all is reached, a rule is broken or `max_states` are known.
+/// Explores from `initial` until all reachable states are reached, an invariant is violated or `max_states` are known.
 pub fn explore<M: Model>(model: &M, initial: M::State, max_states: usize) -> Outcome<M::InvariantViolation> {
     let mut search = Search { model, origins: FnvHashMap::default(), queue: VecDeque::new() };
     let mut outcome =
@@ -112,12 +111,12 @@
 struct Search<'a, M: Model> {
     model: &'a M,
     origins: FnvHashMap<Fingerprint, Origin<M::Event>>,
-    /// States whose events were not applied yet, nearest first.
+    /// States whose events have not been applied yet, in order of depth.
     queue: VecDeque<Reached<M::State>>,
 }
 
 impl<M: Model> Search<'_, M> {
-    /// Takes in a state that was not known, and checks it.
+    /// Adds a new state and checks it. Returns the counterexample if the state violates an invariant.
     fn reach(
         &mut self,
         state: M::State,
@@ -132,7 +131,7 @@
         Some(Counterexample { violation, events: self.path_to(fingerprint) })
     }
 
-    /// The events that lead to a state that was reached.
+    /// Returns the events that lead to a reached state.
     fn path_to(&self, mut fingerprint: Fingerprint) -> Vec<String> {
         let mut events = Vec::new();
         while let Some(Origin { parent, event: Some(event) }) = self.origins.get(&fingerprint) {
--- a/crates/model-check/tests/explore.rs
+++ b/crates/model-check/tests/explore.rs
@@ -1,9 +1,9 @@
-//! The checker itself: it reaches every state, and finds the shortest way to a broken rule.
+//! The model checker reaches every state and finds a shortest path to a violation.
 
 use opalrun_model_check::{Fingerprint, Model, explore};
 use snafu::Snafu;
 
-/// Two jugs, of three and five units, that are filled, emptied and poured into each other.
+/// The water-jug puzzle: two jugs, of three and five units, are filled, emptied and poured into each other.
 struct Jugs {
     forbidden: Option<u32>,
 }
@@ -17,7 +17,7 @@
     Pour(usize),
 }
 
-/// The large jug holds what it must not.
+/// The large jug holds the forbidden number of units.
 #[derive(Debug, Clone, PartialEq, Snafu)]
 #[snafu(display("the large jug holds {units}"))]
 struct ForbiddenFilling {
@@ -55,24 +55,24 @@
 }
 
 #[test]
-fn all_states_are_reached() {
+fn all_reachable_states_are_reached() {
     let outcome = explore(&Jugs { forbidden: None }, [0, 0], usize::MAX);
-    // Of 24 fillings those are reached in which at least one jug is empty or full.
+    // Of the 24 states, exactly those in which at least one jug is empty or full are reachable.
     assert_eq!((outcome.states, outcome.is_exhaustive), (16, true));
     assert_eq!(outcome.counterexample, None);
 }
 
 #[test]
-fn a_broken_rule_comes_with_the_shortest_sequence_of_events() {
+fn a_violation_is_reported_with_a_shortest_sequence_of_events() {
     let outcome = explore(&Jugs { forbidden: Some(4) }, [0, 0], usize::MAX);
-    let counterexample = outcome.counterexample.expect("it can be reached");
+    let counterexample = outcome.counterexample.expect("the forbidden state is reachable");
     assert_eq!(counterexample.violation.to_string(), "the large jug holds 4");
     let events = ["Fill(1)", "Pour(1)", "Empty(0)", "Pour(1)", "Fill(1)", "Pour(1)"];
     assert_eq!(counterexample.events, events);
 }
 
 #[test]
-fn a_limit_ends_the_search_and_says_so() {
+fn a_state_limit_ends_the_search_and_marks_it_as_not_exhaustive() {
     let outcome = explore(&Jugs { forbidden: None }, [0, 0], 3);
     assert!(!outcome.is_exhaustive && outcome.states >= 3);
 }
--- a/crates/model-check/tests/history.rs
+++ b/crates/model-check/tests/history.rs
@@ -1,4 +1,4 @@
-//! Histories of a register that changes by compare-and-set.
+//! Linearizability of histories of a compare-and-set register.
 
 use opalrun_model_check::{Operation, SequentialSpec, check_linearizable};
 
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn operations_one_after_the_other() {
+fn sequential_operations_are_linearizable() {
     let history = [
         answered(1, 2, Call::Read, Ok(0)),
         answered(3, 4, swap(0, 5), Ok(5)),
@@ -54,13 +54,13 @@
 }
 
 #[test]
-fn a_read_after_an_answer_may_not_be_older() {
+fn a_read_after_an_acknowledged_write_must_see_it() {
     let history = [answered(1, 2, swap(0, 5), Ok(5)), answered(3, 4, Call::Read, Ok(0))];
     assert!(!is_linearizable(&history));
 }
 
 #[test]
-fn reads_beside_a_change_may_see_it_or_not_but_not_go_back() {
+fn reads_concurrent_with_a_write_may_see_either_value_but_not_go_back() {
     let change = answered(1, 9, swap(0, 5), Ok(5));
     let seen_then_not =
         [change.clone(), answered(2, 3, Call::Read, Ok(5)), answered(4, 5, Call::Read, Ok(0))];
@@ -70,13 +70,13 @@
 }
 
 #[test]
-fn two_changes_of_one_value_do_not_both_succeed() {
+fn two_swaps_of_the_same_value_do_not_both_succeed() {
     let history = [answered(1, 9, swap(0, 5), Ok(5)), answered(1, 9, swap(0, 6), Ok(6))];
     assert!(!is_linearizable(&history));
 }
 
 #[test]
-fn a_change_without_an_answer_may_come_at_any_time_or_never() {
+fn a_write_without_a_response_may_take_effect_at_any_time_or_never() {
     let never = [unclear(1, swap(0, 5)), answered(2, 3, Call::Read, Ok(0))];
     assert!(is_linearizable(&never));
     let late = [unclear(1, swap(0, 5)), answered(2, 3, Call::Read, Ok(0)), answered(8, 9, Call::Read, Ok(5))];
@@ -89,9 +89,9 @@
 }
 
 #[test]
-fn a_broken_history_names_what_did_not_fit() {
+fn the_error_of_a_non_linearizable_history_names_the_inconsistent_candidate() {
     let history = [answered(1, 2, swap(0, 5), Ok(5)), answered(3, 4, Call::Read, Ok(0))];
-    let broken = check_linearizable(&Register, &0, &history).expect_err("it is broken");
-    let broken = broken.to_string();
-    assert!(broken.contains("after 1 operations") && broken.contains("1: "), "{broken}");
+    let error = check_linearizable(&Register, &0, &history).expect_err("the history is not linearizable");
+    let error = error.to_string();
+    assert!(error.contains("after 1 operations") && error.contains("1: "), "{error}");
 }
--- a/crates/replication/src/append_entries.rs
+++ b/crates/replication/src/append_entries.rs
@@ -38,7 +38,7 @@
         Ok(LogPosition { index, term: self.hard_state.term })
     }
 
-    /// Whether a command of this length may join those that wait to be committed.
+    /// Returns whether a command of this length, in bytes, may be appended within the limits of uncommitted entries.
     fn has_capacity_for(&self, command_bytes: usize) -> bool {
         let last_index = self.log.last_index();
         if last_index == self.commit_index {
--- a/crates/replication/tests/golden.rs
+++ b/crates/replication/tests/golden.rs
@@ -1,7 +1,7 @@
-//! The bytes of everything that replication sends to other processes or leaves on disk, against files made by an
-//! earlier build: a process reads what processes and disks of that build hold, and writes the same.
+//! Compatibility of the encodings that replication sends to other processes or stores on disk. Golden files written by an
+//! earlier build must decode to the same values, and the values must encode to the same bytes.
 //!
-//! `WRITE_GOLDEN=1` writes files that are missing. It never changes one that is there.
+//! `WRITE_GOLDEN=1` creates missing files. It never changes existing ones.
 
 use opalrun_replication::{
     AppendOutcome, Entry, HardState, LogIndex, Member, MemberId, Membership, Message, MessageBody, Payload,
@@ -10,14 +10,14 @@
 use opalrun_wire::frame::{decode, encode};
 use std::{path::PathBuf, rc::Rc};
 
-/// Compares a value with its golden file: the file decodes to the value, and the value encodes to the file.
+/// Asserts that the golden file decodes to the value, and that the value encodes to the bytes of the file.
 macro_rules! assert_golden {
     ($name:expr, $type:ty, $value:expr) => {{
         let (name, value): (&str, $type) = ($name, $value);
         let encoded = encode(&value);
         let golden = golden(name, &encoded);
-        assert_eq!(decode::<$type>(&golden), Ok(value), "{name} is read as another value");
-        assert_eq!(encoded.as_slice(), golden.as_slice(), "{name} is written in other bytes");
+        assert_eq!(decode::<$type>(&golden), Ok(value), "{name} decodes to a different value");
+        assert_eq!(encoded.as_slice(), golden.as_slice(), "{name} encodes to different bytes");
     }};
 }
 
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn entries_of_the_log_keep_their_bytes() {
+fn log_entries_keep_their_encoding() {
     assert_golden!("entry_empty", Entry, entry(1, 2, Payload::Empty));
     assert_golden!("entry_command", Entry, entry(0x0A0B_0C0D, 7, Payload::Command(b"set x".to_vec())));
     assert_golden!("entry_command_without_bytes", Entry, entry(3, 2, Payload::Command(Vec::new())));
@@ -74,14 +74,14 @@
 }
 
 #[test]
-fn memberships_keep_their_bytes() {
+fn memberships_keep_their_encoding() {
     let [member, ..] = &membership().members[..] else { panic!("no members") };
     assert_golden!("member", Member, member.clone());
     assert_golden!("membership", Membership, membership());
 }
 
 #[test]
-fn term_and_vote_keep_their_bytes() {
+fn hard_states_keep_their_encoding() {
     assert_golden!("hard_state_first", HardState, HardState::default());
     assert_golden!("hard_state_without_vote", HardState, HardState { term: Term(42), voted_for: None });
     assert_golden!(
@@ -92,14 +92,14 @@
 }
 
 #[test]
-fn snapshots_keep_their_bytes() {
+fn snapshots_keep_their_encoding() {
     assert_golden!("snapshot_header_first", SnapshotMetadata, SnapshotMetadata::default());
     assert_golden!("snapshot_header", SnapshotMetadata, header());
     assert_golden!("snapshot", Snapshot, Snapshot { metadata: header(), state: b"the state".to_vec() });
 }
 
 #[test]
-fn messages_of_elections_keep_their_bytes() {
+fn election_messages_keep_their_encoding() {
     let (last_log_index, last_log_term) = (900, Term(41));
     assert_golden!(
         "message_pre_vote",
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn messages_that_carry_the_log_keep_their_bytes() {
+fn append_messages_keep_their_encoding() {
     let append = |entries| MessageBody::AppendEntries {
         previous_log_index: LogIndex(900),
         previous_log_term: Term(41),
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn messages_that_carry_a_snapshot_keep_their_bytes() {
+fn snapshot_messages_keep_their_encoding() {
     let chunk = MessageBody::InstallSnapshot {
         metadata: header(),
         total_bytes: 1000,
--- a/crates/replication/tests/model_check/group.rs
+++ b/crates/replication/tests/model_check/group.rs
@@ -1,4 +1,4 @@
-//! The group, its disks and its network.
+//! The model of a group: three replicas, their disks and the messages in flight.
 
 use opalrun_model_check::Model;
 use opalrun_replication::{
@@ -13,55 +13,55 @@
 
 const MEMBERS: usize = 3;
 const HOSTS_LOST: usize = 1;
-/// A new process's identity is its old one and this.
+/// A process that lost its disk gets its old identity plus this offset as its new identity.
 const NEW_IDENTITY: u64 = 10;
 
-/// How much may happen.
+/// Limits on the number of events of each kind.
 #[derive(Debug, Clone, Copy)]
 pub struct Budget {
-    /// Elections that begin because no leader was heard.
+    /// Election time-outs.
     pub timeouts: u32,
-    /// Commands.
+    /// Proposed commands.
     pub proposals: u32,
-    /// Heartbeats of leaders.
+    /// Heartbeat rounds of leaders.
     pub heartbeats: u32,
-    /// Losses of power.
+    /// Power failures of single machines.
     pub power_losses: u32,
-    /// Lost disks.
+    /// Losses of a disk.
     pub disk_losses: u32,
 }
 
-/// Mistakes that the check has to find.
+/// Implementation faults injected into the model, which the check must find.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Mistake {
-    /// What is only handed to the disk counts as synced.
+pub enum InjectedFault {
+    /// Writes are reported as synced when they are only queued.
     AcknowledgeBeforeSync,
-    /// A loss of power loses the vote, but not the term.
+    /// A power failure loses the vote, but not the term.
     ForgetVote,
-    /// A process that lost its disk goes on under its old identity.
+    /// A process that lost its disk continues under its old identity.
     KeepIdentityWithoutDisk,
 }
 
-/// A rule of Raft that was broken.
+/// A violated safety property of Raft.
 #[derive(Debug, Clone, PartialEq, Snafu)]
 pub enum InvariantViolation {
-    /// State Machine Safety.
-    #[snafu(display("{entry:?} is committed after {known:?}"))]
+    /// State Machine Safety: two different entries are committed at the same index.
+    #[snafu(display("{entry:?} is committed at the index of committed entry {known:?}"))]
     EntryReplaced { known: Rc<Entry>, entry: Rc<Entry> },
-    /// A committed entry may be lost with the disks that may be lost.
-    #[snafu(display("{entry:?} is committed on {disks} disks"))]
+    /// A committed entry is on fewer disks than a commit quorum, so losing `hosts_lost` disks may lose it.
+    #[snafu(display("{entry:?} is committed, but synced on {disks} disks only"))]
     TooFewDisks { entry: Rc<Entry>, disks: usize },
-    /// Election Safety.
-    #[snafu(display("{first} and {second} both lead in term {term}"))]
+    /// Election Safety: a term has two leaders.
+    #[snafu(display("{first} and {second} are both leaders in term {term}"))]
     TwoLeaders { first: MemberId, second: MemberId, term: Term },
-    /// Leader Completeness.
+    /// Leader Completeness: a leader's log lacks a committed entry.
     #[snafu(display("the leader of term {term} lacks {missing:?}"))]
     IncompleteLeader { term: Term, missing: Rc<Entry> },
 }
 
 pub struct Group {
     pub budget: Budget,
-    pub mistake: Option<Mistake>,
+    pub injected_fault: Option<InjectedFault>,
 }
 
 #[derive(Debug, Clone)]
@@ -95,17 +95,17 @@
     now: u64,
     replica: Replica,
     disk: Disk,
-    /// Handed to the disk and not synced.
+    /// Writes that are queued and not synced, oldest first.
     writes: VecDeque<Write>,
 }
 
 impl Node {
-    /// Puts a snapshot in the place of what is applied.
+    /// Replaces the applied entries with a snapshot, in memory and on disk.
     fn compact(&mut self) {
-        let header = self.replica.applied_snapshot_metadata();
-        self.replica.compact(header.last_included_index, 0, 0);
-        self.disk.entries.retain(|entry| entry.index > header.last_included_index);
-        self.disk.base = header;
+        let metadata = self.replica.applied_snapshot_metadata();
+        self.replica.compact(metadata.last_included_index, 0, 0);
+        self.disk.entries.retain(|entry| entry.index > metadata.last_included_index);
+        self.disk.base = metadata;
     }
 }
 
@@ -113,12 +113,12 @@
 pub struct State {
     nodes: Vec<Node>,
     messages: Vec<Message>,
-    /// By index from 1.
+    /// The committed entries, in the order of their indexes, which start at 1.
     committed: Vec<Rc<Entry>>,
-    /// By term.
+    /// The first leader seen in each term.
     leaders: BTreeMap<Term, MemberId>,
-    left: Budget,
-    broken: Option<InvariantViolation>,
+    remaining: Budget,
+    violation: Option<InvariantViolation>,
 }
 
 #[derive(Debug, Clone)]
@@ -133,7 +133,7 @@
 }
 
 impl Group {
-    /// Three members that have just started.
+    /// Returns three members that have just started.
     pub fn new_group(&self) -> State {
         let members = (1..=MEMBERS as u64).map(MemberId).map(member).collect();
         let base = SnapshotMetadata {
@@ -154,30 +154,30 @@
             messages: Vec::new(),
             committed: Vec::new(),
             leaders: BTreeMap::new(),
-            left: self.budget,
-            broken: None,
+            remaining: self.budget,
+            violation: None,
         }
     }
 
-    /// The same with a leader whom all follow, and nothing in flight.
-    pub fn led(&self) -> State {
-        self.led_over(|_| true)
+    /// Returns a group in which all members follow a leader, with no messages in flight.
+    pub fn with_leader(&self) -> State {
+        self.elect_leader_with(|_| true)
     }
 
-    /// The same, but the last member has heard nothing of it: it was partitioned.
-    pub fn led_with_partitioned_member(&self) -> State {
+    /// Like [`with_leader`](Self::with_leader), but the last member was partitioned and has received nothing from the leader.
+    pub fn with_leader_and_partitioned_member(&self) -> State {
         let partitioned = MemberId(MEMBERS as u64);
-        self.led_over(|message| message.from != partitioned && message.to != partitioned)
+        self.elect_leader_with(|message| message.from != partitioned && message.to != partitioned)
     }
 
-    /// The same after the last member lost its disk and was let in again as another one. With `by_snapshot` the others held
-    /// no entries any more that it needed.
+    /// Like [`with_leader`](Self::with_leader), but afterwards the last member lost its disk and was added again under a new identity. With
+    /// `by_snapshot`, the other members had compacted their logs, so the new member received a snapshot.
     pub fn repaired(&self, by_snapshot: bool) -> State {
-        let mut state = self.led();
+        let mut state = self.with_leader();
         if by_snapshot {
             state.nodes.iter_mut().for_each(Node::compact);
         }
-        state.left = Budget { disk_losses: 1, heartbeats: 100, ..self.budget };
+        state.remaining = Budget { disk_losses: 1, heartbeats: 100, ..self.budget };
         self.apply(&mut state, &Event::LoseDisk(MEMBERS - 1));
         let replaced = MemberId(MEMBERS as u64 + NEW_IDENTITY);
         while state.nodes[0]
@@ -189,11 +189,11 @@
             self.run_until_idle(&mut state, |_| true);
         }
         state.messages.clear();
-        state.left = self.budget;
+        state.remaining = self.budget;
         state
     }
 
-    /// Two that have begun an election in the same term; their requests for votes are in flight.
+    /// Returns a group in which two candidates have begun an election in the same term and their vote requests are in flight.
     pub fn two_candidates(&self) -> State {
         let voter = 2;
         let is_pre_vote = |message: &Message| {
@@ -205,30 +205,33 @@
                 )
         };
         let mut state = self.new_group();
-        state.left.timeouts = 2;
+        state.remaining.timeouts = 2;
         self.apply(&mut state, &Event::Timeout(0));
         self.apply(&mut state, &Event::Timeout(2));
         self.run_until_idle(&mut state, is_pre_vote);
         state.messages.retain(|message| matches!(message.body, MessageBody::RequestVote { .. }));
-        assert_eq!(state.messages.len(), 4, "each asks the two others for their votes");
-        state.left = self.budget;
+        assert_eq!(state.messages.len(), 4, "each candidate requests votes from the two other members");
+        state.remaining = self.budget;
         state
     }
 
-    fn led_over(&self, arrives: impl Fn(&Message) -> bool) -> State {
+    fn elect_leader_with(&self, arrives: impl Fn(&Message) -> bool) -> State {
         let mut state = self.new_group();
-        state.left = Budget { timeouts: 1, heartbeats: 1, ..self.budget };
+        state.remaining = Budget { timeouts: 1, heartbeats: 1, ..self.budget };
         self.apply(&mut state, &Event::Timeout(0));
         self.run_until_idle(&mut state, &arrives);
         self.apply(&mut state, &Event::Heartbeat(0));
         self.run_until_idle(&mut state, &arrives);
         state.messages.clear();
-        assert!(state.nodes[0].replica.is_leader() && state.committed.len() == 1, "a leader's first entry");
-        state.left = self.budget;
+        assert!(
+            state.nodes[0].replica.is_leader() && state.committed.len() == 1,
+            "the leader's first entry is committed"
+        );
+        state.remaining = self.budget;
         state
     }
 
-    /// Syncs, and delivers the messages that arrive, until there is no more to do.
+    /// Syncs writes and delivers the messages for which `arrives` is true, until none are left.
     fn run_until_idle(&self, state: &mut State, arrives: impl Fn(&Message) -> bool) {
         loop {
             let is_due = |event: &Event| match event {
@@ -240,15 +243,15 @@
         }
     }
 
-    /// Does what a replica asks for.
-    fn carry_out(&self, state: &mut State, place: usize) {
-        let node = &mut state.nodes[place];
+    /// Carries out the actions that a replica requires, and records commits and leadership.
+    fn carry_out(&self, state: &mut State, slot: usize) {
+        let node = &mut state.nodes[slot];
         let mut ready = node.replica.ready();
         if ready.is_snapshot_needed {
             node.replica.offer_snapshot(vec![0; 3]);
             ready.messages.extend(node.replica.ready().messages);
         }
-        if self.mistake == Some(Mistake::AcknowledgeBeforeSync)
+        if self.injected_fault == Some(InjectedFault::AcknowledgeBeforeSync)
             && let Some(newest) = ready.writes.last()
         {
             node.replica.on_persisted(newest.sequence);
@@ -260,26 +263,26 @@
         node.writes.extend(ready.writes);
         state.messages.extend(ready.messages);
         for entry in ready.committed_entries {
-            commit(state, place, &entry);
+            commit(state, slot, &entry);
         }
-        record_leader(state, place);
-        // What is there counts, not how it came to be there.
+        record_leader(state, slot);
+        // States that differ only in the order of the messages in flight are equal.
         state.messages.sort_by_cached_key(|message| format!("{message:?}"));
     }
 
-    fn lose_power(&self, state: &mut State, place: usize) {
-        let node = &mut state.nodes[place];
+    fn lose_power(&self, state: &mut State, slot: usize) {
+        let node = &mut state.nodes[slot];
         node.writes.clear();
-        if self.mistake == Some(Mistake::ForgetVote) {
+        if self.injected_fault == Some(InjectedFault::ForgetVote) {
             node.disk.hard_state.voted_for = None;
         }
         node.replica = replica(node.identity, &node.disk, node.now);
     }
 
-    fn lose_disk(&self, state: &mut State, place: usize) {
-        let node = &mut state.nodes[place];
+    fn lose_disk(&self, state: &mut State, slot: usize) {
+        let node = &mut state.nodes[slot];
         let old = node.identity;
-        let keeps = self.mistake == Some(Mistake::KeepIdentityWithoutDisk);
+        let keeps = self.injected_fault == Some(InjectedFault::KeepIdentityWithoutDisk);
         let base = if keeps { node.disk.base.clone() } else { SnapshotMetadata::default() };
         node.identity = if keeps { old } else { MemberId(old.0 + NEW_IDENTITY) };
         node.disk = Disk { hard_state: HardState::default(), base, entries: Vec::new() };
@@ -298,25 +301,25 @@
 
     fn events(&self, state: &State) -> Vec<Event> {
         let mut events = Vec::new();
-        for (place, node) in state.nodes.iter().enumerate() {
+        for (slot, node) in state.nodes.iter().enumerate() {
             let is_leader = node.replica.is_leader();
-            if state.left.timeouts > 0 && !is_leader {
-                events.push(Event::Timeout(place));
+            if state.remaining.timeouts > 0 && !is_leader {
+                events.push(Event::Timeout(slot));
             }
-            if state.left.heartbeats > 0 && is_leader {
-                events.push(Event::Heartbeat(place));
+            if state.remaining.heartbeats > 0 && is_leader {
+                events.push(Event::Heartbeat(slot));
             }
-            if state.left.proposals > 0 && is_leader {
-                events.push(Event::Propose(place));
+            if state.remaining.proposals > 0 && is_leader {
+                events.push(Event::Propose(slot));
             }
             if !node.writes.is_empty() {
-                events.push(Event::Sync(place));
+                events.push(Event::Sync(slot));
             }
-            if state.left.power_losses > 0 {
-                events.push(Event::LosePower(place));
+            if state.remaining.power_losses > 0 {
+                events.push(Event::LosePower(slot));
             }
-            if state.left.disk_losses > 0 {
-                events.push(Event::LoseDisk(place));
+            if state.remaining.disk_losses > 0 {
+                events.push(Event::LoseDisk(slot));
             }
         }
         events.extend(state.messages.iter().cloned().map(Event::Deliver));
@@ -324,100 +327,100 @@
     }
 
     fn apply(&self, state: &mut State, event: &Event) {
-        let place = match event {
-            Event::Timeout(place) => {
-                state.left.timeouts -= 1;
-                let node = &mut state.nodes[*place];
+        let slot = match event {
+            Event::Timeout(slot) => {
+                state.remaining.timeouts -= 1;
+                let node = &mut state.nodes[*slot];
                 node.now += timing::MAX_ELECTION_TIMEOUT_MS;
                 node.replica.tick(node.now);
-                *place
+                *slot
             }
-            Event::Heartbeat(place) => {
-                state.left.heartbeats -= 1;
-                let node = &mut state.nodes[*place];
+            Event::Heartbeat(slot) => {
+                state.remaining.heartbeats -= 1;
+                let node = &mut state.nodes[*slot];
                 node.now += timing::HEARTBEAT_INTERVAL_MS;
                 node.replica.tick(node.now);
-                *place
+                *slot
             }
-            Event::Propose(place) => {
-                state.left.proposals -= 1;
-                let _ = state.nodes[*place].replica.propose(vec![1]);
-                *place
+            Event::Propose(slot) => {
+                state.remaining.proposals -= 1;
+                let _ = state.nodes[*slot].replica.propose(vec![1]);
+                *slot
             }
             Event::Deliver(message) => {
                 let known = state.messages.iter().position(|other| other == message);
-                state.messages.remove(known.expect("it is in flight"));
-                let Some(place) = state.nodes.iter().position(|node| node.identity == message.to) else {
+                state.messages.remove(known.expect("the message is in flight"));
+                let Some(slot) = state.nodes.iter().position(|node| node.identity == message.to) else {
                     return;
                 };
-                let node = &mut state.nodes[place];
+                let node = &mut state.nodes[slot];
                 node.replica.step(node.now, message.clone());
-                place
+                slot
             }
-            Event::Sync(place) => {
-                let node = &mut state.nodes[*place];
-                let write = node.writes.pop_front().expect("there is one");
+            Event::Sync(slot) => {
+                let node = &mut state.nodes[*slot];
+                let write = node.writes.pop_front().expect("Sync is offered only if a write is queued");
                 node.disk.write(&write);
                 node.replica.on_persisted(write.sequence);
-                *place
+                *slot
             }
-            Event::LosePower(place) => {
-                state.left.power_losses -= 1;
-                self.lose_power(state, *place);
-                *place
+            Event::LosePower(slot) => {
+                state.remaining.power_losses -= 1;
+                self.lose_power(state, *slot);
+                *slot
             }
-            Event::LoseDisk(place) => {
-                state.left.disk_losses -= 1;
-                self.lose_disk(state, *place);
-                *place
+            Event::LoseDisk(slot) => {
+                state.remaining.disk_losses -= 1;
+                self.lose_disk(state, *slot);
+                *slot
             }
         };
-        self.carry_out(state, place);
+        self.carry_out(state, slot);
     }
 
     fn check(&self, state: &State) -> Result<(), InvariantViolation> {
-        state.broken.clone().map_or(Ok(()), Err)
+        state.violation.clone().map_or(Ok(()), Err)
     }
 }
 
-/// A replica hands an entry over to be applied.
-fn commit(state: &mut State, place: usize, entry: &Rc<Entry>) {
+/// Records an entry that a replica returned for application, and checks State Machine Safety and the commit quorum.
+fn commit(state: &mut State, slot: usize, entry: &Rc<Entry>) {
     let known = state.committed.get(entry.index.previous().0 as usize).cloned();
     match known {
         Some(known) if known != *entry => {
-            state.broken = Some(InvariantViolation::EntryReplaced { known, entry: entry.clone() });
+            state.violation = Some(InvariantViolation::EntryReplaced { known, entry: entry.clone() });
         }
         Some(_) => {}
         None => state.committed.push(entry.clone()),
     }
-    if state.nodes[place].replica.is_leader() {
+    if state.nodes[slot].replica.is_leader() {
         let disks = state.nodes.iter().filter(|node| node.disk.has(entry)).count();
-        let membership = state.nodes[place].replica.membership();
-        // Disks may have been lost since.
+        let membership = state.nodes[slot].replica.membership();
+        // A disk may have been lost since the leader committed the entry.
         let lost = state.nodes.iter().filter(|node| node.identity > MemberId(NEW_IDENTITY)).count();
         if disks + lost < membership.commit_quorum(HOSTS_LOST) {
-            state.broken = Some(InvariantViolation::TooFewDisks { entry: entry.clone(), disks });
+            state.violation = Some(InvariantViolation::TooFewDisks { entry: entry.clone(), disks });
         }
     }
 }
 
-/// A leader is alone in its term, and has what is committed.
-fn record_leader(state: &mut State, place: usize) {
-    let node = &state.nodes[place];
+/// Records the leader of a term, and checks Election Safety and Leader Completeness.
+fn record_leader(state: &mut State, slot: usize) {
+    let node = &state.nodes[slot];
     if !node.replica.is_leader() {
         return;
     }
     let (term, identity) = (node.replica.term(), node.identity);
     let first = *state.leaders.entry(term).or_insert(identity);
     if first != identity {
-        state.broken = Some(InvariantViolation::TwoLeaders { first, second: identity, term });
+        state.violation = Some(InvariantViolation::TwoLeaders { first, second: identity, term });
     }
     let is_newest = state.leaders.keys().next_back() == Some(&term);
     let known = node.replica.commit_index();
     let log = node.replica.entries_after(known);
     let lacks = |entry: &&Rc<Entry>| entry.index > known && !log.contains(entry);
     if let Some(missing) = state.committed.iter().find(|entry| is_newest && lacks(entry)) {
-        state.broken = Some(InvariantViolation::IncompleteLeader { term, missing: missing.clone() });
+        state.violation = Some(InvariantViolation::IncompleteLeader { term, missing: missing.clone() });
     }
 }
 
--- a/crates/replication/tests/model_check/main.rs
+++ b/crates/replication/tests/model_check/main.rs
@@ -1,50 +1,51 @@
-//! A group of three replicas at small sizes, in every order of events: elections at any moment, messages that arrive late or
-//! never, syncs, losses of power that take with them what was not synced, a disk that is lost and the change of members that
-//! follows.
+//! Model check of a group of three replicas: every order of a limited number of events. Elections may begin at any time,
+//! messages may be delayed or lost, a power failure loses writes that are not synced, and a lost disk leads to a membership
+//! change.
 //!
-//! What must hold: at most one leader in each term, who has every committed entry; the same entry committed everywhere at an
-//! index; and a committed entry is on the disks of a majority, and of `hosts_lost + 1`, when its leader says so.
+//! Checked properties: each term has at most one leader; the leader has every committed entry; all replicas commit the same
+//! entry at an index; and when a leader commits an entry, it is on the disks of a majority and of at least `hosts_lost + 1`
+//! voters.
 
 mod group;
 
-use group::{Budget, Group, InvariantViolation, Mistake};
+use group::{Budget, Group, InjectedFault, InvariantViolation};
 use opalrun_model_check::{Outcome, explore};
 
-/// States that are explored of a size that is too large to be exhausted.
-const NEAREST_STATES: usize = 12_000;
-const LARGE_STATES: usize = 600_000;
-/// Far above any size that is meant to be exhausted.
-const ALL_STATES: usize = 2_000_000;
+/// Maximum number of states explored where exhaustive exploration takes too long.
+const DEFAULT_STATE_LIMIT: usize = 12_000;
+const LARGE_STATE_LIMIT: usize = 600_000;
+/// Maximum number of states of an exhaustive exploration, well above the size of any state space that is to be exhausted.
+const EXHAUSTIVE_STATE_LIMIT: usize = 2_000_000;
 
-/// Whether larger sizes are asked for.
+/// Returns whether the environment requests explorations of large state spaces.
 fn is_large() -> bool {
     std::env::var_os("OPALRUN_MODEL_CHECK").is_some_and(|value| value == "large")
 }
 
-fn nearest() -> usize {
-    if is_large() { LARGE_STATES } else { NEAREST_STATES }
+fn state_limit() -> usize {
+    if is_large() { LARGE_STATE_LIMIT } else { DEFAULT_STATE_LIMIT }
 }
 
-/// Where an exploration begins.
+/// The initial state of an exploration.
 #[derive(Clone, Copy)]
 enum Start {
-    /// Nobody has heard of anybody.
+    /// The members have just started.
     New,
-    /// All follow a leader.
-    Led,
-    /// One has heard nothing of the leader that the others follow.
-    LedWithPartitionedMember,
-    /// Two have begun an election in the same term.
+    /// All members follow a leader.
+    WithLeader,
+    /// One member has received nothing from the leader that the others follow.
+    WithLeaderAndPartitionedMember,
+    /// Two candidates have begun an election in the same term.
     TwoCandidates,
-    /// One has lost its disk and was let in again, by entries or by a snapshot.
+    /// One member lost its disk and was added again under a new identity; it caught up by entries or by a snapshot.
     Repaired { by_snapshot: bool },
 }
 
 fn check(group: &Group, start: Start, max_states: usize) -> Outcome<InvariantViolation> {
     let initial = match start {
         Start::New => group.new_group(),
-        Start::Led => group.led(),
-        Start::LedWithPartitionedMember => group.led_with_partitioned_member(),
+        Start::WithLeader => group.with_leader(),
+        Start::WithLeaderAndPartitionedMember => group.with_leader_and_partitioned_member(),
         Start::TwoCandidates => group.two_candidates(),
         Start::Repaired { by_snapshot } => group.repaired(by_snapshot),
     };
@@ -53,119 +54,135 @@
     outcome
 }
 
-fn keeps_the_rules(budget: Budget, start: Start, max_states: usize) -> Outcome<InvariantViolation> {
-    let outcome = check(&Group { budget, mistake: None }, start, max_states);
+fn assert_safe(budget: Budget, start: Start, max_states: usize) -> Outcome<InvariantViolation> {
+    let outcome = check(&Group { budget, injected_fault: None }, start, max_states);
     assert_eq!(outcome.counterexample, None);
     outcome
 }
 
-fn find(budget: Budget, mistake: Mistake, start: Start) {
-    let outcome = check(&Group { budget, mistake: Some(mistake) }, start, ALL_STATES);
-    let counterexample = outcome.counterexample.unwrap_or_else(|| panic!("{mistake:?} was not found"));
-    println!("{mistake:?}: {} after {} events", counterexample.violation, counterexample.events.len());
+fn assert_detected(budget: Budget, injected_fault: InjectedFault, start: Start) {
+    let outcome =
+        check(&Group { budget, injected_fault: Some(injected_fault) }, start, EXHAUSTIVE_STATE_LIMIT);
+    let counterexample =
+        outcome.counterexample.unwrap_or_else(|| panic!("{injected_fault:?} was not detected"));
+    println!("{injected_fault:?}: {} after {} events", counterexample.violation, counterexample.events.len());
 }
 
-const NOTHING: Budget = Budget { timeouts: 0, proposals: 0, heartbeats: 0, power_losses: 0, disk_losses: 0 };
+const NO_EVENTS: Budget =
+    Budget { timeouts: 0, proposals: 0, heartbeats: 0, power_losses: 0, disk_losses: 0 };
 
 #[test]
-fn one_election_is_exhausted() {
-    let outcome = keeps_the_rules(Budget { timeouts: 1, ..NOTHING }, Start::New, ALL_STATES);
+fn one_election_is_safe_exhaustively() {
+    let outcome = assert_safe(Budget { timeouts: 1, ..NO_EVENTS }, Start::New, EXHAUSTIVE_STATE_LIMIT);
     assert!(outcome.is_exhaustive);
 }
 
 #[test]
-fn one_proposal_is_exhausted() {
-    let outcome = keeps_the_rules(Budget { proposals: 1, ..NOTHING }, Start::Led, ALL_STATES);
+fn one_proposal_is_safe_exhaustively() {
+    let outcome =
+        assert_safe(Budget { proposals: 1, ..NO_EVENTS }, Start::WithLeader, EXHAUSTIVE_STATE_LIMIT);
     assert!(outcome.is_exhaustive);
 }
 
-/// 51,290 states, which an unoptimised build does not reach soon: so all of them where larger sizes are asked for.
+/// The state space has 51,290 states, too many for an unoptimised build in a short time; it is explored exhaustively only if
+/// large state spaces are requested.
 #[test]
-fn a_proposal_and_a_heartbeat() {
-    let budget = Budget { proposals: 1, heartbeats: 1, ..NOTHING };
-    let outcome = keeps_the_rules(budget, Start::Led, nearest());
+fn a_proposal_and_a_heartbeat_are_safe() {
+    let budget = Budget { proposals: 1, heartbeats: 1, ..NO_EVENTS };
+    let outcome = assert_safe(budget, Start::WithLeader, state_limit());
     assert!(outcome.is_exhaustive || !is_large());
 }
 
 #[test]
-fn a_proposal_and_a_loss_of_power_are_exhausted() {
-    let outcome =
-        keeps_the_rules(Budget { proposals: 1, power_losses: 1, ..NOTHING }, Start::Led, ALL_STATES);
+fn a_proposal_and_a_power_failure_are_safe_exhaustively() {
+    let outcome = assert_safe(
+        Budget { proposals: 1, power_losses: 1, ..NO_EVENTS },
+        Start::WithLeader,
+        EXHAUSTIVE_STATE_LIMIT,
+    );
     assert!(outcome.is_exhaustive);
 }
 
 #[test]
-fn two_candidates_to_a_depth() {
-    keeps_the_rules(Budget { timeouts: 2, ..NOTHING }, Start::New, nearest());
+fn two_candidates_are_safe_up_to_a_state_limit() {
+    assert_safe(Budget { timeouts: 2, ..NO_EVENTS }, Start::New, state_limit());
 }
 
 #[test]
-fn a_proposal_while_another_is_elected_to_a_depth() {
-    keeps_the_rules(Budget { timeouts: 2, proposals: 1, power_losses: 1, ..NOTHING }, Start::Led, nearest());
+fn a_proposal_during_elections_is_safe_up_to_a_state_limit() {
+    assert_safe(
+        Budget { timeouts: 2, proposals: 1, power_losses: 1, ..NO_EVENTS },
+        Start::WithLeader,
+        state_limit(),
+    );
 }
 
 #[test]
-fn a_lost_disk_and_a_new_member_to_a_depth() {
-    keeps_the_rules(Budget { proposals: 1, heartbeats: 4, disk_losses: 1, ..NOTHING }, Start::Led, nearest());
+fn a_lost_disk_and_a_new_member_are_safe_up_to_a_state_limit() {
+    assert_safe(
+        Budget { proposals: 1, heartbeats: 4, disk_losses: 1, ..NO_EVENTS },
+        Start::WithLeader,
+        state_limit(),
+    );
 }
 
 #[test]
-fn a_partitioned_member_and_a_lost_disk_are_exhausted() {
-    let budget = Budget { timeouts: 1, disk_losses: 1, ..NOTHING };
-    assert!(keeps_the_rules(budget, Start::LedWithPartitionedMember, ALL_STATES).is_exhaustive);
+fn a_partitioned_member_and_a_lost_disk_are_safe_exhaustively() {
+    let budget = Budget { timeouts: 1, disk_losses: 1, ..NO_EVENTS };
+    assert!(assert_safe(budget, Start::WithLeaderAndPartitionedMember, EXHAUSTIVE_STATE_LIMIT).is_exhaustive);
 }
 
 #[test]
-fn a_partitioned_member_and_a_loss_of_power_are_exhausted() {
-    let budget = Budget { timeouts: 1, power_losses: 1, ..NOTHING };
-    assert!(keeps_the_rules(budget, Start::LedWithPartitionedMember, ALL_STATES).is_exhaustive);
+fn a_partitioned_member_and_a_power_failure_are_safe_exhaustively() {
+    let budget = Budget { timeouts: 1, power_losses: 1, ..NO_EVENTS };
+    assert!(assert_safe(budget, Start::WithLeaderAndPartitionedMember, EXHAUSTIVE_STATE_LIMIT).is_exhaustive);
 }
 
 #[test]
-fn two_candidates_in_one_term_and_a_loss_of_power_are_exhausted() {
-    let budget = Budget { power_losses: 1, ..NOTHING };
-    assert!(keeps_the_rules(budget, Start::TwoCandidates, ALL_STATES).is_exhaustive);
+fn two_candidates_in_one_term_and_a_power_failure_are_safe_exhaustively() {
+    let budget = Budget { power_losses: 1, ..NO_EVENTS };
+    assert!(assert_safe(budget, Start::TwoCandidates, EXHAUSTIVE_STATE_LIMIT).is_exhaustive);
 }
 
-/// A second disk is lost after the first was replaced, so the members change a second time.
+/// A second disk is lost after the first was replaced, so the membership changes a second time.
 #[test]
-fn a_second_lost_disk_after_a_repair_to_a_depth() {
+fn a_second_lost_disk_after_a_repair_is_safe_up_to_a_state_limit() {
     for by_snapshot in [false, true] {
-        let budget = Budget { proposals: 1, heartbeats: 4, disk_losses: 1, ..NOTHING };
-        keeps_the_rules(budget, Start::Repaired { by_snapshot }, nearest());
+        let budget = Budget { proposals: 1, heartbeats: 4, disk_losses: 1, ..NO_EVENTS };
+        assert_safe(budget, Start::Repaired { by_snapshot }, state_limit());
     }
 }
 
 #[test]
-fn an_election_and_a_lost_disk_after_a_repair_are_exhausted() {
+fn an_election_and_a_lost_disk_after_a_repair_are_safe_exhaustively() {
     for by_snapshot in [false, true] {
-        let budget = Budget { timeouts: 1, disk_losses: 1, ..NOTHING };
-        assert!(keeps_the_rules(budget, Start::Repaired { by_snapshot }, ALL_STATES).is_exhaustive);
+        let budget = Budget { timeouts: 1, disk_losses: 1, ..NO_EVENTS };
+        assert!(assert_safe(budget, Start::Repaired { by_snapshot }, EXHAUSTIVE_STATE_LIMIT).is_exhaustive);
     }
 }
 
 #[test]
-fn an_election_and_a_loss_of_power_after_a_repair_are_exhausted() {
+fn an_election_and_a_power_failure_after_a_repair_are_safe_exhaustively() {
     for by_snapshot in [false, true] {
-        let budget = Budget { timeouts: 1, power_losses: 1, ..NOTHING };
-        assert!(keeps_the_rules(budget, Start::Repaired { by_snapshot }, ALL_STATES).is_exhaustive);
+        let budget = Budget { timeouts: 1, power_losses: 1, ..NO_EVENTS };
+        assert!(assert_safe(budget, Start::Repaired { by_snapshot }, EXHAUSTIVE_STATE_LIMIT).is_exhaustive);
     }
 }
 
 #[test]
-fn an_acknowledgement_before_the_sync_is_found() {
-    let budget = Budget { proposals: 1, ..NOTHING };
-    find(budget, Mistake::AcknowledgeBeforeSync, Start::Led);
+fn acknowledgement_before_the_sync_is_detected() {
+    let budget = Budget { proposals: 1, ..NO_EVENTS };
+    assert_detected(budget, InjectedFault::AcknowledgeBeforeSync, Start::WithLeader);
 }
 
 #[test]
-fn a_forgotten_vote_is_found() {
-    let budget = Budget { power_losses: 1, ..NOTHING };
-    find(budget, Mistake::ForgetVote, Start::TwoCandidates);
+fn a_lost_vote_is_detected() {
+    let budget = Budget { power_losses: 1, ..NO_EVENTS };
+    assert_detected(budget, InjectedFault::ForgetVote, Start::TwoCandidates);
 }
 
 #[test]
-fn a_member_without_its_disk_that_votes_as_before_is_found() {
-    let budget = Budget { timeouts: 1, disk_losses: 1, ..NOTHING };
-    find(budget, Mistake::KeepIdentityWithoutDisk, Start::LedWithPartitionedMember);
+fn reuse_of_an_identity_after_a_disk_loss_is_detected() {
+    let budget = Budget { timeouts: 1, disk_losses: 1, ..NO_EVENTS };
+    assert_detected(budget, InjectedFault::KeepIdentityWithoutDisk, Start::WithLeaderAndPartitionedMember);
 }
--- a/crates/replication/tests/rules/append_entries.rs
+++ b/crates/replication/tests/rules/append_entries.rs
@@ -1,14 +1,14 @@
-//! What a follower does with entries and heartbeats (Raft §5.3).
+//! Handling of entries and heartbeats by a follower (Raft §5.3).
 
 use crate::support::{append, from, replica, restored, synced};
 use opalrun_replication::{AppendOutcome, LogIndex, MessageBody, Term};
 
 #[test]
-fn a_heartbeat_is_answered_with_what_is_synced() {
+fn a_heartbeat_response_acknowledges_only_synced_entries() {
     let mut replica = replica(1, restored(&[1, 2, 3], 1, &[1]));
     replica.step(10, from(2, Term(1), append((1, 1), &[(2, 1), (3, 1)], 0)));
     let ready = replica.ready();
-    assert!(ready.messages.is_empty(), "the entries are acknowledged only when synced");
+    assert!(ready.messages.is_empty(), "entries are acknowledged only once they are synced");
     replica.step(20, from(2, Term(1), append((3, 1), &[], 0)));
     let answers = replica.ready().messages;
     let expected = MessageBody::AppendEntriesResponse {
--- a/crates/replication/tests/rules/commit.rs
+++ b/crates/replication/tests/rules/commit.rs
@@ -1,4 +1,4 @@
-//! When an entry counts as committed (Raft §5.4.2), and how much may wait for it.
+//! Commit rule (Raft §5.4.2), and limits on uncommitted entries.
 
 use crate::support::{MEGABYTE, accept, elect, replica, restored, synced};
 use opalrun_replication::{LogIndex, MAX_UNCOMMITTED_BYTES, ProposeError};
@@ -9,13 +9,17 @@
     let now = elect(&mut replica, &[2]);
     synced(&mut replica);
     accept(&mut replica, now, 2, 0, 2);
-    assert_eq!(replica.commit_index(), LogIndex(0), "entry 2 is on a majority, but of an earlier term");
+    assert_eq!(
+        replica.commit_index(),
+        LogIndex(0),
+        "entry 2 is on a majority, but its term is not the current one"
+    );
     accept(&mut replica, now, 2, 0, 3);
     assert_eq!(replica.commit_index(), LogIndex(3));
 }
 
 #[test]
-fn a_commit_needs_one_disk_more_than_may_be_lost() {
+fn a_commit_needs_one_more_disk_than_may_be_lost() {
     let mut replica = replica(2, restored(&[1, 2, 3], 0, &[]));
     let now = elect(&mut replica, &[2]);
     synced(&mut replica);
@@ -26,7 +30,7 @@
 }
 
 #[test]
-fn the_own_disk_counts_only_when_synced() {
+fn the_leaders_own_disk_counts_only_once_synced() {
     let mut replica = replica(1, restored(&[1, 2, 3], 0, &[]));
     let now = elect(&mut replica, &[2]);
     let ready = replica.ready();
@@ -37,27 +41,27 @@
 }
 
 #[test]
-fn uncommitted_entries_are_bounded_in_bytes() {
+fn the_size_of_uncommitted_entries_is_limited() {
     let mut replica = replica(1, restored(&[1, 2, 3], 0, &[]));
     elect(&mut replica, &[2]);
     synced(&mut replica);
-    let mut taken = 0;
+    let mut accepted_bytes = 0;
     while replica.propose(vec![0; 4 * MEGABYTE]).is_ok() {
-        taken += 4 * MEGABYTE;
-        assert!(taken <= MAX_UNCOMMITTED_BYTES);
+        accepted_bytes += 4 * MEGABYTE;
+        assert!(accepted_bytes <= MAX_UNCOMMITTED_BYTES);
     }
-    assert!(taken + 4 * MEGABYTE >= MAX_UNCOMMITTED_BYTES, "{taken} bytes were taken");
+    assert!(accepted_bytes + 4 * MEGABYTE >= MAX_UNCOMMITTED_BYTES, "{accepted_bytes} bytes were accepted");
     assert_eq!(replica.propose(vec![0; 4 * MEGABYTE]), Err(ProposeError::TooManyUncommitted));
-    replica.propose(vec![0; 100]).expect("a short one has room");
+    replica.propose(vec![0; 100]).expect("a short command is within the limit");
 }
 
 #[test]
-fn a_command_longer_than_the_bound_is_taken_alone() {
+fn a_command_over_the_limit_is_accepted_if_nothing_else_is_uncommitted() {
     let mut replica = replica(0, restored(&[1], 0, &[]));
     elect(&mut replica, &[]);
     synced(&mut replica);
-    replica.propose(vec![0; MAX_UNCOMMITTED_BYTES + 1]).expect("nothing else waits");
+    replica.propose(vec![0; MAX_UNCOMMITTED_BYTES + 1]).expect("no other entry is uncommitted");
     assert_eq!(replica.propose(vec![0]), Err(ProposeError::TooManyUncommitted));
     synced(&mut replica);
-    replica.propose(vec![0]).expect("it is committed");
+    replica.propose(vec![0]).expect("the long command is committed");
 }
--- a/crates/replication/tests/rules/election.rs
+++ b/crates/replication/tests/rules/election.rs
@@ -6,7 +6,7 @@
 };
 
 #[test]
-fn a_vote_is_given_once_and_only_when_synced() {
+fn a_vote_is_granted_once_per_term_and_only_after_the_sync() {
     let mut replica = replica(1, restored(&[1, 2, 3], 1, &[1]));
     let ask = MessageBody::RequestVote {
         last_log_index: LogIndex(1),
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn no_vote_while_a_leader_is_heard() {
+fn votes_are_denied_while_a_leader_is_active() {
     let mut replica = replica(1, restored(&[1, 2, 3], 1, &[1]));
     replica.step(10, from(2, Term(1), append((1, 1), &[], 0)));
     synced(&mut replica);
@@ -41,7 +41,7 @@
         is_leadership_transfer: transfer,
     };
     replica.step(20, from(3, Term(5), ask(false)));
-    assert_eq!(replica.term(), Term(1), "a process that was cut off does not disturb");
+    assert_eq!(replica.term(), Term(1), "a replica that was partitioned does not change the term");
     replica.step(
         20,
         from(3, Term(2), MessageBody::RequestPreVote { last_log_index: LogIndex(9), last_log_term: Term(1) }),
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_replica_that_is_no_member_never_begins_an_election() {
+fn a_replica_that_is_not_a_member_never_begins_an_election() {
     let mut replica = replica(1, RestoredState::default());
     for now in 0..100 {
         replica.tick(now * 100);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_member_that_hears_nobody_keeps_its_term() {
+fn an_isolated_member_keeps_its_term() {
     let mut replica = replica(1, restored(&[1, 2, 3], 4, &[1]));
     for now in 0..100 {
         replica.tick(now * 100);
@@ -75,13 +75,14 @@
     assert_eq!(replica.term(), Term(4));
 }
 
-/// The pre-vote that a replica which has just asked for pre-votes itself gives to another one with the same log.
+/// Returns whether a replica that requested pre-votes itself `waited` milliseconds ago grants its pre-vote to another
+/// replica with the same log.
 fn pre_vote_of_a_pre_candidate(own: u64, other: u64, waited: u64) -> bool {
     let options = Options { identity: MemberId(own), hosts_lost: 1, seed: 7 };
     let mut replica = Replica::new(options, restored(&[1, 2, 3], 1, &[1]), 0);
     let asked_at = timing::MAX_ELECTION_TIMEOUT_MS;
     replica.tick(asked_at);
-    assert!(!synced(&mut replica).messages.is_empty(), "it asks for pre-votes");
+    assert!(!synced(&mut replica).messages.is_empty(), "the replica requests pre-votes");
     let ask = MessageBody::RequestPreVote { last_log_index: LogIndex(1), last_log_term: Term(1) };
     replica.step(
         asked_at + waited,
@@ -92,9 +93,9 @@
 }
 
 #[test]
-fn of_two_simultaneous_pre_candidates_only_one_gets_the_others_pre_vote() {
+fn of_two_simultaneous_pre_candidates_only_one_receives_the_others_pre_vote() {
     assert!(pre_vote_of_a_pre_candidate(1, 2, 0));
     assert!(!pre_vote_of_a_pre_candidate(2, 1, 0));
-    // One that did not get through does not hold the other up.
+    // After PRE_VOTE_PRIORITY_MS, a pre-candidate of higher priority no longer denies its pre-vote.
     assert!(pre_vote_of_a_pre_candidate(2, 1, timing::PRE_VOTE_PRIORITY_MS));
 }
--- a/crates/replication/tests/rules/install_snapshot.rs
+++ b/crates/replication/tests/rules/install_snapshot.rs
@@ -1,6 +1,6 @@
-//! Snapshots in chunks, and the entries that are kept beside them (Raft §7).
+//! Chunked snapshot transfer, and the log entries that are kept for members catching up (Raft §7).
 
-use crate::support::{MEGABYTE, from, leader_with_learner, members, pass, replica, synced};
+use crate::support::{MEGABYTE, advance, from, leader_with_learner, members, replica, synced};
 use opalrun_replication::{
     AppendOutcome, LogIndex, MAX_CATCH_UP_BYTES, MAX_SNAPSHOT_BYTES, MessageBody, Ready, RestoredState,
     SnapshotMetadata, Term, timing,
@@ -15,7 +15,7 @@
     }
 }
 
-/// A chunk of `state`, as a leader with that state would send it.
+/// Returns the chunk of `state` from byte `from` to byte `to`, as a leader with that state would send it.
 fn chunk(state: &[u8], from: usize, to: usize) -> MessageBody {
     MessageBody::InstallSnapshot {
         metadata: header(),
@@ -28,11 +28,11 @@
     }
 }
 
-fn received(ready: &Ready) -> Vec<MessageBody> {
+fn sent_bodies(ready: &Ready) -> Vec<MessageBody> {
     ready.messages.iter().map(|message| message.body.clone()).collect()
 }
 
-fn asks_from(bytes: u64) -> Vec<MessageBody> {
+fn chunk_request_from(bytes: u64) -> Vec<MessageBody> {
     vec![MessageBody::InstallSnapshotResponse {
         last_included_index: LogIndex(40),
         received_bytes: bytes,
@@ -45,7 +45,7 @@
     let mut replica = replica(1, RestoredState::default());
     let state = vec![7; 100];
     replica.step(10, from(2, Term(1), chunk(&state, 0, 60)));
-    assert_eq!(received(&synced(&mut replica)), asks_from(60));
+    assert_eq!(sent_bodies(&synced(&mut replica)), chunk_request_from(60));
     replica.step(20, from(3, Term(2), chunk(&state, 60, 100)));
     let ready = synced(&mut replica);
     assert_eq!(ready.snapshot_to_install.map(|snapshot| snapshot.state.clone()), Some(state));
@@ -61,13 +61,17 @@
     replica.step(20, from(3, Term(2), chunk(&other, 60, 100)));
     let ready = synced(&mut replica);
     assert!(ready.snapshot_to_install.is_none());
-    assert_eq!(received(&ready), asks_from(0), "the other leader's begins from its first chunk");
+    assert_eq!(
+        sent_bodies(&ready),
+        chunk_request_from(0),
+        "the other leader's snapshot is requested from its first chunk"
+    );
     replica.step(30, from(3, Term(2), chunk(&other, 0, 100)));
     assert_eq!(synced(&mut replica).snapshot_to_install.map(|snapshot| snapshot.state.clone()), Some(other));
 }
 
 #[test]
-fn a_snapshot_with_a_wrong_digest_is_received_again() {
+fn a_snapshot_with_a_wrong_digest_is_requested_again() {
     let mut replica = replica(1, RestoredState::default());
     let state = vec![7; 100];
     let MessageBody::InstallSnapshot {
@@ -80,10 +84,10 @@
         acknowledged_round,
     } = chunk(&state, 0, 100)
     else {
-        unreachable!("it is a chunk");
+        unreachable!("chunk() returns InstallSnapshot");
     };
     bytes[50] = 9;
-    let spoilt = MessageBody::InstallSnapshot {
+    let corrupted = MessageBody::InstallSnapshot {
         metadata: header,
         total_bytes: total,
         digest,
@@ -92,16 +96,16 @@
         round,
         acknowledged_round,
     };
-    replica.step(10, from(2, Term(1), spoilt));
+    replica.step(10, from(2, Term(1), corrupted));
     let ready = synced(&mut replica);
     assert!(ready.snapshot_to_install.is_none());
-    assert_eq!(received(&ready), asks_from(0));
+    assert_eq!(sent_bodies(&ready), chunk_request_from(0));
     replica.step(20, from(2, Term(1), chunk(&state, 0, 100)));
     assert!(synced(&mut replica).snapshot_to_install.is_some());
 }
 
 #[test]
-fn a_chunk_beyond_its_state_or_of_too_long_a_state_is_dropped() {
+fn a_chunk_beyond_the_state_or_of_an_oversized_state_is_dropped() {
     let sized = |total: u64, offset: u64| {
         let MessageBody::InstallSnapshot {
             metadata: header,
@@ -112,7 +116,7 @@
             ..
         } = chunk(&[7; 100], 0, 100)
         else {
-            unreachable!("it is a chunk");
+            unreachable!("chunk() returns InstallSnapshot");
         };
         MessageBody::InstallSnapshot {
             metadata: header,
@@ -133,17 +137,17 @@
 }
 
 #[test]
-fn entries_that_a_member_needs_after_its_snapshot_are_kept_while_they_fit() {
+fn entries_that_a_member_needs_after_its_snapshot_are_kept_up_to_the_limit() {
     let (mut replica, mut now) = leader_with_learner();
     let mut bytes = 0;
     while bytes <= MAX_CATCH_UP_BYTES {
-        replica.propose(vec![0; 4 * MEGABYTE]).expect("there is room");
+        replica.propose(vec![0; 4 * MEGABYTE]).expect("below the limit of uncommitted entries");
         synced(&mut replica);
-        pass(&mut replica, &mut now, None);
+        advance(&mut replica, &mut now, None);
         bytes += 4 * MEGABYTE;
     }
     replica.compact(replica.commit_index(), 0, 0);
-    // The learner has nothing, and what it lacks is too much to be kept: it is sent a snapshot.
+    // The learner's log is empty and the entries that it needs exceed the limit, so it is sent a snapshot.
     let round = 100;
     let rejected =
         AppendOutcome::Rejected { previous_log_index: replica.last_index(), hint_index: LogIndex(0) };
@@ -156,11 +160,11 @@
     replica.offer_snapshot(vec![1; 600 << 10]);
     let sent_at = replica.commit_index();
     synced(&mut replica);
-    // Meanwhile changes go on, and each is followed by a snapshot on disk.
+    // During the transfer, entries are committed, and the log is compacted after each of them.
     for _ in 0..20 {
-        replica.propose(vec![0; MEGABYTE]).expect("there is room");
+        replica.propose(vec![0; MEGABYTE]).expect("below the limit of uncommitted entries");
         synced(&mut replica);
-        pass(&mut replica, &mut now, None);
+        advance(&mut replica, &mut now, None);
         let answer = MessageBody::InstallSnapshotResponse {
             last_included_index: sent_at,
             received_bytes: 0,
@@ -169,21 +173,21 @@
         replica.step(now, from(4, replica.term(), answer));
         replica.compact(replica.commit_index(), 0, 0);
     }
-    let ready = pass(&mut replica, &mut now, None);
+    let ready = advance(&mut replica, &mut now, None);
     let chunks = ready.iter().filter_map(|message| match &message.body {
         MessageBody::InstallSnapshot { metadata: header, .. } => Some(header.last_included_index),
         _ => None,
     });
-    assert!(chunks.clone().all(|index| index == sent_at), "the snapshot under way stays useful");
-    assert!(replica.entries_after(sent_at).len() >= 20, "what follows the snapshot is still there");
-    // Beyond the bound a fresh snapshot is the shorter way.
+    assert!(chunks.clone().all(|index| index == sent_at), "the transfer continues with the same snapshot");
+    assert!(replica.entries_after(sent_at).len() >= 20, "entries after the snapshot are kept");
+    // Beyond the limit, the entries are compacted and a new snapshot is needed.
     let mut bytes = 0;
     while bytes <= MAX_CATCH_UP_BYTES {
-        replica.propose(vec![0; 4 * MEGABYTE]).expect("there is room");
+        replica.propose(vec![0; 4 * MEGABYTE]).expect("below the limit of uncommitted entries");
         synced(&mut replica);
-        pass(&mut replica, &mut now, None);
+        advance(&mut replica, &mut now, None);
         bytes += 4 * MEGABYTE;
     }
     replica.compact(replica.commit_index(), 0, 0);
-    assert!(replica.entries_after(sent_at).len() < 4, "what lies before the snapshot on disk is given up");
+    assert!(replica.entries_after(sent_at).len() < 4, "entries beyond the limit are compacted");
 }
--- a/crates/replication/tests/rules/main.rs
+++ b/crates/replication/tests/rules/main.rs
@@ -1,4 +1,4 @@
-//! Single replicas driven by hand, one rule at a time.
+//! Unit tests of single protocol rules on one replica, with scripted messages.
 
 mod append_entries;
 mod commit;
--- a/crates/replication/tests/rules/membership_change.rs
+++ b/crates/replication/tests/rules/membership_change.rs
@@ -1,38 +1,40 @@
-//! Changes of the membership, and when a learner has caught up (thesis §4.1, §4.2.1).
+//! Membership changes, and when a learner has caught up (thesis §4.1, §4.2.1).
 
-use crate::support::{MEGABYTE, accept, elect, leader_with_learner, pass, replica, restored, synced};
+use crate::support::{MEGABYTE, accept, advance, elect, leader_with_learner, replica, restored, synced};
 use opalrun_replication::{Member, MemberId, Membership, Replica, timing};
 
 fn voters(membership: &Membership) -> Vec<MemberId> {
     membership.voters().collect()
 }
 
-/// Two long commands in each tenth of a second, with the learner always so many entries behind. Returns the voters at the end.
+/// Commits two 1 MiB commands every 100 ms while the learner stays `entries` entries behind the leader. Returns the voters
+/// at the end.
 fn voters_with_a_learner_behind_by(entries: u64) -> Vec<MemberId> {
     let (mut replica, mut now) = leader_with_learner();
-    pass(&mut replica, &mut now, None);
+    advance(&mut replica, &mut now, None);
     for _ in 0..40 {
         for _ in 0..2 {
-            replica.propose(vec![0; MEGABYTE]).expect("there is room");
+            replica.propose(vec![0; MEGABYTE]).expect("below the limit of uncommitted entries");
         }
         synced(&mut replica);
         let matched = replica.last_index().saturating_sub(entries);
-        pass(&mut replica, &mut now, Some(matched.0));
+        advance(&mut replica, &mut now, Some(matched.0));
     }
     voters(replica.membership())
 }
 
 #[test]
-fn a_learner_that_always_lags_by_a_second_of_long_commands_has_not_caught_up() {
-    assert_eq!(voters_with_a_learner_behind_by(20), [1, 2, 3].map(MemberId), "it is 20 MB behind");
+fn a_learner_that_lags_by_a_second_of_long_commands_has_not_caught_up() {
+    assert_eq!(voters_with_a_learner_behind_by(20), [1, 2, 3].map(MemberId), "the learner is 20 MiB behind");
 }
 
 #[test]
-fn a_learner_catches_up_while_changes_go_on() {
+fn a_learner_catches_up_while_commands_are_committed() {
     assert_eq!(voters_with_a_learner_behind_by(2), [1, 2, 3, 4].map(MemberId));
 }
 
-/// Until an entry of its own term is committed, a leader may hold a change of the members that others have replaced.
+/// Until an entry of its own term is committed, a leader's log may contain an uncommitted membership change that other
+/// members have already replaced.
 #[test]
 fn a_new_leader_does_not_change_the_membership_until_its_first_entry_is_committed() {
     let mut replica = replica(1, restored(&[1, 2, 3], 1, &[1]));
@@ -54,16 +56,16 @@
     for _ in 0..3 {
         heartbeat(&mut replica, 1);
         assert!(replica.membership().get(MemberId(4)).is_none());
-        assert_eq!(replica.committed_voters(), None, "nor does it say who votes");
+        assert_eq!(replica.committed_voters(), None, "the voters are not reported either");
     }
     heartbeat(&mut replica, 2);
     heartbeat(&mut replica, 2);
     assert!(replica.membership().get(MemberId(4)).is_some());
 }
 
-/// Of two changes under way at once the majorities need not meet.
+/// If two changes are in progress at once, a majority of the old and one of the new membership need not share a voter.
 #[test]
-fn a_membership_change_waits_for_the_one_before() {
+fn a_membership_change_waits_until_the_previous_one_is_committed() {
     let (mut replica, mut now) = leader_with_learner();
     let member = |identity: u64| Member {
         identity: MemberId(identity),
@@ -75,7 +77,7 @@
     synced(&mut replica);
     assert!(
         replica.membership().get(MemberId(4)).is_some(),
-        "the first change is in the log, and not committed"
+        "the first change is in the log, but not committed"
     );
     replica.set_desired_members((1..=5).map(member).collect());
     for _ in 0..3 {
--- a/crates/replication/tests/rules/messages.rs
+++ b/crates/replication/tests/rules/messages.rs
@@ -1,4 +1,4 @@
-//! Messages that are not for this replica, or that no replica would send.
+//! Misaddressed messages, and arbitrary messages that no correct replica would send.
 
 use crate::support::{append, elect, from, members, replica, restored, synced};
 use opalrun_replication::{
--- a/crates/replication/tests/rules/support.rs
+++ b/crates/replication/tests/rules/support.rs
@@ -1,4 +1,4 @@
-//! One replica driven by hand.
+//! Helpers that drive one replica with scripted messages.
 
 use opalrun_replication::{
     AppendOutcome, Entry, HardState, LogIndex, Member, MemberId, Membership, Message, MessageBody, Options,
@@ -38,7 +38,7 @@
     Replica::new(Options { identity: MemberId(1), hosts_lost, seed: 7 }, restored, 0)
 }
 
-/// Takes the ready and has all its writes, and those that follow from it, synced at once.
+/// Syncs all writes of `ready`, and those that result from the syncs, immediately. Returns the combined result.
 pub fn synced(replica: &mut Replica) -> Ready {
     let mut ready = replica.ready();
     let mut newest = ready.writes.last().map(|write| write.sequence);
@@ -66,7 +66,7 @@
     replica.step(now, from(identity, replica.term(), answer));
 }
 
-/// Has the replica elected by another member. Returns when.
+/// Has the replica elected by the votes of other members. Returns the time of the election, in milliseconds.
 pub fn elect(replica: &mut Replica, voters: &[u64]) -> u64 {
     let now = timing::MAX_ELECTION_TIMEOUT_MS;
     replica.tick(now);
@@ -99,7 +99,8 @@
     }
 }
 
-/// A leader of 1, 2 and 3 that is to let 4 in, at a time. Member 2 follows it.
+/// Returns the leader of members 1, 2 and 3, with member 4 as an additional desired member, and the current time. Member 2
+/// has acknowledged the leader's first entry.
 pub fn leader_with_learner() -> (Replica, u64) {
     let mut replica = replica(1, restored(&[1, 2, 3], 0, &[]));
     let now = elect(&mut replica, &[2, 3]);
@@ -114,8 +115,9 @@
     (replica, now)
 }
 
-/// Lets 100 ms pass, in which 2 and 3 answer everything and the learner has come to `matched`.
-pub fn pass(replica: &mut Replica, now: &mut u64, learner_matched: Option<u64>) -> Vec<Message> {
+/// Advances the time by one heartbeat interval (100 ms). Members 2 and 3 acknowledge all entries, and the learner those up
+/// to `learner_matched`. Returns the messages that the leader sent.
+pub fn advance(replica: &mut Replica, now: &mut u64, learner_matched: Option<u64>) -> Vec<Message> {
     *now += timing::HEARTBEAT_INTERVAL_MS;
     replica.tick(*now);
     let messages = synced(replica).messages;
--- a/crates/replication/tests/rules/up_to_date.rs
+++ b/crates/replication/tests/rules/up_to_date.rs
@@ -1,10 +1,10 @@
-//! When a member knows all that was committed before the current term: once an entry of this term is committed and applied
-//! (Raft dissertation, section 6.4).
+//! When a member has applied every entry that was committed before the current term: once an entry of this term is committed
+//! and applied (thesis §6.4).
 
 use crate::support::{accept, append, elect, from, replica, restored, synced};
 use opalrun_replication::{LogIndex, Replica, Term};
 
-/// A follower that has applied both entries of its log in term 2.
+/// Returns a follower that has applied both entries of its log, in term 2.
 fn follower_of_term_2() -> Replica {
     let mut replica = replica(1, restored(&[1, 2, 3], 2, &[1, 2]));
     replica.step(0, from(2, Term(2), append((2, 2), &[], 2)));
@@ -13,16 +13,13 @@
 }
 
 #[test]
-fn a_new_leader_is_up_to_date_once_an_entry_of_its_own_term_is_committed() {
+fn a_new_leader_has_applied_committed_entries_once_an_entry_of_its_own_term_is_committed() {
     let mut replica = follower_of_term_2();
     assert!(replica.has_applied_committed_entries());
     let now = elect(&mut replica, &[2]);
     synced(&mut replica);
     assert_eq!(replica.commit_index(), LogIndex(2));
-    assert!(
-        !replica.has_applied_committed_entries(),
-        "an earlier leader may have committed more than it knows"
-    );
+    assert!(!replica.has_applied_committed_entries(), "an earlier leader may have committed further entries");
     accept(&mut replica, now, 2, 0, 3);
     synced(&mut replica);
     assert_eq!(replica.commit_index(), LogIndex(3));
@@ -30,11 +27,14 @@
 }
 
 #[test]
-fn a_follower_is_up_to_date_once_it_has_applied_an_entry_of_the_leaders_term() {
+fn a_follower_has_applied_committed_entries_once_it_has_applied_an_entry_of_the_leaders_term() {
     let mut replica = follower_of_term_2();
     replica.step(10, from(3, Term(3), append((2, 2), &[], 2)));
     synced(&mut replica);
-    assert!(!replica.has_applied_committed_entries(), "the leader of term 3 has committed nothing in it");
+    assert!(
+        !replica.has_applied_committed_entries(),
+        "the leader of term 3 has committed no entry of that term"
+    );
     replica.step(20, from(3, Term(3), append((2, 2), &[(3, 3)], 2)));
     synced(&mut replica);
     assert!(!replica.has_applied_committed_entries(), "the entry of term 3 is not committed");
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_follower_that_lags_behind_what_the_leader_has_committed_is_not_up_to_date() {
+fn a_follower_behind_the_leaders_commit_index_has_not_applied_committed_entries() {
     let mut replica = follower_of_term_2();
     replica.step(10, from(2, Term(2), append((2, 2), &[], 9)));
     synced(&mut replica);
--- a/crates/replication/tests/simulation/main.rs
+++ b/crates/replication/tests/simulation/main.rs
@@ -1,4 +1,4 @@
-//! Groups of replicas on a simulated network with simulated disks, through random orders of events.
+//! Simulation of groups of replicas on a simulated network with simulated disks, with random faults by seed.
 
 mod world;
 
@@ -15,11 +15,11 @@
 const FAULTY: Faults =
     Faults { drop_percent: 5, duplicate_percent: 5, slow_percent: 5, fault_percent: 2, ..QUIET };
 const DISK_LOSSES: Faults = Faults { disk_losses: true, ..FAULTY };
-/// Much is on its way to the disks when power is lost.
-const STORM: Faults = Faults { fault_percent: 10, max_sync_ms: 90, ..QUIET };
+/// Frequent power failures with slow syncs, so that many writes are in flight when power is lost.
+const FREQUENT_POWER_FAILURES: Faults = Faults { fault_percent: 10, max_sync_ms: 90, ..QUIET };
 
 #[test]
-fn quiet_group_elects_once_and_commits() {
+fn a_group_without_faults_elects_once_and_commits() {
     let mut world = World::new(1, 3, 1, QUIET);
     world.run(5_000);
     assert!(world.acknowledged() > 50, "{} acknowledged", world.acknowledged());
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn single_member_commits_alone() {
+fn a_single_member_commits_alone() {
     let mut world = World::new(2, 1, 1, QUIET);
     world.run(3_000);
     assert!(world.acknowledged() > 50, "{} acknowledged", world.acknowledged());
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn three_members_through_partitions_crashes_and_lost_messages() {
+fn three_members_survive_partitions_crashes_and_lost_messages() {
     for seed in 0..250 {
         let mut world = World::new(seed, 3, 1, FAULTY);
         world.run(6_000);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn five_members_that_may_lose_two() {
+fn five_members_tolerating_two_lost_disks_survive_partitions_crashes_and_lost_messages() {
     for seed in 0..120 {
         let mut world = World::new(seed, 5, 2, FAULTY);
         world.run(6_000);
@@ -54,16 +54,16 @@
 }
 
 #[test]
-fn members_that_lose_power_with_writes_in_flight() {
+fn members_survive_power_failures_with_writes_in_flight() {
     for seed in 0..400 {
-        let mut world = World::new(seed, 3, 1, STORM);
+        let mut world = World::new(seed, 3, 1, FREQUENT_POWER_FAILURES);
         world.run(10_000);
         world.heal_and_check();
     }
 }
 
 #[test]
-fn members_that_lost_their_disk_come_back_with_new_identities() {
+fn members_that_lost_their_disk_return_under_new_identities() {
     for seed in 0..200 {
         let mut world = World::new(seed, 3, 1, DISK_LOSSES);
         world.run(12_000);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn five_members_of_which_some_lose_their_disk() {
+fn five_members_survive_disk_losses() {
     for seed in 0..60 {
         let mut world = World::new(seed, 5, 2, DISK_LOSSES);
         world.run(12_000);
@@ -85,17 +85,17 @@
     for seed in 0..50 {
         let mut world = World::new(seed, 3, 1, QUIET);
         world.run(2_000);
-        let old = world.leader().expect("a quiet group has a leader");
+        let old = world.leader().expect("a group without faults has a leader");
         world.transfer_from(old);
         world.run(150);
-        let new = world.leader().expect("the successor leads at once");
+        let new = world.leader().expect("the transfer target becomes the leader within 150 ms");
         assert_ne!(old, new, "seed {seed}");
         world.heal_and_check();
     }
 }
 
 #[test]
-fn a_removed_member_does_not_disturb_and_can_come_back() {
+fn a_removed_member_causes_no_election_and_can_be_added_again() {
     for seed in 0..50 {
         let mut world = World::new(seed, 4, 1, QUIET);
         world.run(2_000);
@@ -105,7 +105,7 @@
         assert_eq!(world.voters().len(), 3, "seed {seed}");
         let terms = world.terms_with_leader();
         world.run(5_000);
-        assert_eq!(world.terms_with_leader(), terms, "seed {seed}: the group was disturbed");
+        assert_eq!(world.terms_with_leader(), terms, "seed {seed}: the removed member caused an election");
         world.exclude(None);
         world.heal_and_check();
         assert_eq!(world.voters().len(), 4, "seed {seed}");
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_group_does_not_shrink_below_what_it_needs() {
+fn a_group_does_not_shrink_below_its_minimum_size() {
     for seed in 0..20 {
         let mut world = World::new(seed, 3, 1, QUIET);
         world.run(2_000);
--- a/crates/replication/tests/simulation/world.rs
+++ b/crates/replication/tests/simulation/world.rs
@@ -1,4 +1,4 @@
-//! The simulated world: network, disks, clients, faults, and the checks of what must always hold.
+//! The simulated world: network, disks, clients and fault injection, with checks of the safety properties.
 
 use opalrun_replication::{
     Entry, LogIndex, LogPosition, Member, MemberId, Membership, Message, Options, Payload, ReadIndexResult,
@@ -10,20 +10,20 @@
     rc::Rc,
 };
 
-/// The faults that are injected.
+/// Probabilities and limits of injected faults.
 #[derive(Debug, Clone, Copy)]
 pub struct Faults {
     pub drop_percent: u8,
     pub duplicate_percent: u8,
     pub slow_percent: u8,
-    /// Chance of a partition, a crash or a lost disk every 50 ms.
+    /// Probability of a partition, a crash or a lost disk at each tick (50 ms), in percent.
     pub fault_percent: u8,
-    /// A sync takes up to so many milliseconds.
+    /// Upper bound (exclusive) of the duration of a sync, in milliseconds.
     pub max_sync_ms: u64,
     pub disk_losses: bool,
 }
 
-/// The state machine: a register that changes by compare-and-set, and the number of commands applied.
+/// The state machine: a compare-and-set register, and the number of commands applied.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct Register {
     value: u64,
@@ -41,7 +41,7 @@
         matches
     }
 
-    /// Padded, so that it takes several chunks.
+    /// Encodes the state with padding to 600 KiB, so that a snapshot takes several chunks.
     fn encode(self) -> Vec<u8> {
         let mut bytes = vec![0; 600 << 10];
         bytes[..8].copy_from_slice(&self.value.to_le_bytes());
@@ -72,7 +72,7 @@
     writes: VecDeque<(u64, Write)>,
     register: Register,
     applied: LogIndex,
-    back_at: u64,
+    restarts_at: u64,
 }
 
 struct Pending {
@@ -87,12 +87,12 @@
     hosts_lost: usize,
     now: u64,
     nodes: Vec<Node>,
-    /// By the time of delivery and a number.
+    /// Messages in flight, by delivery time and sequence number.
     messages: BTreeMap<(u64, u64), Message>,
     next_number: u64,
     partitions: BTreeSet<(usize, usize)>,
     partition_ends_at: u64,
-    /// What every replica must agree on.
+    /// The committed entries, which must be the same on all replicas.
     committed: BTreeMap<LogIndex, Rc<Entry>>,
     states: BTreeMap<LogIndex, Register>,
     leaders: BTreeMap<Term, MemberId>,
@@ -103,9 +103,9 @@
     next_value: u64,
     next_identity: MemberId,
     disk_lost_at: u64,
-    healthy: bool,
+    is_healthy: bool,
     are_clients_idle: bool,
-    /// A node that is not to be a member for now.
+    /// A node that is currently excluded from the desired members.
     excluded: Option<usize>,
 }
 
@@ -137,7 +137,7 @@
             next_value: 1,
             next_identity: MemberId(100),
             disk_lost_at: 0,
-            healthy: false,
+            is_healthy: false,
             are_clients_idle: false,
             excluded: None,
         };
@@ -156,7 +156,7 @@
                 writes: VecDeque::new(),
                 register: Register::default(),
                 applied: LogIndex(0),
-                back_at: 0,
+                restarts_at: 0,
             });
         }
         world
@@ -186,42 +186,45 @@
     }
 
     pub fn transfer_from(&mut self, node: usize) {
-        let replica = self.nodes[node].replica.as_mut().expect("it runs");
+        let replica = self.nodes[node].replica.as_mut().expect("the node is running");
         assert!(replica.transfer_leadership(None));
         self.handle_ready(node);
     }
 
-    /// Takes a node out of the members, or lets all in again.
+    /// Excludes a node from the desired members; with `None`, all nodes are desired members.
     pub fn exclude(&mut self, node: Option<usize>) {
         self.excluded = node;
     }
 
     pub fn voters(&self) -> Vec<MemberId> {
-        let leader = self.leader().expect("there is a leader");
-        let replica = self.nodes[leader].replica.as_ref().expect("it runs");
+        let leader = self.leader().expect("the group has a leader");
+        let replica = self.nodes[leader].replica.as_ref().expect("the leader is running");
         replica.membership().voters().collect()
     }
 
-    /// Ends all faults and checks that the group works again and that nothing acknowledged is lost.
+    /// Ends all faults, and checks that the group makes progress again and that no acknowledged entry is lost.
     pub fn heal_and_check(&mut self) {
-        self.healthy = true;
+        self.is_healthy = true;
         self.partitions.clear();
         let before = self.acknowledged;
         self.run(6_000);
-        // What is in flight reaches everyone.
+        // Clients pause until all messages in flight have arrived.
         self.are_clients_idle = true;
         self.run(500);
         assert!(self.acknowledged > before + 20, "no progress: {} acknowledged", self.acknowledged - before);
         self.pending.clear();
-        let leader = self.leader().expect("a healthy group has a leader");
-        let leader = self.nodes[leader].replica.as_ref().expect("it runs");
+        let leader = self.leader().expect("the group has a leader");
+        let leader = self.nodes[leader].replica.as_ref().expect("the leader is running");
         let members = leader.membership().clone();
         let identities: BTreeSet<MemberId> = self.nodes.iter().map(|node| node.identity).collect();
         let voters: BTreeSet<MemberId> = members.voters().collect();
-        assert_eq!(voters, identities, "the members are those that run");
+        assert_eq!(voters, identities, "the voters are the running processes");
         assert!(leader.commit_index() >= self.highest_acknowledged);
         for node in &self.nodes {
-            assert!(node.applied >= self.highest_acknowledged, "a member lags");
+            assert!(
+                node.applied >= self.highest_acknowledged,
+                "a member has not applied all acknowledged entries"
+            );
         }
     }
 
@@ -234,7 +237,7 @@
             self.inject_faults();
         }
         if self.now.is_multiple_of(20) && !self.are_clients_idle {
-            self.act_as_client();
+            self.issue_client_requests();
         }
     }
 
@@ -244,7 +247,7 @@
 
     fn restart_nodes(&mut self) {
         for index in 0..self.nodes.len() {
-            if self.nodes[index].replica.is_some() || self.now < self.nodes[index].back_at {
+            if self.nodes[index].replica.is_some() || self.now < self.nodes[index].restarts_at {
                 continue;
             }
             let seed = self.random.u64(..);
@@ -292,7 +295,7 @@
 
     fn tick(&mut self) {
         let stays = |node: &&Node| Some(node.address) != self.excluded;
-        let desired: Vec<Member> = self.nodes.iter().filter(stays).map(as_member).collect();
+        let desired: Vec<Member> = self.nodes.iter().filter(stays).map(member_of).collect();
         for index in 0..self.nodes.len() {
             if let Some(replica) = &mut self.nodes[index].replica {
                 replica.set_desired_members(desired.clone());
@@ -309,15 +312,15 @@
         let Some(replica) = &mut node.replica else {
             return;
         };
-        // Only when the disk is idle, as a snapshot goes through the same queue as all else.
+        // The snapshot is written directly to the disk, so no earlier write may be queued.
         if node.applied < node.disk.base_index() + KEPT_ENTRIES || !node.writes.is_empty() {
             return;
         }
         let kept = self.random.u64(0..30);
-        let header = replica.applied_snapshot_metadata();
-        assert_eq!(header.last_included_index, node.applied);
-        replica.compact(header.last_included_index, kept, 1 << 20);
-        node.disk.compact(Snapshot { metadata: header, state: node.register.encode() });
+        let metadata = replica.applied_snapshot_metadata();
+        assert_eq!(metadata.last_included_index, node.applied);
+        replica.compact(metadata.last_included_index, kept, 1 << 20);
+        node.disk.compact(Snapshot { metadata: metadata, state: node.register.encode() });
     }
 
     fn handle_ready(&mut self, index: usize) {
@@ -329,7 +332,7 @@
             let ready = replica.ready();
             if replica.is_leader() {
                 let known = self.leaders.entry(replica.term()).or_insert(node.identity);
-                assert_eq!(*known, node.identity, "two leaders in term {}", replica.term());
+                assert_eq!(*known, node.identity, "term {} has two leaders", replica.term());
             }
             for write in ready.writes {
                 let due = self.now + self.random.u64(1..self.faults.max_sync_ms);
@@ -340,7 +343,10 @@
                 node.register = Register::decode(&snapshot.state);
                 node.applied = snapshot.metadata.last_included_index;
                 if let Some(expected) = self.states.get(&node.applied) {
-                    assert_eq!(*expected, node.register, "a snapshot of another state");
+                    assert_eq!(
+                        *expected, node.register,
+                        "the snapshot's state differs from the state at its index"
+                    );
                 }
             }
             for entry in ready.committed_entries {
@@ -350,7 +356,7 @@
                 self.finish_read(index, read);
             }
             for message in ready.messages {
-                self.post(index, &message);
+                self.send(index, &message);
             }
             if !ready.is_snapshot_needed {
                 return;
@@ -365,16 +371,16 @@
 
     fn apply(&mut self, index: usize, entry: &Rc<Entry>) {
         let node = &mut self.nodes[index];
-        assert_eq!(entry.index, node.applied.next(), "applied out of order");
+        assert_eq!(entry.index, node.applied.next(), "entries are applied out of order");
         node.applied = entry.index;
         let known = self.committed.entry(entry.index).or_insert_with(|| entry.clone());
-        assert_eq!(known, entry, "a committed entry changed");
+        assert_eq!(known, entry, "different entries are committed at the same index");
         let mut succeeded = true;
         if let Payload::Command(command) = &entry.payload {
             succeeded = node.register.apply(command);
         }
         let state = self.states.entry(entry.index).or_insert(node.register);
-        assert_eq!(*state, node.register, "states differ");
+        assert_eq!(*state, node.register, "the states of replicas differ at the same index");
         if let Some(pending) = self.pending.get(&entry.index)
             && pending.node == index
         {
@@ -391,8 +397,8 @@
     fn finish_read(&mut self, index: usize, read: ReadIndexResult) {
         match read {
             ReadIndexResult::Confirmed { request, index: at } => {
-                let expected = self.reads.remove(&request).expect("asked for once");
-                assert!(at >= expected, "a read misses what was acknowledged before it");
+                let expected = self.reads.remove(&request).expect("each read has one result");
+                assert!(at >= expected, "a read misses an entry acknowledged before it");
                 assert!(self.nodes[index].applied >= at);
             }
             ReadIndexResult::Failed { request } => {
@@ -401,7 +407,7 @@
         }
     }
 
-    fn act_as_client(&mut self) {
+    fn issue_client_requests(&mut self) {
         let index = self.random.usize(0..self.nodes.len());
         let value = self.nodes[index].register.value;
         let new = self.next_value;
@@ -420,17 +426,17 @@
         self.handle_ready(index);
     }
 
-    fn post(&mut self, from: usize, message: &Message) {
+    fn send(&mut self, from: usize, message: &Message) {
         let is_partitioned = self
             .nodes
             .iter()
             .any(|node| node.identity == message.to && self.partitions.contains(&(from, node.address)));
-        if is_partitioned || (!self.healthy && self.chance(self.faults.drop_percent)) {
+        if is_partitioned || (!self.is_healthy && self.chance(self.faults.drop_percent)) {
             return;
         }
-        let copies = 1 + usize::from(!self.healthy && self.chance(self.faults.duplicate_percent));
-        for _ in 0..copies {
-            let is_slow = !self.healthy && self.chance(self.faults.slow_percent);
+        let deliveries = 1 + usize::from(!self.is_healthy && self.chance(self.faults.duplicate_percent));
+        for _ in 0..deliveries {
+            let is_slow = !self.is_healthy && self.chance(self.faults.slow_percent);
             let delay = if is_slow { self.random.u64(50..900) } else { self.random.u64(1..6) };
             self.next_number += 1;
             self.messages.insert((self.now + delay, self.next_number), message.clone());
@@ -442,7 +448,7 @@
             self.partitions.clear();
         }
         let percent = self.faults.fault_percent;
-        if self.healthy || !self.chance(percent) {
+        if self.is_healthy || !self.chance(percent) {
             return;
         }
         let index = self.random.usize(0..self.nodes.len());
@@ -466,24 +472,24 @@
         }
     }
 
-    /// Ends a process; of the writes in flight a random number is on disk.
+    /// Crashes a process; a random number of its oldest writes in flight reach the disk.
     fn crash(&mut self, index: usize) {
         let kept = self.random.usize(0..=self.nodes[index].writes.len());
-        let pause = self.random.u64(10..1_500);
+        let downtime_ms = self.random.u64(10..1_500);
         let node = &mut self.nodes[index];
         node.replica = None;
         for (_, write) in node.writes.drain(..).take(kept) {
             node.disk.write(&write);
         }
-        node.back_at = self.now + pause;
+        node.restarts_at = self.now + downtime_ms;
         self.pending.retain(|_, pending| pending.node != index);
     }
 
-    /// Loses a disk, if the group has got over the last such loss.
+    /// Loses a disk, if the group has recovered from the previous loss.
     fn lose_disk(&mut self, index: usize) {
         const RECOVERY_MS: u64 = 4_000;
         let has_recovered = self.leader().is_some_and(|leader| {
-            let replica = self.nodes[leader].replica.as_ref().expect("it leads");
+            let replica = self.nodes[leader].replica.as_ref().expect("the leader is running");
             let members: BTreeSet<MemberId> = replica.membership().voters().collect();
             members == self.nodes.iter().map(|node| node.identity).collect()
                 && replica.commit_index() == replica.last_index()
@@ -500,6 +506,6 @@
     }
 }
 
-fn as_member(node: &Node) -> Member {
+fn member_of(node: &Node) -> Member {
     Member { identity: node.identity, address: node.address.to_string(), is_voter: true }
 }
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -1,9 +1,10 @@
-//! A simulated disk of one replica.
+//! The simulated disk of one replica.
 
 use opalrun_replication::{Entry, HardState, LogIndex, RestoredState, Snapshot, SnapshotMetadata, Write};
 use std::rc::Rc;
 
-/// The disk of one replica: all writes that were carried out, as if each were synced at once.
+/// The simulated disk of one replica. It holds every write passed to [`write`](Self::write) as if it were synced
+/// immediately; the caller simulates delayed and lost writes.
 #[derive(Debug, Clone, Default)]
 pub struct ReplicaDisk {
     hard_state: HardState,
@@ -13,16 +14,16 @@
 }
 
 impl ReplicaDisk {
-    /// The disk of a replica that begins after a snapshot, or at a group's start with its first members.
+    /// Creates the disk of a replica that starts after a snapshot, or at the start of a group with the initial membership.
     #[must_use]
     pub fn new(base: SnapshotMetadata) -> Self {
         Self { base, ..Self::default() }
     }
 
-    /// Carries a write out.
+    /// Carries out a write.
     ///
     /// # Panics
-    /// Where it leaves a gap between the entries.
+    /// If the write leaves a gap between log entries.
     pub fn write(&mut self, write: &Write) {
         if let Some(hard_state) = write.hard_state {
             self.hard_state = hard_state;
@@ -34,13 +35,13 @@
         }
         for entry in &write.entries {
             let preceding = (entry.index - self.base.last_included_index - 1) as usize;
-            assert!(preceding <= self.entries.len(), "a gap on disk");
+            assert!(preceding <= self.entries.len(), "write leaves a gap between log entries");
             self.entries.truncate(preceding);
             self.entries.push(entry.clone());
         }
     }
 
-    /// Replaces the entries that a snapshot of the own state covers by the snapshot.
+    /// Replaces the log entries up to the snapshot's last included index with a snapshot of this replica's own state.
     pub fn compact(&mut self, snapshot: Snapshot) {
         let covered = (snapshot.metadata.last_included_index - self.base.last_included_index)
             .min(self.entries.len() as u64);
@@ -49,7 +50,7 @@
         self.snapshot = Some(Rc::new(snapshot));
     }
 
-    /// What a replica finds at its start.
+    /// Returns the state that a replica restores when it starts.
     #[must_use]
     pub fn restored(&self) -> RestoredState {
         RestoredState {
@@ -59,13 +60,13 @@
         }
     }
 
-    /// The state in the snapshot; `None` without a snapshot.
+    /// Returns the state in the snapshot; `None` if there is no snapshot.
     #[must_use]
     pub fn state(&self) -> Option<&[u8]> {
         self.snapshot.as_ref().map(|snapshot| snapshot.state.as_slice())
     }
 
-    /// The last entry that the snapshot covers.
+    /// Returns the index of the last entry that the snapshot replaces.
     #[must_use]
     pub fn base_index(&self) -> LogIndex {
         self.base.last_included_index
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,5 +1,5 @@
-//! Parts of simulated worlds, for tests: a disk that holds what a replica had synced, and a network that delays, loses and
-//! repeats messages and can be partitioned. Both are driven by the test; they read no clock.
+//! Components for simulation tests: a disk that holds a replica's synced writes, and a network that delays, drops and
+//! duplicates messages and can be partitioned. The test drives both and supplies the time.
 #![forbid(unsafe_code)]
 
 mod disk;
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -5,30 +5,30 @@
     ops::Range,
 };
 
-/// Delay of a message, in milliseconds.
+/// Range of the delay of a regular message, in milliseconds.
 const DELAY_MS: Range<u64> = 1..6;
-/// Delay of a slow message, in milliseconds.
+/// Range of the delay of a slow message, in milliseconds.
 const SLOW_DELAY_MS: Range<u64> = 50..900;
 
-/// What the network does to messages by itself.
+/// Probabilities of random faults of the network.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct NetworkFaults {
-    /// Of 100 messages so many are lost.
+    /// Probability that a message is dropped, in percent.
     pub drop_percent: u8,
-    /// Of 100 messages so many are delivered twice.
+    /// Probability that a message is delivered twice, in percent.
     pub duplicate_percent: u8,
-    /// Of 100 messages so many are slow.
+    /// Probability that a message is slow, in percent.
     pub slow_percent: u8,
 }
 
-/// Messages in flight between numbered nodes. Times are milliseconds of the simulation's clock.
+/// A simulated network between numbered nodes. Times are in milliseconds of the simulation's clock.
 #[derive(Debug, Clone)]
 pub struct Network<M> {
     faults: NetworkFaults,
-    /// By the time of arrival and a number that keeps the order of those that arrive together.
+    /// Packets in flight, by arrival time and a sequence number that orders packets with the same arrival time.
     in_flight: BTreeMap<(u64, u64), Packet<M>>,
     next_number: u64,
-    /// Ways on which nothing passes.
+    /// Partitioned links.
     partitions: BTreeSet<Link>,
 }
 
@@ -38,7 +38,7 @@
     message: M,
 }
 
-/// The way from one node to another one.
+/// A link from one node to another, in one direction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Link {
     from: usize,
@@ -46,35 +46,35 @@
 }
 
 impl<M: Clone> Network<M> {
-    /// A network on which nothing is in flight.
+    /// Creates a network without messages in flight.
     #[must_use]
     pub fn new(faults: NetworkFaults) -> Self {
         Self { faults, in_flight: BTreeMap::new(), next_number: 0, partitions: BTreeSet::new() }
     }
 
-    /// Ends all faults and partitions.
+    /// Removes all partitions and disables random faults.
     pub fn heal(&mut self) {
         self.faults = NetworkFaults::default();
         self.partitions.clear();
     }
 
-    /// Nothing sent from now on passes this way. What is in flight still arrives.
+    /// Drops messages sent on this link from now on. Messages in flight still arrive.
     pub fn partition(&mut self, from: usize, to: usize) {
         self.partitions.insert(Link { from, to });
     }
 
-    /// Messages pass this way again.
+    /// Ends the partition of this link.
     pub fn reconnect(&mut self, from: usize, to: usize) {
         self.partitions.remove(&Link { from, to });
     }
 
-    /// Whether messages pass this way.
+    /// Returns whether this link is not partitioned.
     #[must_use]
     pub fn is_connected(&self, from: usize, to: usize) -> bool {
         !self.partitions.contains(&Link { from, to })
     }
 
-    /// Sends a message, which arrives after a random delay, unless it is lost.
+    /// Sends a message, which arrives after a random delay unless it is dropped.
     pub fn send(&mut self, random: &mut fastrand::Rng, now: u64, from: usize, to: usize, message: &M) {
         if !self.is_connected(from, to) || random.u8(0..100) < self.faults.drop_percent {
             return;
@@ -87,12 +87,12 @@
         }
     }
 
-    /// Delivers a message again at a later moment: its receiver is frozen until then.
+    /// Delivers a message again at `at`, until when its receiver is frozen.
     pub fn redeliver_at(&mut self, at: u64, to: usize, message: M) {
         self.deliver_at(at, to, message);
     }
 
-    /// Removes the next message that has pop_arrived. Returns its receiver and the message.
+    /// Removes and returns the next message that has arrived by `now`, with its receiver.
     pub fn pop_arrived(&mut self, now: u64) -> Option<(usize, M)> {
         let first = self.in_flight.first_entry().filter(|entry| entry.key().0 <= now)?;
         let packet = first.remove();
