--- a/crates/control/tests/support/mod.rs
+++ b/crates/control/tests/support/mod.rs
@@ -30,7 +30,8 @@
 
 /// Runs a test on one thread, within [`TEST_LIMIT`].
 pub fn run_local<F: Future<Output = ()>>(test: F) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime can be built");
     let local = LocalSet::new();
     let limited =
         async { tokio::time::timeout(TEST_LIMIT, test).await.expect("the test exceeded its time limit") };
@@ -46,7 +47,7 @@
 impl Machine {
     /// Replaces the machine's disk with an empty one, with which it starts the next time.
     pub fn wipe(&mut self) {
-        self.disk = tempfile::tempdir().expect("a disk");
+        self.disk = tempfile::tempdir().expect("a temporary directory can be created");
         self.settings.data_dir = Some(self.disk.path().to_owned());
         self.settings.bootstrap = false;
     }
@@ -79,7 +80,7 @@
         (1..=seeds).map(|seed| format!("\"{}:{CONTROL_PORT}\"", address(seed))).collect();
     (1..=count)
         .map(|number| {
-            let disk = tempfile::tempdir().expect("a disk");
+            let disk = tempfile::tempdir().expect("a temporary directory can be created");
             let text = settings_text(address(number), number, &seed_list.join(","), hosts_lost, disk.path());
             let settings =
                 Settings::parse(&text, Path::new("settings.toml")).expect("the settings are valid");
--- a/crates/control/tests/world/main.rs
+++ b/crates/control/tests/world/main.rs
@@ -33,7 +33,7 @@
 fn seeds(usual: Range<u64>) -> Range<u64> {
     let Ok(named) = std::env::var("CONTROL_WORLD_SEEDS") else { return usual };
     let (from, to) = named.split_once("..").expect("from..to");
-    from.parse().expect("a number")..to.parse().expect("a number")
+    from.parse().expect("the first seed is a number")..to.parse().expect("the end is a number")
 }
 
 /// Runs one seed: 4 s without faults, 26 s with faults, then recovery. On failure, the seed and the fault log are printed.
--- a/crates/replication/src/election.rs
+++ b/crates/replication/src/election.rs
@@ -67,8 +67,9 @@
         self.election_timer.reset(self.now);
     }
 
-    /// Adopts the newer term of a message (Raft §5.1). Pre-votes never change the term, and a vote request is ignored while
-    /// a leader is active unless it results from a leadership transfer. Returns whether the message is to be handled.
+    /// Adopts the newer term of a message (Raft §5.1). Pre-vote requests and granted pre-votes leave the term unchanged, and
+    /// a vote request is ignored while a leader is active, unless it results from a leadership transfer. Returns whether the
+    /// message is to be handled.
     pub(crate) fn adopt_term(&mut self, message: &Message) -> bool {
         match &message.body {
             MessageBody::RequestPreVote { .. } | MessageBody::RequestPreVoteResponse { is_granted: true } => {
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -15,8 +15,8 @@
 //! - a follower knows whether its own messages reach the leader;
 //! - a received snapshot is installed only if the complete state matches the SHA-256 digest stated in its chunks;
 //! - reads are confirmed by a round of heartbeats (`ReadIndex`), not by clocks;
-//! - a member is identified by its data: a process that lost its disk returns under a new identity and has no vote until
-//!   the new identity is added.
+//! - a member's identity is stored on its disk: a process that lost its disk returns under a new identity, which has no vote
+//!   until it is added.
 //!
 //! # Modules
 //! Types that do not depend on [`Replica`]: [`ids`], `entry`, `membership`, `quorum`, `hard_state`, `snapshot`, `message`,
