--- a/crates/control-load/src/configuration.rs
+++ b/crates/control-load/src/configuration.rs
@@ -1,7 +1,7 @@
 //! A configuration of the size of a large deployment.
 
 use fleetlab::tier::{
-    configuration::{Configuration, EngineFacts, Route, Service},
+    configuration::{Configuration, EngineDescription, Route, Service},
     observation::RouteKind,
 };
 use std::time::Duration;
@@ -13,7 +13,7 @@
 /// How long what was said is kept on every second route.
 const RETENTION: Duration = Duration::from_mins(1);
 /// The engine of all services.
-const ENGINE: EngineFacts = EngineFacts { capacity: 32, kv_capacity: 231_379, chunk_tokens: 3 };
+const ENGINE: EngineDescription = EngineDescription { capacity: 32, kv_capacity: 231_379, chunk_tokens: 3 };
 
 /// The name of a service.
 #[must_use]
--- a/crates/control-load/src/measure.rs
+++ b/crates/control-load/src/measure.rs
@@ -84,7 +84,7 @@
 pub async fn measure(program: &Path, size: &Size) -> Result<Metrics, MeasureError> {
     let (spec, zones) = spec(size);
     let tier = Tier::start(program, spec)?;
-    tier.control_ready(START_LIMIT).await?;
+    tier.wait_for_control(START_LIMIT).await?;
     let operator = Operator::new(tier.log.clone(), tier.controls.clone(), 0);
     change(&operator, size, 1).await?;
     let workers = Workers::start(size.workers, &tier.controls, &zones, size.heartbeat);
--- a/crates/control-load/src/workers.rs
+++ b/crates/control-load/src/workers.rs
@@ -1,7 +1,7 @@
 //! Simulated workers: they send heartbeats and take no requests.
 
 use crate::configuration::service_name;
-use fleetlab::tier::worker::registration::{Controls, Facts, Registration};
+use fleetlab::tier::worker::registration::{ControlAddresses, Registration, WorkerDescription};
 use std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration};
 use tokio::{
     sync::Notify,
@@ -34,7 +34,7 @@
 impl Workers {
     /// Starts so many, inside a `LocalSet`. Their first heartbeats are spread over one period.
     #[must_use]
-    pub fn start(count: usize, controls: &Controls, zones: &[String], period: Duration) -> Self {
+    pub fn start(count: usize, controls: &ControlAddresses, zones: &[String], period: Duration) -> Self {
         let counts = Rc::<Counts>::default();
         let tasks = (0..count).map(|number| {
             let first = period.mul_f64(number as f64 / count as f64);
@@ -73,9 +73,9 @@
     }
 }
 
-fn facts(number: usize, zones: &[String]) -> Facts {
+fn facts(number: usize, zones: &[String]) -> WorkerDescription {
     let host = format!("10.128.{}.{}:{PORT}", number / HOSTS, 1 + number % HOSTS);
-    Facts {
+    WorkerDescription {
         id: format!("i-simulated-{number:04}"),
         service: service_name(number),
         address: host.parse().unwrap_or_else(|_| SocketAddr::from(([10, 128, 0, 1], PORT))),
--- a/crates/opalrun/tests/tier/acknowledged.rs
+++ b/crates/opalrun/tests/tier/acknowledged.rs
@@ -6,7 +6,7 @@
 };
 use fleetlab::tier::{
     deployment::{Deployment, START_LIMIT},
-    program::{Ended, Program, ProgramReport},
+    program::{Program, ProgramOutcome, ProgramReport},
     settings_file::Class,
 };
 use tokio::task::JoinHandle;
@@ -18,7 +18,7 @@
         let program = deployment.program(&format!("loop-{number}"), route);
         let program = Program { loops: true, budget: 700, ..program };
         let client = deployment.client(["zone-1", "zone-2"][number % 2]);
-        tokio::spawn(async move { program.play(&client).await })
+        tokio::spawn(async move { program.run(&client).await })
     });
     started.collect()
 }
@@ -32,7 +32,11 @@
             let read = deployment.operator.read(LIMIT).await.expect("a configuration");
             assert_eq!(read, deployment.configuration.body(), "after {core} lost its disk");
             deployment.tier.start_machine(core).expect("started");
-            deployment.tier.logged_since_start(core, "votes=4 groups=4 voters=3", LIMIT).await.expect("back");
+            deployment
+                .tier
+                .wait_for_log_since_start(core, "votes=4 groups=4 voters=3", LIMIT)
+                .await
+                .expect("back");
         }
         deployment
     });
@@ -60,17 +64,17 @@
         let programs = looping_programs(&mut deployment, 6);
         deployment.tier.restart_role("edge-1", "proxy").await.expect("restarted");
         deployment.tier.kill("storage-1").await.expect("killed");
-        deployment.tier.freeze("edge-2").expect("frozen");
-        deployment.tier.gatekeeper_ready("edge-1", START_LIMIT).await.expect("ready again");
+        deployment.tier.pause("edge-2").expect("frozen");
+        deployment.tier.wait_for_gatekeeper("edge-1", START_LIMIT).await.expect("ready again");
         deployment.tier.start_machine("storage-1").expect("started");
-        deployment.tier.thaw("edge-2").expect("thawed");
+        deployment.tier.resume("edge-2").expect("thawed");
         for program in programs {
             program.await.expect("a program that ends");
         }
         // What was spent counts for good: none of the programs gets another turn's worth beyond it.
         let program = Program { turns: 30, budget: 700, ..deployment.program("loop-0", "dispute") };
-        let outcome = program.play(&deployment.client("zone-1")).await;
-        assert_ne!(outcome.ended, Ended::Completed, "{outcome:?}");
+        let outcome = program.run(&deployment.client("zone-1")).await;
+        assert_ne!(outcome.outcome, ProgramOutcome::Completed, "{outcome:?}");
         deployment
     });
 }
@@ -80,7 +84,7 @@
     with_deployment(async |mut deployment| {
         let programs = looping_programs(&mut deployment, 4);
         deployment.tier.lose_power().await.expect("back");
-        deployment.tier.gatekeepers_ready(START_LIMIT).await.expect("gatekeepers are back");
+        deployment.tier.wait_for_gatekeepers(START_LIMIT).await.expect("gatekeepers are back");
         for program in programs {
             program.await.expect("a program that ends");
         }
@@ -95,11 +99,11 @@
         deployment.tier.add("edge-3", Class::Edge, "zone-3").expect("added");
         deployment.tier.add("storage-4", Class::Storage, "zone-1").expect("added");
         deployment.tier.add("core-4", Class::Core, "zone-2").expect("added");
-        deployment.tier.gatekeepers_ready(START_LIMIT).await.expect("ready");
-        deployment.tier.control_ready(START_LIMIT).await.expect("control answers");
+        deployment.tier.wait_for_gatekeepers(START_LIMIT).await.expect("ready");
+        deployment.tier.wait_for_control(START_LIMIT).await.expect("control answers");
         // The new gatekeeper is the only one of its zone.
-        let outcome = deployment.program("new", "dispute").play(&deployment.client("zone-3")).await;
-        assert_eq!(outcome.ended, Ended::Completed, "{}", deployment.tier.log_tails());
+        let outcome = deployment.program("new", "dispute").run(&deployment.client("zone-3")).await;
+        assert_eq!(outcome.outcome, ProgramOutcome::Completed, "{}", deployment.tier.log_tails());
         let used = |p: &opalrun_wire::feed::StoreMap| {
             let new = p.stores.iter().find(|s| s.node_name == "storage-4").map(|s| s.identity);
             p.partitions.iter().any(|p| p.replicas.iter().any(|r| Some(r.store) == new && r.is_complete))
--- a/crates/opalrun/tests/tier/losses.rs
+++ b/crates/opalrun/tests/tier/losses.rs
@@ -4,7 +4,9 @@
     support::{LIMIT, continues_after, play_beside, with_deployment, with_spec},
     view::{store_identity, wait_until_copied},
 };
-use fleetlab::tier::{deployment::START_LIMIT, fleet::TierSpec, program::Ended, settings_file::Class};
+use fleetlab::tier::{
+    deployment::START_LIMIT, fleet::TierSpec, program::ProgramOutcome, settings_file::Class,
+};
 use std::{sync::Arc, time::Duration};
 
 #[test]
@@ -15,7 +17,7 @@
                 deployment.tier.kill(core).await.expect("killed");
                 deployment.reconfigure(LIMIT).await;
                 deployment.tier.start_machine(core).expect("started");
-                deployment.tier.control_ready(START_LIMIT).await.expect("control is back");
+                deployment.tier.wait_for_control(START_LIMIT).await.expect("control is back");
             })
             .await;
         }
@@ -29,9 +31,8 @@
         for store in ["storage-1", "storage-2", "storage-3"] {
             continues_after(&mut deployment, async |deployment| {
                 deployment.tier.kill(store).await.expect("killed");
-                let outcome =
-                    deployment.program("beside", "dispute").play(&deployment.client("zone-1")).await;
-                assert_eq!(outcome.ended, Ended::Completed, "two of three stores are enough");
+                let outcome = deployment.program("beside", "dispute").run(&deployment.client("zone-1")).await;
+                assert_eq!(outcome.outcome, ProgramOutcome::Completed, "two of three stores are enough");
                 deployment.tier.start_machine(store).expect("started");
             })
             .await;
@@ -62,7 +63,7 @@
         for role in ["agent", "proxy"] {
             continues_after(&mut deployment, async |deployment| {
                 deployment.tier.restart_role("edge-1", role).await.expect("restarted");
-                deployment.tier.gatekeepers_ready(START_LIMIT).await.expect("ready again");
+                deployment.tier.wait_for_gatekeepers(START_LIMIT).await.expect("ready again");
             })
             .await;
         }
@@ -74,9 +75,9 @@
 fn a_frozen_control_process_wakes_and_does_not_go_back() {
     with_deployment(async |mut deployment| {
         for core in ["core-1", "core-2", "core-3"] {
-            deployment.tier.freeze(core).expect("frozen");
+            deployment.tier.pause(core).expect("frozen");
             deployment.reconfigure(LIMIT).await;
-            deployment.tier.thaw(core).expect("thawed");
+            deployment.tier.resume(core).expect("thawed");
             deployment.reconfigure(LIMIT).await;
         }
         let read = deployment.operator.read(LIMIT).await.expect("a configuration");
@@ -91,10 +92,10 @@
         deployment.reconfigure(LIMIT).await;
         continues_after(&mut deployment, async |deployment| {
             deployment.tier.lose_power().await.expect("back");
-            deployment.tier.control_ready(START_LIMIT).await.expect("control is back");
+            deployment.tier.wait_for_control(START_LIMIT).await.expect("control is back");
             let read = deployment.operator.read(LIMIT).await.expect("a configuration");
             assert_eq!(read, deployment.configuration.body());
-            deployment.tier.gatekeepers_ready(START_LIMIT).await.expect("gatekeepers are back");
+            deployment.tier.wait_for_gatekeepers(START_LIMIT).await.expect("gatekeepers are back");
         })
         .await;
         deployment
@@ -106,12 +107,12 @@
     with_deployment(async |mut deployment| {
         deployment.tier.remove("core-1").await.expect("removed");
         deployment.tier.add("core-4", Class::Core, "zone-1").expect("added");
-        deployment.tier.control_ready(START_LIMIT).await.expect("control is back");
+        deployment.tier.wait_for_control(START_LIMIT).await.expect("control is back");
         deployment.reconfigure(LIMIT).await;
         // The new one counts by now: another one may go.
         deployment
             .tier
-            .logged("core-4", "votes=4 groups=4 voters=3", LIMIT)
+            .wait_for_log("core-4", "votes=4 groups=4 voters=3", LIMIT)
             .await
             .expect("in place of core-1");
         deployment.tier.kill("core-2").await.expect("killed");
@@ -127,7 +128,10 @@
         continues_after(&mut deployment, async |deployment| {
             assert_eq!(deployment.operator.retire("nobody", LIMIT).await, 404);
             assert_eq!(deployment.operator.retire("storage-1", LIMIT).await, 200);
-            assert!(deployment.operator.retired("storage-1", LIMIT).await, "it is emptied in time");
+            assert!(
+                deployment.operator.wait_until_retired("storage-1", LIMIT).await,
+                "it is emptied in time"
+            );
             deployment.tier.remove("storage-1").await.expect("removed");
             assert_eq!(deployment.operator.retire("storage-2", LIMIT).await, 409, "too few would be left");
         })
--- a/crates/opalrun/tests/tier/planned.rs
+++ b/crates/opalrun/tests/tier/planned.rs
@@ -16,7 +16,7 @@
                 "it ends well within the grace"
             );
             deployment.tier.start_machine("edge-1").expect("started");
-            deployment.tier.gatekeepers_ready(START_LIMIT).await.expect("ready again");
+            deployment.tier.wait_for_gatekeepers(START_LIMIT).await.expect("ready again");
         })
         .await;
         deployment
@@ -30,7 +30,7 @@
             play_beside(&mut deployment, async |deployment| {
                 assert!(deployment.tier.terminate(machine).await.expect("stopped"), "{machine} ends well");
                 deployment.tier.start_machine(machine).expect("started");
-                deployment.tier.control_ready(START_LIMIT).await.expect("control is back");
+                deployment.tier.wait_for_control(START_LIMIT).await.expect("control is back");
             })
             .await;
         }
@@ -73,9 +73,9 @@
         let mut more = first.clone();
         more.push(Route::new("added", "/added/", RouteKind::Safe, RECORDS));
         assert_eq!(deployment.configure(more, LIMIT).await, 200);
-        deployment.serving().await.expect("the added route is served");
+        deployment.wait_until_serving().await.expect("the added route is served");
         assert_eq!(deployment.configure(first, LIMIT).await, 200);
-        deployment.serving().await.expect("the others still are");
+        deployment.wait_until_serving().await.expect("the others still are");
         deployment
     });
 }
--- a/crates/opalrun/tests/tier/second_losses.rs
+++ b/crates/opalrun/tests/tier/second_losses.rs
@@ -97,7 +97,7 @@
 fn a_control_process_that_ends_as_planned_has_left_its_groups_before() {
     with_deployment(async |mut deployment| {
         deployment.tier.add("core-4", Class::Core, "zone-1").expect("added");
-        deployment.tier.logged("core-4", "votes=4 groups=4 voters=4", LIMIT).await.expect("a member");
+        deployment.tier.wait_for_log("core-4", "votes=4 groups=4 voters=4", LIMIT).await.expect("a member");
         assert!(deployment.tier.terminate("core-1").await.expect("stopped"), "it ends within the grace");
         deployment.tier.remove("core-1").await.expect("removed");
         // Two of three are left. With the one that ended still counted, two of four would decide nothing.
@@ -106,7 +106,7 @@
         deployment.tier.start_machine("core-2").expect("started");
         deployment
             .tier
-            .logged_since_start("core-2", "votes=4 groups=4 voters=3", LIMIT)
+            .wait_for_log_since_start("core-2", "votes=4 groups=4 voters=3", LIMIT)
             .await
             .expect("let in");
         deployment.tier.kill("core-3").await.expect("killed");
@@ -119,13 +119,13 @@
 fn a_control_process_that_is_only_started_again_is_let_in_again() {
     with_deployment(async |mut deployment| {
         deployment.tier.add("core-4", Class::Core, "zone-1").expect("added");
-        deployment.tier.logged("core-4", "votes=4 groups=4 voters=4", LIMIT).await.expect("a member");
+        deployment.tier.wait_for_log("core-4", "votes=4 groups=4 voters=4", LIMIT).await.expect("a member");
         for core in ["core-1", "core-2"] {
             assert!(deployment.tier.terminate(core).await.expect("stopped"), "{core} ends within the grace");
             deployment.tier.start_machine(core).expect("started");
-            deployment.tier.control_ready(START_LIMIT).await.expect("control is back");
+            deployment.tier.wait_for_control(START_LIMIT).await.expect("control is back");
             let all = "votes=4 groups=4 voters=4";
-            deployment.tier.logged_since_start(core, all, LIMIT).await.expect("let in again");
+            deployment.tier.wait_for_log_since_start(core, all, LIMIT).await.expect("let in again");
             deployment.reconfigure(LIMIT).await;
         }
         deployment
--- a/crates/opalrun/tests/tier/support.rs
+++ b/crates/opalrun/tests/tier/support.rs
@@ -3,7 +3,7 @@
 use fleetlab::tier::{
     deployment::Deployment,
     fleet::TierSpec,
-    program::{Ended, Line, Program},
+    program::{Program, ProgramOutcome, PromptHistory},
 };
 use std::{
     future::Future,
@@ -44,7 +44,7 @@
     let mut deployment = runtime.expect("a runtime").block_on(async {
         tokio::time::timeout(TEST_LIMIT, played).await.expect("a story that ends in time")
     });
-    let (broken, fallen) = (deployment.broken(), deployment.tier.fallen());
+    let (broken, fallen) = (deployment.violations(), deployment.tier.unexpected_exits());
     let words =
         if broken.is_empty() && fallen.is_empty() { String::new() } else { deployment.tier.log_tails() };
     assert!(broken.is_empty(), "{broken:#?}\n{words}");
@@ -54,7 +54,7 @@
 /// A conversation under way, whose turns the tier keeps.
 pub struct Conversation {
     program: Program,
-    line: Line,
+    line: PromptHistory,
     turns: usize,
 }
 
@@ -62,7 +62,7 @@
 pub async fn conversation(deployment: &mut Deployment) -> Conversation {
     let name = format!("talk-{}", deployment.tier.log.now_ms());
     let program = deployment.program(&name, "dispute");
-    let line = Line::new(&name);
+    let line = PromptHistory::new(&name);
     let mut conversation = Conversation { program, line, turns: 0 };
     conversation.goes_on(deployment).await;
     conversation.goes_on(deployment).await;
@@ -75,8 +75,8 @@
         let client = deployment.client("zone-1");
         let until = tokio::time::Instant::now() + LIMIT;
         loop {
-            let ended = self.program.one_turn(&client, &mut self.line, self.turns).await;
-            if ended == Ended::Completed {
+            let ended = self.program.run_turn(&client, &mut self.line, self.turns).await;
+            if ended == ProgramOutcome::Completed {
                 self.turns += 1;
                 return;
             }
@@ -97,7 +97,7 @@
         let route = ["dispute", "trace", "resumable"][number % 3];
         let program = Program { tools: deployment.tools(), turns: 8, ..deployment.program(&name, route) };
         let client = deployment.client(["zone-1", "zone-2"][number % 2]);
-        tokio::spawn(async move { program.play(&client).await })
+        tokio::spawn(async move { program.run(&client).await })
     });
     let programs: Vec<_> = programs.collect();
     happens(deployment).await;
--- a/crates/opalrun/tests/tier/unreachable_peers.rs
+++ b/crates/opalrun/tests/tier/unreachable_peers.rs
@@ -13,18 +13,18 @@
         for core in ["core-2", "core-3"] {
             tier.kill(core).await.expect("killed");
         }
-        tier.logged("core-1", WAITING_FOR_CONTROL, LIMIT).await.expect("control waits for a majority");
+        tier.wait_for_log("core-1", WAITING_FOR_CONTROL, LIMIT).await.expect("control waits for a majority");
         tier.kill("core-1").await.expect("killed");
-        tier.logged("storage-1", WAITING_FOR_CONTROL, LIMIT).await.expect("a store waits for control");
-        tier.logged("edge-1", WAITING_FOR_CONTROL, LIMIT).await.expect("an agent waits for control");
+        tier.wait_for_log("storage-1", WAITING_FOR_CONTROL, LIMIT).await.expect("a store waits for control");
+        tier.wait_for_log("edge-1", WAITING_FOR_CONTROL, LIMIT).await.expect("an agent waits for control");
         tier.kill_role("edge-1", "agent").await.expect("killed");
-        tier.logged("edge-1", WAITING_FOR_AGENT, LIMIT).await.expect("a proxy waits for its agent");
+        tier.wait_for_log("edge-1", WAITING_FOR_AGENT, LIMIT).await.expect("a proxy waits for its agent");
         for core in ["core-1", "core-2", "core-3"] {
             tier.start_machine(core).expect("started");
         }
-        tier.logged("storage-1", CONTROL_REACHED, LIMIT).await.expect("a store reaches control");
+        tier.wait_for_log("storage-1", CONTROL_REACHED, LIMIT).await.expect("a store reaches control");
         tier.start_role("edge-1", "agent").expect("started");
-        tier.gatekeepers_ready(LIMIT).await.expect("gatekeepers are back");
+        tier.wait_for_gatekeepers(LIMIT).await.expect("gatekeepers are back");
         deployment
     });
 }
--- a/crates/opalrun/tests/tier/workers.rs
+++ b/crates/opalrun/tests/tier/workers.rs
@@ -2,7 +2,7 @@
 
 use crate::support::with_deployment;
 use fleetlab::tier::{
-    client::Ask,
+    client::RequestSpec,
     deployment::{Deployment, MODELS, RECORDS},
     worker::{Fault, WorkerSpec},
 };
@@ -17,16 +17,23 @@
     Fault::Failure,
 ];
 
-fn ask(deployment: &Deployment, route: &str) -> Ask {
+fn ask(deployment: &Deployment, route: &str) -> RequestSpec {
     let route = deployment.configuration.route(route).expect("a route").clone();
     let body = if route.kind.is_idempotent() { Vec::new() } else { b"once".to_vec() };
-    Ask { route, path: "1".to_owned(), body, deadline: Duration::from_millis(900), retries: 2, turn: None }
+    RequestSpec {
+        route,
+        path: "1".to_owned(),
+        body,
+        deadline: Duration::from_millis(900),
+        retries: 2,
+        turn: None,
+    }
 }
 
 /// Has the next request at every worker of a service go wrong.
 fn all_fail(deployment: &Deployment, service: &str, fault: Fault) {
     let of_service = deployment.workers.iter().filter(|w| w.spec.service == service);
-    of_service.for_each(|w| w.next_fails(fault));
+    of_service.for_each(|w| w.inject_fault(fault));
 }
 
 #[test]
@@ -39,7 +46,7 @@
                 all_fail(&deployment, service, fault);
                 let client = deployment.client("zone-1");
                 for _ in 0..3 {
-                    client.ask(&ask(&deployment, route)).await;
+                    client.send(&ask(&deployment, route)).await;
                 }
             }
         }
@@ -55,10 +62,10 @@
         };
         // Only one of the workers breaks off, whichever gets the stream first.
         for breaking in worker(&deployment) {
-            breaking.next_fails(Fault::ResetMidAnswer);
+            breaking.inject_fault(Fault::ResetMidAnswer);
             let client = deployment.client("zone-1");
             for _ in 0..4 {
-                let reply = client.ask(&ask(&deployment, "resumable")).await;
+                let reply = client.send(&ask(&deployment, "resumable")).await;
                 assert_eq!(reply.status(), 200, "{:?}", reply.outcome);
             }
         }
@@ -78,7 +85,7 @@
         let client = deployment.client("zone-1");
         for route in ["lookup", "redact", "trace"] {
             for _ in 0..5 {
-                client.ask(&ask(&deployment, route)).await;
+                client.send(&ask(&deployment, route)).await;
             }
         }
         deployment
--- a/lab/src/http.rs
+++ b/lab/src/http.rs
@@ -1,6 +1,6 @@
 //! HTTP/1.1 as far as the protocol page has it: a head, then a body of a stated length, or in chunks.
 
-use crate::switchboard::Conn;
+use crate::link::Connection;
 use std::io;
 
 /// The longest head that is read.
@@ -133,7 +133,7 @@
 ///
 /// # Errors
 /// It broke or ended within one, or what came is none.
-pub async fn read(conn: &mut Conn) -> io::Result<Option<Message>> {
+pub async fn read(conn: &mut Connection) -> io::Result<Option<Message>> {
     loop {
         if let Some((message, used)) = Message::parse(conn.buffer())? {
             conn.buffer().drain(..used);
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -10,11 +10,12 @@
 pub mod experiment;
 pub mod http;
 pub mod judge;
+pub mod link;
 mod micros;
 pub mod record;
 pub mod report;
 pub mod run_delay;
 pub mod scenario;
-pub mod switchboard;
+
 pub mod tier;
 pub mod world;
--- a/lab/src/switchboard.rs
+++ b/lab/src/link.rs
@@ -33,24 +33,24 @@
 
 /// Which way bytes go, as the gateway sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Dir {
+pub enum FlowDirection {
     Out,
     In,
 }
 
 /// What one direction of a link does.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Shape {
+pub struct LinkConditions {
     pub delay: Duration,
     pub jitter: Duration,
-    pub lose: f64,
+    pub loss: f64,
     pub bytes_per_s: f64,
-    pub cut: bool,
+    pub partitioned: bool,
     pub duplicate: f64,
     pub reorder: f64,
 }
 
-impl Shape {
+impl LinkConditions {
     fn clean(&self) -> bool {
         *self == Self::default()
     }
@@ -59,24 +59,24 @@
 /// A link as it stands.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct LinkState {
-    pub out: Shape,
-    pub into: Shape,
+    pub outbound: LinkConditions,
+    pub inbound: LinkConditions,
     pub refuse: bool,
     /// Connections from before the last of these are reset, or silent for good.
     resets: u64,
-    halves: u64,
+    half_opens: u64,
 }
 
 impl LinkState {
     /// No new connection can come up: either way is enough for that.
-    fn clogged(&self) -> bool {
-        self.out.cut || self.into.cut
+    fn blocks_connections(&self) -> bool {
+        self.outbound.partitioned || self.inbound.partitioned
     }
 
-    fn shape(&self, dir: Dir) -> &Shape {
+    fn shape(&self, dir: FlowDirection) -> &LinkConditions {
         match dir {
-            Dir::Out => &self.out,
-            Dir::In => &self.into,
+            FlowDirection::Out => &self.outbound,
+            FlowDirection::In => &self.inbound,
         }
     }
 }
@@ -84,8 +84,8 @@
 /// What a fault does to a link.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LinkFault {
-    pub what: FaultKind,
-    pub way: Direction,
+    pub kind: FaultKind,
+    pub direction: Direction,
     pub delay: Duration,
     pub jitter: Duration,
     pub share: f64,
@@ -105,8 +105,8 @@
     /// A whole link whose messages take `delay` each way.
     #[must_use]
     pub fn new(delay: Duration, seed: u64) -> Arc<Self> {
-        let shape = Shape { delay, jitter: delay / 5, ..Shape::default() };
-        let base = LinkState { out: shape, into: shape, ..LinkState::default() };
+        let shape = LinkConditions { delay, jitter: delay / 5, ..LinkConditions::default() };
+        let base = LinkState { outbound: shape, inbound: shape, ..LinkState::default() };
         Arc::new(Self {
             base,
             faults: Mutex::default(),
@@ -120,18 +120,18 @@
     }
 
     /// Fault number `index` begins.
-    pub fn begin(&self, index: usize, fault: LinkFault) {
+    pub fn begin_fault(&self, index: usize, fault: LinkFault) {
         let mut faults = self.faults.lock().unwrap_or_else(PoisonError::into_inner);
-        match fault.what {
+        match fault.kind {
             FaultKind::Reset => self.state.send_modify(|s| s.resets += 1),
-            FaultKind::HalfOpen => self.state.send_modify(|s| s.halves += 1),
+            FaultKind::HalfOpen => self.state.send_modify(|s| s.half_opens += 1),
             _ => faults.push((index, fault)),
         }
         self.apply(&faults);
     }
 
     /// Fault number `index` ends.
-    pub fn heal(&self, index: usize) {
+    pub fn end_fault(&self, index: usize) {
         let mut faults = self.faults.lock().unwrap_or_else(PoisonError::into_inner);
         faults.retain(|(i, _)| *i != index);
         self.apply(&faults);
@@ -139,22 +139,23 @@
 
     fn apply(&self, faults: &[(usize, LinkFault)]) {
         self.state.send_modify(|state| {
-            let mut next = LinkState { resets: state.resets, halves: state.halves, ..self.base };
+            let mut next = LinkState { resets: state.resets, half_opens: state.half_opens, ..self.base };
             for (_, fault) in faults {
-                if fault.what == FaultKind::Refuse {
+                if fault.kind == FaultKind::Refuse {
                     next.refuse = true;
                 }
-                for (way, shape) in [(Direction::Out, &mut next.out), (Direction::In, &mut next.into)] {
-                    if fault.way != Direction::Both && fault.way != way {
+                for (way, shape) in [(Direction::Out, &mut next.outbound), (Direction::In, &mut next.inbound)]
+                {
+                    if fault.direction != Direction::Both && fault.direction != way {
                         continue;
                     }
-                    match fault.what {
-                        FaultKind::Cut => shape.cut = true,
+                    match fault.kind {
+                        FaultKind::Cut => shape.partitioned = true,
                         FaultKind::Delay => {
                             shape.delay += fault.delay;
                             shape.jitter += fault.jitter;
                         }
-                        FaultKind::Lose => shape.lose = 1.0 - (1.0 - shape.lose) * (1.0 - fault.share),
+                        FaultKind::Lose => shape.loss = 1.0 - (1.0 - shape.loss) * (1.0 - fault.share),
                         FaultKind::Throttle => shape.bytes_per_s = fault.bytes_per_s,
                         FaultKind::Duplicate => shape.duplicate = fault.share,
                         FaultKind::Reorder => shape.reorder = fault.share,
@@ -171,7 +172,7 @@
     }
 
     /// How long `bytes` take in a direction, the cut aside.
-    fn time(&self, shape: &Shape, bytes: usize) -> Duration {
+    fn time(&self, shape: &LinkConditions, bytes: usize) -> Duration {
         let mut time = shape.delay;
         if !shape.jitter.is_zero() {
             time += shape.jitter.mul_f64(self.draw());
@@ -179,10 +180,10 @@
         if shape.bytes_per_s > 0.0 {
             time += Duration::from_secs_f64(bytes as f64 / shape.bytes_per_s);
         }
-        if shape.lose > 0.0 {
+        if shape.loss > 0.0 {
             let mut again = RETRANSMIT;
             // As many losses in a row as come to two minutes are as good as a cut.
-            while again < Duration::from_secs(60) && self.draw() < shape.lose {
+            while again < Duration::from_secs(60) && self.draw() < shape.loss {
                 time += again;
                 again *= 2;
             }
@@ -191,22 +192,22 @@
     }
 
     /// When `bytes` that set out now are through; `None` while nothing passes.
-    pub fn arrival(&self, dir: Dir, bytes: usize) -> Option<Instant> {
+    pub fn arrival(&self, dir: FlowDirection, bytes: usize) -> Option<Instant> {
         let state = self.state();
         let shape = state.shape(dir);
-        (!shape.cut)
+        (!shape.partitioned)
             .then(|| Instant::now() + if shape.clean() { Duration::ZERO } else { self.time(shape, bytes) })
     }
 
     /// Waits until nothing is cut in a direction.
-    async fn open(&self, dir: Dir) {
+    async fn open(&self, dir: FlowDirection) {
         let mut changes = self.state.subscribe();
         // The sender lives as long as this link does.
-        let _ = changes.wait_for(|s| !s.shape(dir).cut).await;
+        let _ = changes.wait_for(|s| !s.shape(dir).partitioned).await;
     }
 
     /// Waits as long as `bytes` take in a direction; over a cut link until it heals.
-    pub async fn pass(&self, dir: Dir, bytes: usize) {
+    pub async fn wait_for_transit(&self, dir: FlowDirection, bytes: usize) {
         loop {
             match self.arrival(dir, bytes) {
                 Some(at) if at <= Instant::now() => return,
@@ -224,22 +225,22 @@
 }
 
 /// The lab's end of a TCP connection over a link.
-pub struct Conn {
+pub struct Connection {
     socket: TcpStream,
     pub link: Arc<Link>,
     changes: watch::Receiver<LinkState>,
     resets: u64,
-    halves: u64,
+    half_opens: u64,
     buffer: Vec<u8>,
 }
 
-impl Conn {
+impl Connection {
     pub fn new(socket: TcpStream, link: Arc<Link>) -> Self {
         // A socket without it is slower, which the lab's lateness does not hide.
         let _ = socket.set_nodelay(true);
         let state = link.state();
         let changes = link.state.subscribe();
-        Self { socket, link, changes, resets: state.resets, halves: state.halves, buffer: Vec::new() }
+        Self { socket, link, changes, resets: state.resets, half_opens: state.half_opens, buffer: Vec::new() }
     }
 
     /// What has come and was not taken yet.
@@ -259,7 +260,7 @@
                 self.reset();
                 return Err(io::ErrorKind::ConnectionReset.into());
             }
-            if state.halves > self.halves {
+            if state.half_opens > self.half_opens {
                 // Silent for good: neither bytes nor the end come through, until a reset.
                 self.changes.changed().await.map_err(|_| io::ErrorKind::BrokenPipe)?;
                 continue;
@@ -277,29 +278,29 @@
     ///
     /// # Errors
     /// The connection broke.
-    pub async fn write(&mut self, dir: Dir, bytes: &[u8]) -> io::Result<()> {
-        self.link.pass(dir, bytes.len()).await;
-        self.write_now(bytes).await
+    pub async fn write(&mut self, dir: FlowDirection, bytes: &[u8]) -> io::Result<()> {
+        self.link.wait_for_transit(dir, bytes.len()).await;
+        self.write_without_delay(bytes).await
     }
 
     /// Writes all of `bytes`: the caller has reckoned with the link already.
     ///
     /// # Errors
     /// The connection broke, or the link reset it.
-    pub async fn write_now(&mut self, bytes: &[u8]) -> io::Result<()> {
+    pub async fn write_without_delay(&mut self, bytes: &[u8]) -> io::Result<()> {
         let state = self.link.state();
         if state.resets > self.resets {
             self.reset();
             return Err(io::ErrorKind::ConnectionReset.into());
         }
-        if state.halves > self.halves {
+        if state.half_opens > self.half_opens {
             return Ok(());
         }
         self.socket.write_all(bytes).await
     }
 
     /// Whether it can still be used: nothing has come that nobody asked for, nor the end.
-    pub fn idle(&self) -> bool {
+    pub fn is_reusable(&self) -> bool {
         let state = self.link.state();
         let is_intact = state.resets <= self.resets && self.buffer.is_empty();
         is_intact && self.socket.try_read(&mut [0]).is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
@@ -312,15 +313,15 @@
 }
 
 /// The lab's listening end of a link, at one address for good.
-pub struct Port {
+pub struct LinkListener {
     pub addr: SocketAddr,
     link: Arc<Link>,
     listener: Option<TcpListener>,
-    plug: Plug,
+    filler: BacklogFiller,
 }
 
 /// What keeps a listener's line full while its link is cut.
-enum Plug {
+enum BacklogFiller {
     None,
     /// Somebody else's connection that came just then.
     Other,
@@ -328,7 +329,7 @@
 }
 
 /// A connection on loopback is up long before.
-const PLUG_WAIT: Duration = Duration::from_millis(20);
+const FILL_TIMEOUT: Duration = Duration::from_millis(20);
 
 fn listen(addr: SocketAddr) -> io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
@@ -338,21 +339,21 @@
     socket.listen(BACKLOG)
 }
 
-impl Port {
+impl LinkListener {
     /// Listens on a free port of `ip`.
     ///
     /// # Errors
     /// There is none, or no descriptor.
     pub fn open(ip: IpAddr, link: Arc<Link>) -> io::Result<Self> {
         let listener = listen(SocketAddr::new(ip, 0))?;
-        Ok(Self { addr: listener.local_addr()?, link, listener: Some(listener), plug: Plug::None })
+        Ok(Self { addr: listener.local_addr()?, link, listener: Some(listener), filler: BacklogFiller::None })
     }
 
     /// Makes the listener what the link's state and `up` want it to be.
     async fn apply(&mut self, up: bool) -> io::Result<()> {
         let state = self.link.state();
         if !up || state.refuse {
-            self.plug = Plug::None;
+            self.filler = BacklogFiller::None;
             self.listener = None;
             return Ok(());
         }
@@ -360,18 +361,18 @@
             self.listener = Some(listen(self.addr)?);
         }
         let Some(listener) = &self.listener else { return Ok(()) };
-        let plugged = !matches!(self.plug, Plug::None);
-        if state.clogged() && !plugged {
+        let filled = !matches!(self.filler, BacklogFiller::None);
+        if state.blocks_connections() && !filled {
             // A line of none, filled by one connection of the lab's own: nobody else gets in, or an answer.
             rustix::net::listen(listener, 0)?;
-            self.plug = match tokio::time::timeout(PLUG_WAIT, TcpStream::connect(self.addr)).await {
-                Ok(plug) => Plug::Own(plug?),
-                Err(_) => Plug::Other,
+            self.filler = match tokio::time::timeout(FILL_TIMEOUT, TcpStream::connect(self.addr)).await {
+                Ok(filler) => BacklogFiller::Own(filler?),
+                Err(_) => BacklogFiller::Other,
             };
-        } else if !state.clogged() && plugged {
+        } else if !state.blocks_connections() && filled {
             rustix::net::listen(listener, BACKLOG.cast_signed())?;
-            if matches!(self.plug, Plug::Other) {
-                self.plug = Plug::None;
+            if matches!(self.filler, BacklogFiller::Other) {
+                self.filler = BacklogFiller::None;
             }
         }
         Ok(())
@@ -381,13 +382,13 @@
     ///
     /// # Errors
     /// The address can't be taken up again.
-    pub async fn accept(&mut self, up: &mut watch::Receiver<bool>) -> io::Result<Conn> {
+    pub async fn accept(&mut self, up: &mut watch::Receiver<bool>) -> io::Result<Connection> {
         let mut changes = self.link.state.subscribe();
         loop {
             changes.borrow_and_update();
             let is_up = *up.borrow_and_update();
             self.apply(is_up).await?;
-            let open = self.listener.as_ref().filter(|_| !self.link.state().clogged());
+            let open = self.listener.as_ref().filter(|_| !self.link.state().blocks_connections());
             let accepted = async {
                 match open {
                     Some(listener) => listener.accept().await,
@@ -401,11 +402,11 @@
                         sleep(Duration::from_millis(1)).await;
                         continue;
                     };
-                    if matches!(&self.plug, Plug::Own(plug) if plug.local_addr().is_ok_and(|a| a == from)) {
-                        self.plug = Plug::None;
+                    if matches!(&self.filler, BacklogFiller::Own(filler) if filler.local_addr().is_ok_and(|a| a == from)) {
+                        self.filler = BacklogFiller::None;
                         continue;
                     }
-                    return Ok(Conn::new(socket, self.link.clone()));
+                    return Ok(Connection::new(socket, self.link.clone()));
                 }
                 _ = changes.changed() => {}
                 power = up.changed() => power.map_err(|_| io::ErrorKind::BrokenPipe)?,
@@ -429,10 +430,10 @@
 /// Datagrams and bytes that came to the relay, and that it passed on.
 #[derive(Debug, Default)]
 pub struct RelayCounts {
-    pub came: AtomicU64,
-    pub passed: AtomicU64,
+    pub received: AtomicU64,
+    pub forwarded: AtomicU64,
     pub bytes: AtomicU64,
-    pub strangers: AtomicU64,
+    pub unknown_senders: AtomicU64,
 }
 
 /// Longer than any datagram.
@@ -467,29 +468,29 @@
         let mut buffer = vec![0; DATAGRAM];
         loop {
             let Ok((n, sender)) = self.sockets[to].recv_from(&mut buffer).await else { continue };
-            self.counts.came.fetch_add(1, Ordering::Relaxed);
+            self.counts.received.fetch_add(1, Ordering::Relaxed);
             self.counts.bytes.fetch_add(n as u64, Ordering::Relaxed);
             let Some(from) = self.by_addr.get(&sender).copied() else {
-                self.counts.strangers.fetch_add(1, Ordering::Relaxed);
+                self.counts.unknown_senders.fetch_add(1, Ordering::Relaxed);
                 continue;
             };
             let link = &self.links[from * self.members.len() + to];
             let state = link.state();
             // What one member sends goes out of it, and into the other: a link has one way here.
-            if state.out.cut || state.into.cut || link.draw() < state.out.lose {
+            if state.outbound.partitioned || state.inbound.partitioned || link.draw() < state.outbound.loss {
                 continue;
             }
-            let duplicates = 1 + usize::from(link.draw() < state.out.duplicate);
+            let duplicates = 1 + usize::from(link.draw() < state.outbound.duplicate);
             for _ in 0..duplicates {
-                let mut wait = link.time(&Shape { lose: 0.0, ..state.out }, n);
-                if link.draw() < state.out.reorder {
+                let mut wait = link.time(&LinkConditions { loss: 0.0, ..state.outbound }, n);
+                if link.draw() < state.outbound.reorder {
                     wait += Duration::from_millis(20).mul_f64(link.draw());
                 }
                 let (relay, bytes) = (self.clone(), buffer[..n].to_vec());
                 let pass = async move {
                     // One that is not there hears nothing, as on any network.
                     if relay.sockets[from].send_to(&bytes, relay.members[to]).await.is_ok() {
-                        relay.counts.passed.fetch_add(1, Ordering::Relaxed);
+                        relay.counts.forwarded.fetch_add(1, Ordering::Relaxed);
                     }
                 };
                 if wait.is_zero() {
@@ -515,8 +516,8 @@
 
     fn link_fault(what: FaultKind) -> LinkFault {
         LinkFault {
-            what,
-            way: Direction::Both,
+            kind: what,
+            direction: Direction::Both,
             delay: Duration::ZERO,
             jitter: Duration::ZERO,
             share: 1.0,
@@ -525,7 +526,9 @@
     }
 
     /// Accepts connections and hands on what they bring, until it is dropped.
-    fn serve(mut port: Port) -> (watch::Sender<bool>, tokio::sync::mpsc::UnboundedReceiver<Option<Vec<u8>>>) {
+    fn serve(
+        mut port: LinkListener,
+    ) -> (watch::Sender<bool>, tokio::sync::mpsc::UnboundedReceiver<Option<Vec<u8>>>) {
         let (up, mut is_up) = watch::channel(true);
         let (sender, heard) = tokio::sync::mpsc::unbounded_channel();
         tokio::spawn(async move {
@@ -534,7 +537,7 @@
                 tokio::spawn(async move {
                     while let Ok(1..) = conn.fill().await {
                         let bytes = std::mem::take(conn.buffer());
-                        conn.link.pass(Dir::Out, bytes.len()).await;
+                        conn.link.wait_for_transit(FlowDirection::Out, bytes.len()).await;
                         let _ = sender.send(Some(bytes));
                     }
                     let _ = sender.send(None);
@@ -547,13 +550,13 @@
     #[tokio::test]
     async fn a_cut_link_holds_bytes_back_and_lets_no_connection_up_until_it_heals() {
         let link = Link::new(Duration::ZERO, 1);
-        let port = Port::open(LOCAL, link.clone()).expect("a port");
+        let port = LinkListener::open(LOCAL, link.clone()).expect("a port");
         let addr = port.addr;
         let (_up, mut heard) = serve(port);
         let mut client = TcpStream::connect(addr).await.expect("it is up");
         client.write_all(b"one").await.expect("up");
         assert_eq!(heard.recv().await, Some(Some(b"one".to_vec())));
-        link.begin(0, link_fault(FaultKind::Cut));
+        link.begin_fault(0, link_fault(FaultKind::Cut));
         client.write_all(b"two").await.expect("the sender notices nothing");
         // The line is full once a connection does not come up any more.
         let refused = async {
@@ -569,7 +572,7 @@
         while let Ok(told) = heard.try_recv() {
             assert_eq!(told, None, "bytes over a cut link");
         }
-        link.heal(0);
+        link.end_fault(0);
         let two = async { while heard.recv().await != Some(Some(b"two".to_vec())) {} };
         tokio::time::timeout(LONG, two).await.expect("they come through now");
         let new = tokio::time::timeout(LONG, TcpStream::connect(addr)).await.expect("in time");
@@ -582,13 +585,13 @@
     #[tokio::test]
     async fn a_reset_ends_what_is_there_and_a_refused_link_takes_nothing_new() {
         let link = Link::new(Duration::ZERO, 1);
-        let port = Port::open(LOCAL, link.clone()).expect("a port");
+        let port = LinkListener::open(LOCAL, link.clone()).expect("a port");
         let addr = port.addr;
         let (up, mut heard) = serve(port);
         let mut client = TcpStream::connect(addr).await.expect("it is up");
         client.write_all(b"one").await.expect("up");
         assert_eq!(heard.recv().await, Some(Some(b"one".to_vec())));
-        link.begin(0, link_fault(FaultKind::Reset));
+        link.begin_fault(0, link_fault(FaultKind::Reset));
         assert_eq!(heard.recv().await, Some(None));
         let ended = client.read(&mut [0]).await;
         assert!(ended.is_err(), "a reset, not an end: {ended:?}");
@@ -601,9 +604,9 @@
                 }
             }
         };
-        link.begin(1, link_fault(FaultKind::Refuse));
+        link.begin_fault(1, link_fault(FaultKind::Refuse));
         tokio::time::timeout(LONG, refused(addr)).await.expect("refused");
-        link.heal(1);
+        link.end_fault(1);
         let again = |addr| async move { while TcpStream::connect(addr).await.is_err() {} };
         tokio::time::timeout(LONG, again(addr)).await.expect("the same address");
         up.send(false).expect("served");
@@ -613,18 +616,18 @@
     #[tokio::test]
     async fn half_open_connections_are_silent_for_good_and_new_ones_work() {
         let link = Link::new(Duration::ZERO, 1);
-        let port = Port::open(LOCAL, link.clone()).expect("a port");
+        let port = LinkListener::open(LOCAL, link.clone()).expect("a port");
         let addr = port.addr;
         let (_up, mut heard) = serve(port);
         let mut old = TcpStream::connect(addr).await.expect("it is up");
         old.write_all(b"one").await.expect("up");
         assert_eq!(heard.recv().await, Some(Some(b"one".to_vec())));
-        link.begin(0, link_fault(FaultKind::HalfOpen));
+        link.begin_fault(0, link_fault(FaultKind::HalfOpen));
         old.write_all(b"lost").await.expect("the sender notices nothing");
         let mut new = TcpStream::connect(addr).await.expect("it is up");
         new.write_all(b"two").await.expect("up");
         assert_eq!(heard.recv().await, Some(Some(b"two".to_vec())));
-        link.heal(0);
+        link.end_fault(0);
         new.write_all(b"three").await.expect("up");
         assert_eq!(heard.recv().await, Some(Some(b"three".to_vec())), "and the lost ones stay lost");
     }
@@ -632,34 +635,34 @@
     #[test]
     fn faults_on_one_link_add_up_and_each_is_taken_back_by_itself() {
         let link = Link::new(Duration::from_millis(1), 1);
-        let is_intact = link.state();
+        let base = link.state();
         let slow = |ms| LinkFault {
             delay: Duration::from_millis(ms),
-            way: Direction::In,
+            direction: Direction::In,
             ..link_fault(FaultKind::Delay)
         };
-        link.begin(0, slow(10));
-        link.begin(1, slow(20));
-        assert_eq!(link.state().into.delay, Duration::from_millis(31));
-        assert_eq!(link.state().out, is_intact.out, "the other way is whole");
-        link.begin(2, LinkFault { way: Direction::Out, ..link_fault(FaultKind::Cut) });
-        assert!(link.arrival(Dir::Out, 10).is_none());
-        assert!(link.arrival(Dir::In, 10).is_some());
-        link.heal(0);
-        assert_eq!(link.state().into.delay, Duration::from_millis(21));
-        link.heal(1);
-        link.heal(2);
-        assert_eq!(link.state(), is_intact);
+        link.begin_fault(0, slow(10));
+        link.begin_fault(1, slow(20));
+        assert_eq!(link.state().inbound.delay, Duration::from_millis(31));
+        assert_eq!(link.state().outbound, base.outbound, "the other way is whole");
+        link.begin_fault(2, LinkFault { direction: Direction::Out, ..link_fault(FaultKind::Cut) });
+        assert!(link.arrival(FlowDirection::Out, 10).is_none());
+        assert!(link.arrival(FlowDirection::In, 10).is_some());
+        link.end_fault(0);
+        assert_eq!(link.state().inbound.delay, Duration::from_millis(21));
+        link.end_fault(1);
+        link.end_fault(2);
+        assert_eq!(link.state(), base);
     }
 
     #[test]
     fn losses_and_a_narrow_link_cost_time() {
         let link = Link::new(Duration::ZERO, 1);
-        let lossy = Shape { lose: 0.5, ..Shape::default() };
+        let lossy = LinkConditions { loss: 0.5, ..LinkConditions::default() };
         let times: Vec<Duration> = (0..400).map(|_| link.time(&lossy, 100)).collect();
         let late = times.iter().filter(|t| **t >= RETRANSMIT).count();
         assert!((150..250).contains(&late), "{late} of 400 were lost once or more");
-        let narrow = Shape { bytes_per_s: 1000.0, ..Shape::default() };
+        let narrow = LinkConditions { bytes_per_s: 1000.0, ..LinkConditions::default() };
         assert_eq!(link.time(&narrow, 500), Duration::from_millis(500));
     }
 
@@ -682,24 +685,24 @@
         sockets[0].send_to(b"one", relay.addrs[1]).await.expect("sent");
         // It comes from where the first is known to the second, so that an answer finds its way.
         assert_eq!(receive(1).await, (b"one".to_vec(), relay.addrs[0]));
-        links[1].begin(0, link_fault(FaultKind::Lose));
+        links[1].begin_fault(0, link_fault(FaultKind::Lose));
         sockets[0].send_to(b"lost", relay.addrs[1]).await.expect("sent");
         sockets[1].send_to(b"back", relay.addrs[0]).await.expect("sent");
         assert_eq!(receive(0).await.0, b"back", "the other way is whole");
-        while relay.counts.came.load(Ordering::Relaxed) < 3 {
+        while relay.counts.received.load(Ordering::Relaxed) < 3 {
             tokio::task::yield_now().await;
         }
-        links[1].heal(0);
-        links[1].begin(1, link_fault(FaultKind::Duplicate));
+        links[1].end_fault(0);
+        links[1].begin_fault(1, link_fault(FaultKind::Duplicate));
         sockets[0].send_to(b"twice", relay.addrs[1]).await.expect("sent");
         assert_eq!(receive(1).await.0, b"twice");
         assert_eq!(receive(1).await.0, b"twice");
         // From nobody's address: passed over, and counted.
         let stranger = UdpSocket::bind((LOCAL, 0)).await.expect("a socket");
         stranger.send_to(b"hello", relay.addrs[1]).await.expect("sent");
-        while relay.counts.strangers.load(Ordering::Relaxed) < 1 {
+        while relay.counts.unknown_senders.load(Ordering::Relaxed) < 1 {
             tokio::task::yield_now().await;
         }
-        assert_eq!(relay.counts.passed.load(Ordering::Relaxed), 4);
+        assert_eq!(relay.counts.forwarded.load(Ordering::Relaxed), 4);
     }
 }
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -9,9 +9,9 @@
     report::{Baseline, Report},
     scenario::{Invalid, Scenario, shipped},
     tier::{
-        day::Day,
         fleet::{TierError, TierSpec},
         page,
+        run::TierRun,
     },
     world::{Play, Progress, WorldError},
 };
@@ -244,11 +244,11 @@
 }
 
 /// Plays a day of the whole tier and shows what became of it; whether it passed.
-fn tier_day(day: &Day, folder: Option<&Path>) -> Result<bool, LabError> {
+fn run_tier_once(tier_run: &TierRun, folder: Option<&Path>) -> Result<bool, LabError> {
     let Lab { runtime, mut stop } = Lab::new()?;
     let summary = runtime.block_on(async {
         tokio::select! {
-            summary = day.play() => summary.map_err(LabError::Tier),
+            summary = tier_run.run() => summary.map_err(LabError::Tier),
             _ = stop.changed() => Err(LabError::Use("stopped".to_owned())),
         }
     })?;
@@ -257,18 +257,18 @@
         let page = page::write(&summary, folder).map_err(LabError::Report)?;
         println!("{:<28}{}", "report", page.display());
     }
-    let seed = day.seed.map(|seed| format!("seed {seed}: ")).unwrap_or_default();
+    let seed = tier_run.seed.map(|seed| format!("seed {seed}: ")).unwrap_or_default();
     println!("{seed}{}", summary.line());
     Ok(summary.passed())
 }
 
 /// Plays a day for each seed, or the usual one.
-fn tier(day: &Day, seeds: &[u64], folder: Option<&Path>) -> Result<ExitCode, LabError> {
+fn run_tier(tier_run: &TierRun, seeds: &[u64], folder: Option<&Path>) -> Result<ExitCode, LabError> {
     let seeds: Vec<Option<u64>> =
         if seeds.is_empty() { vec![None] } else { seeds.iter().copied().map(Some).collect() };
     let mut passed = true;
     for seed in seeds {
-        passed &= tier_day(&Day { seed, ..day.clone() }, folder)?;
+        passed &= run_tier_once(&TierRun { seed, ..tier_run.clone() }, folder)?;
     }
     Ok(if passed { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
@@ -323,8 +323,8 @@
         Command::Tier { build, length_s, edges, seeds, report } => {
             let program = canonical(&build)?;
             let spec = TierSpec { edges: edges as usize, ..TierSpec::default() };
-            let day = Day { program, length: Duration::from_secs(length_s), tier: spec, seed: None };
-            tier(&day, &seeds, report.as_deref())
+            let tier_run = TierRun { program, length: Duration::from_secs(length_s), tier: spec, seed: None };
+            run_tier(&tier_run, &seeds, report.as_deref())
         }
         Command::Replay { folder } => {
             let path = folder.join("recording.jsonl");
--- a/lab/src/tier/arrivals.rs
+++ b/lab/src/tier/arrivals.rs
@@ -34,7 +34,7 @@
             let mut programs = JoinSet::new();
             for number in 0.. {
                 let source = source.clone();
-                programs.spawn(async move { source.play(number).await });
+                programs.spawn(async move { source.run(number).await });
                 tokio::select! {
                     () = tokio::time::sleep(EVERY) => {}
                     _ = stopped.wait_for(|stopped| *stopped) => break,
@@ -78,7 +78,7 @@
         }
     }
 
-    async fn play(&self, number: usize) -> ProgramReport {
+    async fn run(&self, number: usize) -> ProgramReport {
         let pattern = self.patterns[number % self.patterns.len()].clone();
         let loops = number % LOOPING == LOOPING - 1;
         let budget = if loops { LOOPING_BUDGET } else { pattern.budget };
@@ -86,6 +86,6 @@
         let zone = &self.zones[number % self.zones.len()];
         // Numbers that are no other client's.
         let hash = 1_000_000 + number as u64;
-        program.play(&Client::new(self.log.clone(), self.platform.clone(), zone, hash)).await
+        program.run(&Client::new(self.log.clone(), self.platform.clone(), zone, hash)).await
     }
 }
--- a/lab/src/tier/client.rs
+++ b/lab/src/tier/client.rs
@@ -2,7 +2,7 @@
 
 use super::{
     configuration::Route,
-    observation::{Log, Observation, Outcome, ProgramFacts, RouteKind, StreamEvent, Try},
+    observation::{ClientRequest, Log, Observation, Outcome, ProgramDescription, RouteKind, StreamEvent},
     peer::{Framing, Peer, request},
     platform::Platform,
 };
@@ -33,7 +33,7 @@
 
 /// What a client asks for.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct RequestSpec {
     pub route: Route,
     /// What follows the route's prefix.
     pub path: String,
@@ -48,7 +48,7 @@
 /// What a request of a program carries besides.
 #[derive(Debug, Clone)]
 pub struct TurnHeaders {
-    pub program: ProgramFacts,
+    pub program: ProgramDescription,
     pub session: String,
     pub finish: Duration,
     pub previous: Option<String>,
@@ -96,14 +96,14 @@
     }
 
     /// Asks, and tries again as far as the protocol lets it.
-    pub async fn ask(&self, ask: &Ask) -> Reply {
-        let until = Instant::now() + ask.deadline;
+    pub async fn send(&self, spec: &RequestSpec) -> Reply {
+        let until = Instant::now() + spec.deadline;
         let mut tries = 0;
         loop {
-            let reply = self.attempt(ask, until, tries == 0).await;
+            let reply = self.attempt(spec, until, tries == 0).await;
             tries += 1;
-            let Some(pause) = may_retry(ask.route.kind, &reply.outcome, until) else { return reply };
-            if tries > ask.retries || Instant::now() + pause >= until {
+            let Some(pause) = may_retry(spec.route.kind, &reply.outcome, until) else { return reply };
+            if tries > spec.retries || Instant::now() + pause >= until {
                 return reply;
             }
             tokio::time::sleep(pause).await;
@@ -111,7 +111,7 @@
     }
 
     /// Sends one try to a gatekeeper of the platform's choice.
-    pub async fn attempt(&self, ask: &Ask, until: Instant, may_reuse: bool) -> Reply {
+    pub async fn attempt(&self, ask: &RequestSpec, until: Instant, may_reuse: bool) -> Reply {
         let number = self.tries.fetch_add(1, Ordering::Relaxed);
         let id = format!("{:04x}{:06x}", self.hash, TRIES.fetch_add(1, Ordering::Relaxed));
         let Some(entry) = self.platform.choose(&self.zone, self.hash.wrapping_add(number)) else {
@@ -119,22 +119,22 @@
             return Reply { request: id, outcome, events: Vec::new() };
         };
         let sent = Self::describe(ask, &id, &entry.machine);
-        self.log.note(Observation::TrySent(Arc::new(sent.clone())));
+        self.log.record(Observation::RequestSent(Arc::new(sent.clone())));
         let mut exchange =
             Exchange { log: &self.log, sent: &sent, events: Vec::new(), written: false, status: None };
         let run = exchange.run(self, entry.frontend, ask, until, may_reuse);
         let outcome = match timeout_at(until, run).await {
             Ok(Ok(outcome)) => outcome,
             Ok(Err(error)) => exchange.failed(&error),
-            Err(_) => Outcome::GivenUp,
+            Err(_) => Outcome::TimedOut,
         };
         let events = exchange.events;
-        self.log.note(Observation::TryEnded { request: id.clone(), outcome: outcome.clone() });
+        self.log.record(Observation::RequestEnded { request: id.clone(), outcome: outcome.clone() });
         Reply { request: id, outcome, events }
     }
 
-    fn describe(ask: &Ask, id: &str, machine: &str) -> Try {
-        Try {
+    fn describe(ask: &RequestSpec, id: &str, machine: &str) -> ClientRequest {
+        ClientRequest {
             request: id.to_owned(),
             machine: machine.to_owned(),
             method: if ask.body.is_empty() { "GET" } else { "POST" }.to_owned(),
@@ -176,7 +176,7 @@
 /// One try under way.
 struct Exchange<'a> {
     log: &'a Log,
-    sent: &'a Try,
+    sent: &'a ClientRequest,
     events: Vec<StreamEvent>,
     /// The whole request has been written.
     written: bool,
@@ -189,7 +189,7 @@
         &mut self,
         client: &Client,
         address: SocketAddr,
-        ask: &Ask,
+        ask: &RequestSpec,
         until: Instant,
         may_reuse: bool,
     ) -> io::Result<Outcome> {
@@ -212,7 +212,7 @@
         Ok(Outcome::Answered { status: head.status(), signature, body, retry_after })
     }
 
-    fn bytes(&self, ask: &Ask, until: Instant) -> Vec<u8> {
+    fn bytes(&self, ask: &RequestSpec, until: Instant) -> Vec<u8> {
         let remaining = until.saturating_duration_since(Instant::now()).as_millis();
         let mut headers = vec![
             ("Host", self.sent.host.clone()),
@@ -259,17 +259,17 @@
             let text: Vec<u8> = pending.drain(..end + 2).collect();
             let Some(event) = parse_event(&text) else { continue };
             let request = self.sent.request.clone();
-            self.log.note(Observation::EventReceived { request, event: event.clone() });
+            self.log.record(Observation::EventReceived { request, event: event.clone() });
             self.events.push(event);
         }
     }
 
     fn failed(&self, error: &io::Error) -> Outcome {
         match (&self.status, error.kind()) {
-            (_, io::ErrorKind::TimedOut) if self.written => Outcome::GivenUp,
-            (_, io::ErrorKind::InvalidData) => Outcome::Unreadable,
+            (_, io::ErrorKind::TimedOut) if self.written => Outcome::TimedOut,
+            (_, io::ErrorKind::InvalidData) => Outcome::Malformed,
             (Some((status, signature)), _) => {
-                Outcome::BrokenOff { status: *status, signature: signature.clone() }
+                Outcome::Interrupted { status: *status, signature: signature.clone() }
             }
             (None, _) => Outcome::Closed { request_written: self.written },
         }
--- a/lab/src/tier/configuration.rs
+++ b/lab/src/tier/configuration.rs
@@ -82,12 +82,12 @@
     pub name: String,
     pub max_connections: u32,
     /// For model workers.
-    pub engine: Option<EngineFacts>,
+    pub engine: Option<EngineDescription>,
 }
 
 /// What a configuration tells of model workers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct EngineFacts {
+pub struct EngineDescription {
     /// Requests at once.
     pub capacity: usize,
     /// Tokens of memory.
--- a/lab/src/tier/deployment.rs
+++ b/lab/src/tier/deployment.rs
@@ -2,12 +2,12 @@
 
 use super::{
     client::Client,
-    configuration::{Configuration, EngineFacts, Route, Service},
+    configuration::{Configuration, EngineDescription, Route, Service},
     fleet::{Tier, TierError, TierSpec},
-    judge::{Broken, judge},
+    judge::{Violation, judge},
     observation::{Observation, Outcome, RouteKind},
     operator::Operator,
-    program::{Ended, Program},
+    program::{Program, ProgramOutcome},
     worker::{Work, Worker, WorkerSpec, engine::EngineSpec},
 };
 use std::{net::Ipv4Addr, path::Path, sync::Arc, time::Duration};
@@ -57,7 +57,7 @@
     /// It does not come up in time.
     pub async fn start(program: &Path, spec: TierSpec) -> Result<Self, TierError> {
         let tier = Tier::start(program, spec)?;
-        tier.control_ready(START_LIMIT).await?;
+        tier.wait_for_control(START_LIMIT).await?;
         let operator = Operator::new(tier.log.clone(), tier.controls.clone(), 0);
         let watch = tier.platform.watch(READINESS_EVERY);
         let configuration = first_configuration();
@@ -68,8 +68,8 @@
             deployment.add_worker(MODELS)?;
             deployment.add_worker(RECORDS)?;
         }
-        deployment.tier.gatekeepers_ready(START_LIMIT).await?;
-        deployment.serving().await?;
+        deployment.tier.wait_for_gatekeepers(START_LIMIT).await?;
+        deployment.wait_until_serving().await?;
         Ok(deployment)
     }
 
@@ -77,9 +77,10 @@
         let body = Arc::new(self.configuration.body());
         match self.operator.configure(&body, 0, true, START_LIMIT).await {
             200 => Ok(()),
-            status => Err(self
-                .tier
-                .late(format!("the first configuration was answered {status}, not taken"), START_LIMIT)),
+            status => Err(self.tier.timeout_error(
+                format!("the first configuration was answered {status}, not taken"),
+                START_LIMIT,
+            )),
         }
     }
 
@@ -87,18 +88,18 @@
     ///
     /// # Errors
     /// None was in time.
-    pub async fn serving(&mut self) -> Result<(), TierError> {
+    pub async fn wait_until_serving(&mut self) -> Result<(), TierError> {
         let until = tokio::time::Instant::now() + START_LIMIT;
         for route in self.configuration.routes.clone() {
             let client = self.client("zone-1");
             loop {
-                let told = self.warm_up(&route).play(&client).await;
-                if told.ended == Ended::Completed {
+                let told = self.warm_up(&route).run(&client).await;
+                if told.outcome == ProgramOutcome::Completed {
                     break;
                 }
                 if tokio::time::Instant::now() > until {
                     let what = format!("{} is not served: {told:?}, {}", route.name, self.last_outcomes());
-                    return Err(self.tier.late(what, START_LIMIT));
+                    return Err(self.tier.timeout_error(what, START_LIMIT));
                 }
             }
         }
@@ -223,13 +224,13 @@
     /// How the last tries ended, for a message.
     #[must_use]
     pub fn last_outcomes(&self) -> String {
-        let seen = self.tier.log.seen();
+        let seen = self.tier.log.observations();
         let ended = seen.iter().rev().filter_map(|s| match &s.what {
-            Observation::TryEnded {
+            Observation::RequestEnded {
                 request,
                 outcome: Outcome::Answered { status, body, retry_after, .. },
             } => Some(format!("{request}: {status} {retry_after:?} {}", String::from_utf8_lossy(body))),
-            Observation::TryEnded { request, outcome } => Some(format!("{request}: {outcome:?}")),
+            Observation::RequestEnded { request, outcome } => Some(format!("{request}: {outcome:?}")),
             _ => None,
         });
         ended.take(OUTCOMES_SHOWN).collect::<Vec<_>>().join("; ")
@@ -237,8 +238,8 @@
 
     /// Every rule that was broken so far.
     #[must_use]
-    pub fn broken(&self) -> Vec<Broken> {
-        judge(&self.tier.log.seen(), &self.tier.spec.bounds)
+    pub fn violations(&self) -> Vec<Violation> {
+        judge(&self.tier.log.observations(), &self.tier.spec.bounds)
     }
 }
 
@@ -252,7 +253,7 @@
 #[must_use]
 pub fn first_configuration() -> Configuration {
     let streaming = |resumable| RouteKind::Streaming { resumable };
-    let engine = EngineFacts {
+    let engine = EngineDescription {
         capacity: ENGINE.capacity,
         kv_capacity: ENGINE.kv_capacity,
         chunk_tokens: ENGINE.chunk_tokens,
--- a/lab/src/tier/fault.rs
+++ b/lab/src/tier/fault.rs
@@ -38,7 +38,7 @@
     /// A machine is killed and comes back after a time.
     Kill(String, Duration),
     /// A machine freezes and wakes after a time.
-    Freeze(String, Duration),
+    Pause(String, Duration),
     /// A machine loses its disk and comes back empty.
     Wipe(String),
     /// A machine is stopped by SIGTERM and started again.
@@ -62,14 +62,14 @@
 }
 
 /// What befalls the tier, one after the other.
-pub enum Strikes {
+pub enum FaultSequence {
     /// As listed.
     Usual(std::vec::IntoIter<TierFault>),
     /// Drawn, without end.
     Drawn(Box<ChaCha8Rng>),
 }
 
-impl Strikes {
+impl FaultSequence {
     /// Those of the usual day.
     #[must_use]
     pub fn usual() -> Self {
@@ -105,7 +105,7 @@
         match self {
             Self::KillOwner | Self::LosePower => true,
             Self::Kill(name, _)
-            | Self::Freeze(name, _)
+            | Self::Pause(name, _)
             | Self::Wipe(name)
             | Self::Stop(name)
             | Self::Replace(name) => !name.starts_with(Class::Edge.name()),
@@ -113,14 +113,14 @@
         }
     }
 
-    /// Strikes, and ends once all that was taken runs again and has caught up.
+    /// FaultSequence, and ends once all that was taken runs again and has caught up.
     ///
     /// # Errors
     /// Something did not come back in time.
     pub async fn inject(&self, deployment: &mut Deployment) -> Result<(), TierError> {
         self.begin_and_end(deployment).await?;
         if self.takes_disk() {
-            deployment.tier.control_ready(START_LIMIT).await?;
+            deployment.tier.wait_for_control(START_LIMIT).await?;
             tokio::time::sleep(CATCH_UP).await;
         }
         Ok(())
@@ -130,14 +130,14 @@
         let tier = &mut deployment.tier;
         match self {
             Self::KillOwner => {
-                let owner = tier.who_logged(OWNER_LOG).unwrap_or_else(|| "core-1".to_owned());
+                let owner = tier.machine_that_logged(OWNER_LOG).unwrap_or_else(|| "core-1".to_owned());
                 kill(deployment, &owner, DOWN).await
             }
             Self::Kill(name, down) => kill(deployment, name, *down).await,
-            Self::Freeze(name, down) => {
-                tier.freeze(name)?;
+            Self::Pause(name, down) => {
+                tier.pause(name)?;
                 tokio::time::sleep(*down).await;
-                tier.thaw(name)
+                tier.resume(name)
             }
             Self::Wipe(name) => {
                 tier.wipe(name).await?;
@@ -165,7 +165,7 @@
             }
             Self::WorkerLeaves | Self::WorkerCrashes => self.worker_goes(deployment),
             Self::WorkersFail(fault) => {
-                deployment.workers.iter().for_each(|w| w.next_fails(*fault));
+                deployment.workers.iter().for_each(|w| w.inject_fault(*fault));
                 Ok(())
             }
         }
@@ -227,7 +227,7 @@
     let down = Duration::from_millis(rng.random_range(least..most));
     match rng.random_range(0..14) {
         0 | 1 => TierFault::Kill(any, down),
-        2 | 3 => TierFault::Freeze(any, down),
+        2 | 3 => TierFault::Pause(any, down),
         4 if !is_edge => TierFault::Wipe(any),
         4 | 5 => TierFault::Stop(any),
         6 => TierFault::Reload(any),
--- a/lab/src/tier/fleet.rs
+++ b/lab/src/tier/fleet.rs
@@ -6,8 +6,8 @@
     observation::{Log, MachineEvent, Observation},
     peer::call,
     platform::{Entry, Platform},
-    settings_file::{Class, Facts, Ports},
-    worker::registration::Controls,
+    settings_file::{Class, Ports, SettingsFile},
+    worker::registration::ControlAddresses,
 };
 use rustix::process::Signal;
 use std::{
@@ -60,14 +60,14 @@
     #[error("no machine is called {0:?}")]
     NoMachine(String),
     #[error("{what} within {limit:?}; the last words of its processes:\n{log_tails}")]
-    Late { what: String, limit: Duration, log_tails: String },
+    Timeout { what: String, limit: Duration, log_tails: String },
 }
 
 /// A tier that runs.
 pub struct Tier {
     pub spec: TierSpec,
     pub log: Log,
-    pub controls: Controls,
+    pub controls: ControlAddresses,
     pub platform: Platform,
     pub ports: Ports,
     machines: Vec<Machine>,
@@ -91,7 +91,7 @@
         let (network, claim) = claim_network()?;
         let mut tier = Self {
             log: Log::default(),
-            controls: Controls::default(),
+            controls: ControlAddresses::default(),
             platform: Platform::new(),
             ports: Ports::default(),
             machines: Vec::new(),
@@ -171,13 +171,13 @@
         machine.ok_or_else(|| TierError::NoMachine(name.to_owned()))
     }
 
-    fn note(&self, machine: &str, event: MachineEvent) {
-        self.log.note(Observation::Machine { machine: machine.to_owned(), event });
+    fn record(&self, machine: &str, event: MachineEvent) {
+        self.log.record(Observation::Machine { machine: machine.to_owned(), event });
     }
 
     fn write_settings(&self, machine: &Machine) -> io::Result<()> {
         for role in machine.class.roles() {
-            let facts = Facts {
+            let facts = SettingsFile {
                 machine: &machine.name,
                 class: machine.class,
                 role,
@@ -206,7 +206,7 @@
         if let Some(machine) = self.machines.iter().find(|m| m.name == name) {
             self.write_settings(machine)?;
         }
-        self.note(name, MachineEvent::Started);
+        self.record(name, MachineEvent::Started);
         let machine = self.machine(name)?;
         machine.start()?;
         // The settings of later starts say that the system has run before.
@@ -235,7 +235,7 @@
     /// # Errors
     /// There is none of the name.
     pub async fn kill(&mut self, name: &str) -> Result<(), TierError> {
-        self.note(name, MachineEvent::Killed);
+        self.record(name, MachineEvent::Killed);
         self.machine(name)?.kill().await;
         Ok(())
     }
@@ -254,7 +254,7 @@
     /// # Errors
     /// There is no such machine.
     pub async fn kill_role(&mut self, name: &str, role: &str) -> Result<(), TierError> {
-        self.note(name, MachineEvent::Killed);
+        self.record(name, MachineEvent::Killed);
         self.machine(name)?.kill_role(role).await;
         Ok(())
     }
@@ -265,7 +265,7 @@
     /// There is no such machine, or it can't be started.
     pub fn start_role(&mut self, name: &str, role: &str) -> Result<(), TierError> {
         self.machine(name)?.start_role(role)?;
-        self.note(name, MachineEvent::Started);
+        self.record(name, MachineEvent::Started);
         self.await_readiness(name)
     }
 
@@ -275,7 +275,7 @@
     /// A process can't be started.
     pub async fn lose_power(&mut self) -> Result<(), TierError> {
         for machine in &self.machines {
-            self.note(&machine.name, MachineEvent::Killed);
+            self.record(&machine.name, MachineEvent::Killed);
             machine.signal(Signal::KILL);
         }
         let names = self.names();
@@ -292,8 +292,8 @@
     ///
     /// # Errors
     /// There is none of the name.
-    pub fn freeze(&mut self, name: &str) -> Result<(), TierError> {
-        self.note(name, MachineEvent::Frozen);
+    pub fn pause(&mut self, name: &str) -> Result<(), TierError> {
+        self.record(name, MachineEvent::Paused);
         self.machine(name)?.signal(Signal::STOP);
         Ok(())
     }
@@ -302,9 +302,9 @@
     ///
     /// # Errors
     /// There is none of the name.
-    pub fn thaw(&mut self, name: &str) -> Result<(), TierError> {
+    pub fn resume(&mut self, name: &str) -> Result<(), TierError> {
         self.machine(name)?.signal(Signal::CONT);
-        self.note(name, MachineEvent::Thawed);
+        self.record(name, MachineEvent::Resumed);
         Ok(())
     }
 
@@ -313,7 +313,7 @@
     /// # Errors
     /// There is none of the name.
     pub fn reload(&mut self, name: &str) -> Result<(), TierError> {
-        self.note(name, MachineEvent::Reloaded);
+        self.record(name, MachineEvent::Reloaded);
         self.machine(name)?.signal(Signal::HUP);
         Ok(())
     }
@@ -323,7 +323,7 @@
     /// # Errors
     /// There is none of the name.
     pub async fn terminate(&mut self, name: &str) -> Result<bool, TierError> {
-        self.note(name, MachineEvent::Terminated);
+        self.record(name, MachineEvent::Terminated);
         let grace = Duration::from_millis(self.spec.bounds.grace_ms);
         let machine = self.machine(name)?;
         machine.signal(Signal::TERM);
@@ -337,7 +337,7 @@
     pub async fn wipe(&mut self, name: &str) -> Result<(), TierError> {
         self.kill(name).await?;
         self.machine(name)?.wipe()?;
-        self.note(name, MachineEvent::DiskLost);
+        self.record(name, MachineEvent::DiskLost);
         Ok(())
     }
 
@@ -358,7 +358,7 @@
     /// There is none of the name.
     pub async fn remove(&mut self, name: &str) -> Result<(), TierError> {
         self.kill(name).await?;
-        self.note(name, MachineEvent::Removed);
+        self.record(name, MachineEvent::Removed);
         self.machines.retain(|m| m.name != name);
         self.platform.remove(name);
         self.controls.set(self.control_addresses());
@@ -369,7 +369,7 @@
     ///
     /// # Errors
     /// One did not in time.
-    pub async fn control_ready(&self, limit: Duration) -> Result<(), TierError> {
+    pub async fn wait_for_control(&self, limit: Duration) -> Result<(), TierError> {
         let until = Instant::now() + limit;
         for address in self.control_addresses() {
             loop {
@@ -378,7 +378,7 @@
                     break;
                 }
                 if Instant::now() > until {
-                    return Err(self.late(format!("control at {address} does not answer"), limit));
+                    return Err(self.timeout_error(format!("control at {address} does not answer"), limit));
                 }
                 tokio::time::sleep(POLL_INTERVAL).await;
             }
@@ -390,10 +390,10 @@
     ///
     /// # Errors
     /// One did not in time.
-    pub async fn gatekeepers_ready(&self, limit: Duration) -> Result<(), TierError> {
+    pub async fn wait_for_gatekeepers(&self, limit: Duration) -> Result<(), TierError> {
         let edges = self.machines.iter().filter(|m| m.class == Class::Edge);
         for machine in edges {
-            self.gatekeeper_ready(&machine.name, limit).await?;
+            self.wait_for_gatekeeper(&machine.name, limit).await?;
         }
         Ok(())
     }
@@ -402,7 +402,7 @@
     ///
     /// # Errors
     /// It did not in time.
-    pub async fn gatekeeper_ready(&self, name: &str, limit: Duration) -> Result<(), TierError> {
+    pub async fn wait_for_gatekeeper(&self, name: &str, limit: Duration) -> Result<(), TierError> {
         let until = Instant::now() + limit;
         loop {
             self.platform.check(POLL_TIMEOUT).await;
@@ -410,7 +410,7 @@
                 return Ok(());
             }
             if Instant::now() > until {
-                return Err(self.late(format!("{name} is not ready"), limit));
+                return Err(self.timeout_error(format!("{name} is not ready"), limit));
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
@@ -420,15 +420,20 @@
     ///
     /// # Errors
     /// There is no such machine, or they did not in time.
-    pub async fn logged(&self, name: &str, text: &str, limit: Duration) -> Result<(), TierError> {
+    pub async fn wait_for_log(&self, name: &str, text: &str, limit: Duration) -> Result<(), TierError> {
         self.wait(name, limit, text, |machine| machine.has_logged(text)).await
     }
 
     /// The same since their last start.
     ///
     /// # Errors
-    /// As [`Tier::logged`].
-    pub async fn logged_since_start(&self, name: &str, text: &str, limit: Duration) -> Result<(), TierError> {
+    /// As [`Tier::wait_for_log`].
+    pub async fn wait_for_log_since_start(
+        &self,
+        name: &str,
+        text: &str,
+        limit: Duration,
+    ) -> Result<(), TierError> {
         self.wait(name, limit, text, |machine| machine.has_logged_since_start(text)).await
     }
 
@@ -444,7 +449,7 @@
         let until = Instant::now() + limit;
         while !is_met(machine) {
             if Instant::now() > until {
-                return Err(self.late(format!("{name} does not log {text:?}"), limit));
+                return Err(self.timeout_error(format!("{name} does not log {text:?}"), limit));
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
@@ -453,7 +458,7 @@
 
     /// A machine one of whose processes has logged something.
     #[must_use]
-    pub fn who_logged(&self, text: &str) -> Option<String> {
+    pub fn machine_that_logged(&self, text: &str) -> Option<String> {
         self.machines.iter().find(|m| m.has_logged(text)).map(|m| m.name.clone())
     }
 
@@ -468,8 +473,8 @@
     }
 
     /// Processes that have ended though nobody ended them.
-    pub fn fallen(&mut self) -> Vec<String> {
-        self.machines.iter_mut().flat_map(Machine::fallen).collect()
+    pub fn unexpected_exits(&mut self) -> Vec<String> {
+        self.machines.iter_mut().flat_map(Machine::unexpected_exits).collect()
     }
 
     /// The last lines that all processes have logged.
@@ -478,8 +483,8 @@
         self.machines.iter().map(Machine::log_tail).collect()
     }
 
-    pub(super) fn late(&self, what: String, limit: Duration) -> TierError {
-        TierError::Late { what, limit, log_tails: self.log_tails() }
+    pub(super) fn timeout_error(&self, what: String, limit: Duration) -> TierError {
+        TierError::Timeout { what, limit, log_tails: self.log_tails() }
     }
 }
 
--- a/lab/src/tier/judge/control.rs
+++ b/lab/src/tier/judge/control.rs
@@ -1,7 +1,7 @@
 //! DRAIN, CONFIG, and LOST round a planned stop.
 
 use super::{
-    Bounds, Broken, Rule,
+    Bounds, Rule, Violation,
     index::{Index, Request, Version},
 };
 use crate::tier::{
@@ -12,7 +12,7 @@
 /// Added to the grace of a SIGTERM before the rules on planned work end, in milliseconds.
 const AFTER_GRACE_MS: u64 = 1000;
 
-pub fn check(index: &Index<'_>, bounds: &Bounds) -> Vec<Broken> {
+pub fn check(index: &Index<'_>, bounds: &Bounds) -> Vec<Violation> {
     let mut broken = drains(index, bounds);
     broken.extend(old_versions(index, bounds));
     broken.extend(never_in_force(index));
@@ -22,7 +22,7 @@
     broken
 }
 
-fn drains(index: &Index<'_>, bounds: &Bounds) -> Vec<Broken> {
+fn drains(index: &Index<'_>, bounds: &Bounds) -> Vec<Violation> {
     let mut broken = Vec::new();
     for (left_ms, worker, leave) in &index.leaves {
         for (id, request) in &index.requests {
@@ -34,7 +34,7 @@
             let (Some(_), Some((at_ms, _))) = (late, reached) else { continue };
             if index.in_touch(&sent.machine, *at_ms, bounds.contact_ms) {
                 let what = format!("{id} reached {worker} {} ms after {leave:?}", at_ms - left_ms);
-                broken.push(Broken { rule: Rule::Drain, at_ms: *at_ms, what });
+                broken.push(Violation { rule: Rule::Drain, at_ms: *at_ms, what });
             }
         }
     }
@@ -49,7 +49,7 @@
     index.versions.iter().filter(current).collect()
 }
 
-fn old_versions(index: &Index<'_>, bounds: &Bounds) -> Vec<Broken> {
+fn old_versions(index: &Index<'_>, bounds: &Bounds) -> Vec<Violation> {
     let handled = |(id, request): (&&str, &Request<'_>)| {
         let (sent_ms, sent) = request.sent?;
         if !index.in_touch(&sent.machine, sent_ms, bounds.contact_ms) {
@@ -58,7 +58,7 @@
         let versions = may_be_in_force(index, sent_ms, bounds.config_apply_ms);
         let routes = versions.iter().filter_map(|v| services_for(&v.json, &sent.host, &sent.path));
         let routes: Vec<Vec<String>> = routes.collect();
-        let report = |what: String| Some(Broken { rule: Rule::Configuration, at_ms: sent_ms, what });
+        let report = |what: String| Some(Violation { rule: Rule::Configuration, at_ms: sent_ms, what });
         if let Some(run) = request.runs.first()
             && !routes.iter().flatten().any(|s| s == run.service)
         {
@@ -76,7 +76,7 @@
 }
 
 /// Runs that only a refused or invalid version allows.
-fn never_in_force(index: &Index<'_>) -> Vec<Broken> {
+fn never_in_force(index: &Index<'_>) -> Vec<Violation> {
     let mut broken = Vec::new();
     for (id, request) in &index.requests {
         for run in &request.runs {
@@ -87,41 +87,41 @@
             let refused = |v: &&&Version<'_>| !v.valid || (400..500).contains(&v.status);
             if !allowing.is_empty() && allowing.iter().all(|v| refused(&v)) {
                 let what = format!("{id} ran as only a refused configuration allows");
-                broken.push(Broken { rule: Rule::Configuration, at_ms: run.at_ms, what });
+                broken.push(Violation { rule: Rule::Configuration, at_ms: run.at_ms, what });
             }
         }
     }
     broken
 }
 
-fn answers_to_changes(index: &Index<'_>) -> Vec<Broken> {
+fn answers_to_changes(index: &Index<'_>) -> Vec<Violation> {
     let mut broken = Vec::new();
     let acknowledged: Vec<_> = index.versions.iter().filter(|v| v.acknowledged_ms.is_some()).collect();
     for (i, version) in acknowledged.iter().enumerate() {
         let at_ms = version.acknowledged_ms.unwrap_or(version.sent_ms);
         if !version.valid {
             let what = format!("the invalid configuration {} was acknowledged", version.generation);
-            broken.push(Broken { rule: Rule::Configuration, at_ms, what });
+            broken.push(Violation { rule: Rule::Configuration, at_ms, what });
         }
         if acknowledged[..i].iter().any(|v| v.generation == version.generation) {
             let what = format!("two changes to generation {} were acknowledged", version.generation);
-            broken.push(Broken { rule: Rule::Configuration, at_ms, what });
+            broken.push(Violation { rule: Rule::Configuration, at_ms, what });
         }
         let later = acknowledged.iter().any(|v| v.generation > version.generation);
         if !later && (400..500).contains(&version.status) {
             let what = format!("generation {} was refused after it was acknowledged", version.generation);
-            broken.push(Broken { rule: Rule::Configuration, at_ms, what });
+            broken.push(Violation { rule: Rule::Configuration, at_ms, what });
         }
     }
     broken
 }
 
-fn reads(index: &Index<'_>) -> Vec<Broken> {
+fn reads(index: &Index<'_>) -> Vec<Violation> {
     let mut broken = Vec::new();
     for (at_ms, body) in &index.reads {
         let before = index.versions.iter().filter(|v| v.acknowledged_ms.is_some_and(|a| a <= *at_ms));
         let newest = before.map(|v| v.generation).max().unwrap_or(0);
-        let report = |what: String| Broken { rule: Rule::Configuration, at_ms: *at_ms, what };
+        let report = |what: String| Violation { rule: Rule::Configuration, at_ms: *at_ms, what };
         let Some(body) = body else {
             broken.push(report("no configuration could be read back".to_owned()));
             continue;
@@ -143,14 +143,14 @@
 }
 
 /// Requests whose connection ended without a whole answer round the planned stop of the machine that took them.
-fn lost_at_stops(index: &Index<'_>, bounds: &Bounds) -> Vec<Broken> {
+fn lost_at_stops(index: &Index<'_>, bounds: &Bounds) -> Vec<Violation> {
     let mut broken = Vec::new();
     let terminated = index.machines.iter().filter(|m| m.2 == MachineEvent::Terminated);
     for (stopped_ms, machine, _) in terminated {
         for (id, request) in &index.requests {
             let Some((sent_ms, sent)) = request.sent else { continue };
             let Some((at_ms, outcome)) = request.ended else { continue };
-            let is_cut_off = matches!(outcome, Outcome::Closed { .. } | Outcome::BrokenOff { .. });
+            let is_cut_off = matches!(outcome, Outcome::Closed { .. } | Outcome::Interrupted { .. });
             let passed_on = !request.reached.is_empty();
             let to_ms = stopped_ms + bounds.grace_ms + AFTER_GRACE_MS;
             let during = at_ms >= *stopped_ms && at_ms <= to_ms;
@@ -163,7 +163,7 @@
                 continue;
             }
             let what = format!("{id} was cut off {} ms after SIGTERM of {machine}", at_ms - stopped_ms);
-            broken.push(Broken { rule: Rule::Lost, at_ms, what });
+            broken.push(Violation { rule: Rule::Lost, at_ms, what });
         }
     }
     broken
@@ -175,7 +175,7 @@
     let is_unplanned = |e: MachineEvent| {
         matches!(
             e,
-            MachineEvent::Killed | MachineEvent::Frozen | MachineEvent::Thawed | MachineEvent::DiskLost
+            MachineEvent::Killed | MachineEvent::Paused | MachineEvent::Resumed | MachineEvent::DiskLost
         )
     };
     index
--- a/lab/src/tier/judge/index.rs
+++ b/lab/src/tier/judge/index.rs
@@ -1,7 +1,7 @@
 //! The list of observations, ordered by what each is about.
 
 use super::super::observation::{
-    Leave, MachineEvent, Observation, Outcome, RouteKind, Seen, StreamEvent, Try,
+    ClientRequest, Departure, MachineEvent, Observation, Outcome, RouteKind, StreamEvent, TimedObservation,
 };
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -24,7 +24,7 @@
 #[derive(Debug, Default)]
 pub struct Request<'a> {
     /// When it was sent, and what; `None`: no client sent it.
-    pub sent: Option<(u64, &'a Arc<Try>)>,
+    pub sent: Option<(u64, &'a Arc<ClientRequest>)>,
     pub reached: Vec<(u64, &'a str)>,
     pub runs: Vec<Run<'a>>,
     /// Statuses and signatures of heads that workers sent.
@@ -59,16 +59,16 @@
 pub struct Index<'a> {
     pub requests: BTreeMap<&'a str, Request<'a>>,
     pub versions: Vec<Version<'a>>,
-    pub leaves: Vec<(u64, &'a str, Leave)>,
+    pub leaves: Vec<(u64, &'a str, Departure)>,
     pub crashes: Vec<(u64, &'a str)>,
     pub machines: Vec<(u64, &'a str, MachineEvent)>,
     pub reads: Vec<(u64, Option<&'a [u8]>)>,
 }
 
 impl<'a> Index<'a> {
-    pub fn new(seen: &'a [Seen]) -> Self {
+    pub fn new(seen: &'a [TimedObservation]) -> Self {
         let mut index = Self::default();
-        for Seen { at_ms, what } in seen {
+        for TimedObservation { at_ms, what } in seen {
             index.add(*at_ms, what);
         }
         index
@@ -80,9 +80,9 @@
 
     fn add(&mut self, at_ms: u64, what: &'a Observation) {
         match what {
-            Observation::TrySent(sent) => self.request(&sent.request).sent = Some((at_ms, sent)),
+            Observation::RequestSent(sent) => self.request(&sent.request).sent = Some((at_ms, sent)),
             Observation::EventReceived { request, event } => self.request(request).received.push(event),
-            Observation::TryEnded { request, outcome } => {
+            Observation::RequestEnded { request, outcome } => {
                 self.request(request).ended = Some((at_ms, outcome));
             }
             Observation::Reached { request, worker } => self.request(request).reached.push((at_ms, worker)),
@@ -156,8 +156,8 @@
         for (when, name, event) in self.machines.iter().filter(|m| m.1 == machine && m.0 <= at_ms) {
             debug_assert_eq!(*name, machine);
             match event {
-                MachineEvent::Frozen => frozen = true,
-                MachineEvent::Thawed => frozen = false,
+                MachineEvent::Paused => frozen = true,
+                MachineEvent::Resumed => frozen = false,
                 _ => {}
             }
             if *when >= from {
--- a/lab/src/tier/judge/mod.rs
+++ b/lab/src/tier/judge/mod.rs
@@ -8,9 +8,9 @@
 #[cfg(test)]
 mod tests;
 
-use super::observation::Seen;
+use super::observation::TimedObservation;
 use index::Index;
-pub use programs::EarlyStop;
+pub use programs::PrematureRefusal;
 use std::fmt;
 
 /// A rule of the tier, by the name that the operators give it.
@@ -31,14 +31,14 @@
 
 /// A broken rule.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Broken {
+pub struct Violation {
     pub rule: Rule,
     /// Milliseconds since the log began.
     pub at_ms: u64,
     pub what: String,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let name = format!("{:?}", self.rule).to_uppercase();
         write!(f, "{name} at {:.3} s: {}", self.at_ms as f64 / 1e3, self.what)
@@ -74,13 +74,13 @@
 
 /// Turns that were answered 402 though their program's budget held them.
 #[must_use]
-pub fn early_stops(seen: &[Seen], bounds: &Bounds) -> Vec<EarlyStop> {
-    programs::early_stops(&Index::new(seen), bounds.settle_ms)
+pub fn premature_refusals(seen: &[TimedObservation], bounds: &Bounds) -> Vec<PrematureRefusal> {
+    programs::premature_refusals(&Index::new(seen), bounds.settle_ms)
 }
 
 /// Every broken rule, in the order of time.
 #[must_use]
-pub fn judge(seen: &[Seen], bounds: &Bounds) -> Vec<Broken> {
+pub fn judge(seen: &[TimedObservation], bounds: &Bounds) -> Vec<Violation> {
     let index = Index::new(seen);
     let mut broken = requests::check(&index);
     broken.extend(streams::check(&index));
--- a/lab/src/tier/judge/programs.rs
+++ b/lab/src/tier/judge/programs.rs
@@ -1,6 +1,6 @@
 //! BUDGET of programs, and LOST where a turn that is kept is said not to exist.
 
-use super::{Bounds, Broken, Rule, index::Index};
+use super::{Bounds, Rule, Violation, index::Index};
 use crate::tier::observation::Outcome;
 use std::collections::BTreeMap;
 
@@ -12,13 +12,13 @@
     last_ms: u64,
 }
 
-pub fn check(index: &Index<'_>, bounds: &Bounds) -> Vec<Broken> {
+pub fn check(index: &Index<'_>, bounds: &Bounds) -> Vec<Violation> {
     let mut broken = budgets(index);
     broken.extend(lost_turns(index, bounds));
     broken
 }
 
-fn budgets(index: &Index<'_>) -> Vec<Broken> {
+fn budgets(index: &Index<'_>) -> Vec<Violation> {
     let mut programs: BTreeMap<&str, Units> = BTreeMap::new();
     for request in index.requests.values() {
         let Some((sent_ms, sent)) = request.sent else { continue };
@@ -31,7 +31,7 @@
         units.last_ms = units.last_ms.max(request.ended.map_or(sent_ms, |e| e.0));
     }
     let beyond = programs.iter().filter(|(_, u)| u.received > u.budget + u.most);
-    let report = |(name, u): (&&str, &Units)| Broken {
+    let report = |(name, u): (&&str, &Units)| Violation {
         rule: Rule::Budget,
         at_ms: u.last_ms,
         what: format!("program {name} got {} units of a budget of {} (+ {})", u.received, u.budget, u.most),
@@ -41,7 +41,7 @@
 
 /// A turn that was answered 402 though its program's budget held it: no broken rule, but a turn refused.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct EarlyStop {
+pub struct PrematureRefusal {
     pub at_ms: u64,
     pub program: String,
     /// Units that may have been spent by then.
@@ -51,7 +51,7 @@
 }
 
 /// All of them. Turns count at their most until `settle_ms` after they ended whole, or as not run.
-pub fn early_stops(index: &Index<'_>, settle_ms: u64) -> Vec<EarlyStop> {
+pub fn premature_refusals(index: &Index<'_>, settle_ms: u64) -> Vec<PrematureRefusal> {
     let mut stops = Vec::new();
     for request in index.requests.values() {
         let Some((at_ms, Outcome::Answered { status: 402, .. })) = request.ended else { continue };
@@ -60,7 +60,7 @@
         let spent = spent_by(index, &program.name, at_ms, settle_ms);
         if spent + program.most <= budget {
             let (program, most) = (program.name.clone(), program.most);
-            stops.push(EarlyStop { at_ms, program, spent, most, budget });
+            stops.push(PrematureRefusal { at_ms, program, spent, most, budget });
         }
     }
     stops
@@ -93,7 +93,7 @@
 }
 
 /// Turns answered 404 or 410 though what they continue was answered whole less than the retention ago.
-fn lost_turns(index: &Index<'_>, bounds: &Bounds) -> Vec<Broken> {
+fn lost_turns(index: &Index<'_>, bounds: &Bounds) -> Vec<Violation> {
     let mut broken = Vec::new();
     for (id, request) in &index.requests {
         let Some((at_ms, Outcome::Answered { status: status @ (404 | 410), .. })) = request.ended else {
@@ -104,7 +104,7 @@
         let Some((ended_ms, outcome)) = kept.ended else { continue };
         if outcome.is_success() && at_ms < ended_ms + bounds.retention_ms {
             let what = format!("{id} was answered {status}, and {previous}, which it continues, is kept");
-            broken.push(Broken { rule: Rule::Lost, at_ms, what });
+            broken.push(Violation { rule: Rule::Lost, at_ms, what });
         }
     }
     broken
--- a/lab/src/tier/judge/requests.rs
+++ b/lab/src/tier/judge/requests.rs
@@ -1,7 +1,7 @@
 //! MIXED, UNASKED, TWICE, REFUSED, BUDGET of tries, ROUTE, and DENIED.
 
 use super::{
-    Broken, Rule,
+    Rule, Violation,
     index::{Index, Request, Run},
 };
 use crate::tier::{
@@ -18,7 +18,7 @@
 /// How far back a chain of turns is followed.
 const MAX_CHAIN_TURNS: usize = 1000;
 
-pub fn check(index: &Index<'_>) -> Vec<Broken> {
+pub fn check(index: &Index<'_>) -> Vec<Violation> {
     let mut broken = Vec::new();
     let (mut beyond_attempts, mut all_denied) = (Vec::new(), Vec::new());
     for (id, request) in &index.requests {
@@ -39,9 +39,9 @@
     broken
 }
 
-fn unasked(index: &Index<'_>, id: &str, request: &Request<'_>) -> Option<Broken> {
+fn unasked(index: &Index<'_>, id: &str, request: &Request<'_>) -> Option<Violation> {
     let run = request.runs.first()?;
-    let report = |what: String| Some(Broken { rule: Rule::Unasked, at_ms: run.at_ms, what });
+    let report = |what: String| Some(Violation { rule: Rule::Unasked, at_ms: run.at_ms, what });
     let Some((_, sent)) = request.sent else {
         return report(format!("{id} ran at {} and no client sent it", run.worker));
     };
@@ -90,16 +90,16 @@
     Some(turns.into_iter().rev().flatten().collect())
 }
 
-fn twice(id: &str, request: &Request<'_>) -> Option<Broken> {
+fn twice(id: &str, request: &Request<'_>) -> Option<Violation> {
     let second = request.runs.get(1)?;
     if request.kind().is_idempotent() {
         return None;
     }
     let what = format!("{id} ran {} times, and may run once", request.runs.len());
-    Some(Broken { rule: Rule::Twice, at_ms: second.at_ms, what })
+    Some(Violation { rule: Rule::Twice, at_ms: second.at_ms, what })
 }
 
-fn refused(id: &str, request: &Request<'_>) -> Option<Broken> {
+fn refused(id: &str, request: &Request<'_>) -> Option<Violation> {
     let (_, sent) = request.sent?;
     let (at_ms, Outcome::Answered { status, .. }) = request.ended? else { return None };
     let promised = match status {
@@ -112,12 +112,12 @@
     }
     let run = request.runs.first()?;
     let what = format!("{id} was answered {status} and ran at {}", run.worker);
-    Some(Broken { rule: Rule::Refused, at_ms, what })
+    Some(Violation { rule: Rule::Refused, at_ms, what })
 }
 
-fn mixed(id: &str, request: &Request<'_>) -> Option<Broken> {
+fn mixed(id: &str, request: &Request<'_>) -> Option<Violation> {
     let (at_ms, outcome) = request.ended?;
-    let report = |what: String| Some(Broken { rule: Rule::Mixed, at_ms, what });
+    let report = |what: String| Some(Violation { rule: Rule::Mixed, at_ms, what });
     match outcome {
         Outcome::Answered { status, signature, body, .. } => {
             let success = (200..300).contains(status);
@@ -138,7 +138,7 @@
             }
             None
         }
-        Outcome::Unreadable if !request.runs.iter().any(|r| r.answer.is_none_or(|a| !a.3)) => {
+        Outcome::Malformed if !request.runs.iter().any(|r| r.answer.is_none_or(|a| !a.3)) => {
             report(format!("{id}: bytes that are no answer"))
         }
         _ => None,
@@ -151,7 +151,7 @@
     all.any(|made| made == (status, signature))
 }
 
-fn route(index: &Index<'_>, id: &str, request: &Request<'_>) -> Option<Broken> {
+fn route(index: &Index<'_>, id: &str, request: &Request<'_>) -> Option<Violation> {
     let strays = request.runs.iter().find(|run| {
         let allowed = |v: &super::index::Version<'_>| {
             services_for(&v.json, run.host, run.path).is_some_and(|s| s.iter().any(|s| s == run.service))
@@ -159,10 +159,10 @@
         !index.versions.iter().any(allowed)
     })?;
     let what = format!("{id} ran at the service {}, which no configuration allows", strays.service);
-    Some(Broken { rule: Rule::Route, at_ms: strays.at_ms, what })
+    Some(Violation { rule: Rule::Route, at_ms: strays.at_ms, what })
 }
 
-fn attempts(index: &Index<'_>, id: &str, request: &Request<'_>) -> Option<Broken> {
+fn attempts(index: &Index<'_>, id: &str, request: &Request<'_>) -> Option<Violation> {
     let (sent_ms, sent) = request.sent?;
     let last = request.runs.last()?;
     let lived = request.runs.iter().filter(|r| !index.crashed(r.worker, sent_ms, last.at_ms));
@@ -171,12 +171,12 @@
         return None;
     }
     let what = format!("{id} ran at {} workers, of {} allowed", workers.len(), sent.max_attempts);
-    Some(Broken { rule: Rule::Budget, at_ms: last.at_ms, what })
+    Some(Violation { rule: Rule::Budget, at_ms: last.at_ms, what })
 }
 
 /// A 3xx or 4xx of the tier's own to a request that every configuration so far allows. A 402 has rules of its own, and so
 /// has a turn that is not found.
-fn denied(index: &Index<'_>, id: &str, request: &Request<'_>) -> Option<Broken> {
+fn denied(index: &Index<'_>, id: &str, request: &Request<'_>) -> Option<Violation> {
     let (_, sent) = request.sent?;
     let (at_ms, Outcome::Answered { status, signature: None, .. }) = request.ended? else { return None };
     let own = matches!(status, 300..=399 | 400 | 401 | 403..=407 | 409..=420 | 422..=428 | 430..=499);
@@ -185,5 +185,5 @@
     if !own || !proper || sent.previous.is_some() {
         return None;
     }
-    Some(Broken { rule: Rule::Denied, at_ms, what: format!("{id} was answered {status}") })
+    Some(Violation { rule: Rule::Denied, at_ms, what: format!("{id} was answered {status}") })
 }
--- a/lab/src/tier/judge/streams.rs
+++ b/lab/src/tier/judge/streams.rs
@@ -1,19 +1,19 @@
 //! ORDER: a client's stream is one run's, whole and in order, or that of several where it may be resumed.
 
 use super::{
-    Broken, Rule,
+    Rule, Violation,
     index::{Index, Request, Run},
 };
 use crate::tier::observation::RouteKind;
 
-pub fn check(index: &Index<'_>) -> Vec<Broken> {
+pub fn check(index: &Index<'_>) -> Vec<Violation> {
     index.requests.iter().filter_map(|(id, request)| stream(id, request)).collect()
 }
 
-fn stream(id: &str, request: &Request<'_>) -> Option<Broken> {
+fn stream(id: &str, request: &Request<'_>) -> Option<Violation> {
     let RouteKind::Streaming { resumable } = request.kind() else { return None };
     let (at_ms, outcome) = request.ended?;
-    let report = |what: String| Some(Broken { rule: Rule::Order, at_ms, what });
+    let report = |what: String| Some(Violation { rule: Rule::Order, at_ms, what });
     for pair in request.received.windows(2) {
         if pair[1].id != pair[0].id + 1 {
             return report(format!("{id}: the event {} follows the event {}", pair[1].id, pair[0].id));
--- a/lab/src/tier/judge/tests.rs
+++ b/lab/src/tier/judge/tests.rs
@@ -4,7 +4,8 @@
 use crate::tier::{
     configuration::{Configuration, Route},
     observation::{
-        Leave, MachineEvent, Observation, Outcome, ProgramFacts, RouteKind, Seen, StreamEvent, Try,
+        ClientRequest, Departure, MachineEvent, Observation, Outcome, ProgramDescription, RouteKind,
+        StreamEvent, TimedObservation,
     },
 };
 use std::sync::Arc;
@@ -14,7 +15,7 @@
 /// A list of observations that grows by 10 ms with each.
 #[derive(Default)]
 struct Story {
-    seen: Vec<Seen>,
+    seen: Vec<TimedObservation>,
     at_ms: u64,
 }
 
@@ -25,9 +26,9 @@
         story
     }
 
-    fn note(&mut self, what: Observation) -> &mut Self {
+    fn record(&mut self, what: Observation) -> &mut Self {
         self.at_ms += 10;
-        self.seen.push(Seen { at_ms: self.at_ms, what });
+        self.seen.push(TimedObservation { at_ms: self.at_ms, what });
         self
     }
 
@@ -44,22 +45,27 @@
 
     fn configuration(&mut self, generation: u64, routes: &[(&str, &str)]) -> Arc<Vec<u8>> {
         let body = Self::body(generation, routes);
-        self.note(Observation::ConfigurationSent { generation, body: body.clone(), valid: true });
+        self.record(Observation::ConfigurationSent { generation, body: body.clone(), valid: true });
         self.answered(generation, &body, 200);
         body
     }
 
     fn answered(&mut self, generation: u64, body: &Arc<Vec<u8>>, status: u16) -> &mut Self {
-        self.note(Observation::ConfigurationAnswered { generation, body: body.clone(), status })
+        self.record(Observation::ConfigurationAnswered { generation, body: body.clone(), status })
     }
 
     fn sent(&mut self, request: &str, kind: RouteKind) -> &mut Self {
         self.sent_with(request, kind, |_| ())
     }
 
-    fn sent_with(&mut self, request: &str, kind: RouteKind, change: impl FnOnce(&mut Try)) -> &mut Self {
+    fn sent_with(
+        &mut self,
+        request: &str,
+        kind: RouteKind,
+        change: impl FnOnce(&mut ClientRequest),
+    ) -> &mut Self {
         let path = if kind == STREAMING { "/turn/1" } else { "/safe/1" };
-        let mut sent = Try {
+        let mut sent = ClientRequest {
             request: request.to_owned(),
             machine: "edge-1".to_owned(),
             method: "POST".to_owned(),
@@ -72,12 +78,12 @@
             program: None,
         };
         change(&mut sent);
-        self.note(Observation::TrySent(Arc::new(sent)))
+        self.record(Observation::RequestSent(Arc::new(sent)))
     }
 
     fn ran_with(&mut self, request: &str, worker: &str, service: &str, path: &str, body: &[u8]) -> &mut Self {
-        self.note(Observation::Reached { request: request.to_owned(), worker: worker.to_owned() });
-        self.note(Observation::Ran {
+        self.record(Observation::Reached { request: request.to_owned(), worker: worker.to_owned() });
+        self.record(Observation::Ran {
             request: request.to_owned(),
             worker: worker.to_owned(),
             service: service.to_owned(),
@@ -93,7 +99,7 @@
     }
 
     fn made(&mut self, request: &str, worker: &str, body: &str) -> &mut Self {
-        self.note(Observation::WorkerAnswered {
+        self.record(Observation::WorkerAnswered {
             request: request.to_owned(),
             worker: worker.to_owned(),
             status: 200,
@@ -119,7 +125,7 @@
     }
 
     fn ended(&mut self, request: &str, outcome: Outcome) -> &mut Self {
-        self.note(Observation::TryEnded { request: request.to_owned(), outcome })
+        self.record(Observation::RequestEnded { request: request.to_owned(), outcome })
     }
 
     /// A turn that one worker answers with `made` events, of which the client gets those named.
@@ -137,17 +143,17 @@
         let event = |id: u64| StreamEvent { id, data: format!("{request}{id}").into_bytes() };
         for id in 1..=made {
             let (request, worker) = (request.to_owned(), "m".to_owned());
-            self.note(Observation::EventMade { request, worker, event: event(id) });
+            self.record(Observation::EventMade { request, worker, event: event(id) });
         }
         self.made(request, "m", "");
         for id in got {
-            self.note(Observation::EventReceived { request: request.to_owned(), event: event(*id) });
+            self.record(Observation::EventReceived { request: request.to_owned(), event: event(*id) });
         }
         self.got(request, Some(&format!("{request}@m")), "")
     }
 
     fn machine(&mut self, event: MachineEvent) -> &mut Self {
-        self.note(Observation::Machine { machine: "edge-1".to_owned(), event })
+        self.record(Observation::Machine { machine: "edge-1".to_owned(), event })
     }
 
     fn rules(&self) -> Vec<Rule> {
@@ -174,7 +180,7 @@
     assert_eq!(ran().got("a", None, "said").rules(), [Rule::Mixed], "no signature");
     assert_eq!(ran().got("a", Some("b@w"), "said").rules(), [Rule::Mixed], "another's signature");
     assert_eq!(ran().got("a", Some("a@w"), "sai").rules(), [Rule::Mixed], "cut short");
-    assert_eq!(ran().ended("a", Outcome::Unreadable).rules(), [Rule::Mixed], "no answer");
+    assert_eq!(ran().ended("a", Outcome::Malformed).rules(), [Rule::Mixed], "no answer");
     let (signature, body) = (Some("a@w".to_owned()), Vec::new());
     let failed = Outcome::Answered { status: 500, signature, body, retry_after: None };
     assert_eq!(ran().ended("a", failed).rules(), [Rule::Mixed], "another status");
@@ -238,15 +244,15 @@
         for (worker, made) in [("v", &[1, 2][..]), ("w", second_made)] {
             story.ran_with("t", worker, "model", "/turn/1", b"t");
             let (request, status, signature) = ("t".to_owned(), 200, format!("t@{worker}"));
-            story.note(Observation::AnswerBegun { request, status, signature });
+            story.record(Observation::AnswerBegun { request, status, signature });
             for id in made {
                 let (request, worker) = ("t".to_owned(), worker.to_owned());
-                story.note(Observation::EventMade { request, worker, event: event(*id) });
+                story.record(Observation::EventMade { request, worker, event: event(*id) });
             }
         }
         story.made("t", "w", "");
         for id in 1..=4 {
-            story.note(Observation::EventReceived { request: "t".to_owned(), event: event(id) });
+            story.record(Observation::EventReceived { request: "t".to_owned(), event: event(id) });
         }
         story.got("t", Some("t@v"), "").rules()
     };
@@ -259,10 +265,11 @@
 fn programs_beyond_their_budget_are_found() {
     let of = |budget: u64| {
         let mut story = Story::new();
-        let facts = ProgramFacts { name: "p".to_owned(), budget: Some(budget), most: 6, chunk_tokens: 3 };
+        let facts =
+            ProgramDescription { name: "p".to_owned(), budget: Some(budget), most: 6, chunk_tokens: 3 };
         story.turn("t", None, "t", 4, &[1, 2, 3, 4]);
         for seen in &mut story.seen {
-            if let Observation::TrySent(sent) = &mut seen.what {
+            if let Observation::RequestSent(sent) = &mut seen.what {
                 Arc::make_mut(sent).program = Some(facts.clone());
             }
         }
@@ -290,7 +297,7 @@
     let ran = |later_ms: u64| {
         let mut story = Story::new();
         let worker = "w".to_owned();
-        story.note(Observation::LeaveAcknowledged { worker, leave: Leave::Draining });
+        story.record(Observation::LeaveAcknowledged { worker, leave: Departure::Draining });
         story.later(later_ms).sent("a", RouteKind::Safe).ran("a", "w");
         story.rules()
     };
@@ -313,7 +320,7 @@
     assert_eq!(story.rules(), [Rule::Configuration], "its route is there");
     let mut story = Story::new();
     let body = Story::body(2, &[("/safe/", "other")]);
-    story.note(Observation::ConfigurationSent { generation: 2, body: body.clone(), valid: true });
+    story.record(Observation::ConfigurationSent { generation: 2, body: body.clone(), valid: true });
     story.answered(2, &body, 412);
     story.sent("a", RouteKind::Safe).ran_with("a", "w", "other", "/safe/1", b"a");
     assert!(story.rules().contains(&Rule::Configuration), "it was refused");
@@ -332,7 +339,7 @@
     let read = |body: Option<Vec<u8>>| {
         let mut story = Story::new();
         story.configuration(2, &[("/a/", "plain")]);
-        story.note(Observation::ConfigurationRead { body });
+        story.record(Observation::ConfigurationRead { body });
         story.rules()
     };
     let newest = Story::body(2, &[("/a/", "plain")]).to_vec();
@@ -375,16 +382,17 @@
 #[test]
 fn a_402_is_early_while_the_budget_holds_another_turn() {
     let stops = |budget: u64, later_ms: u64| {
-        let facts = ProgramFacts { name: "p".to_owned(), budget: Some(budget), most: 30, chunk_tokens: 3 };
+        let facts =
+            ProgramDescription { name: "p".to_owned(), budget: Some(budget), most: 30, chunk_tokens: 3 };
         let mut story = Story::new();
         story.turn("t", None, "t", 2, &[1, 2]).later(later_ms);
         story.sent("u", STREAMING).refused("u", 402);
         for seen in &mut story.seen {
-            if let Observation::TrySent(sent) = &mut seen.what {
+            if let Observation::RequestSent(sent) = &mut seen.what {
                 Arc::make_mut(sent).program = Some(facts.clone());
             }
         }
-        early_stops(&story.seen, &Bounds::default()).into_iter().map(|s| s.spent).collect::<Vec<_>>()
+        premature_refusals(&story.seen, &Bounds::default()).into_iter().map(|s| s.spent).collect::<Vec<_>>()
     };
     assert_eq!(stops(36, 1000), [6], "two events were spent, and thirty units are left");
     assert!(stops(35, 1000).is_empty());
--- a/lab/src/tier/machine.rs
+++ b/lab/src/tier/machine.rs
@@ -160,7 +160,7 @@
     }
 
     /// Processes that have ended though nobody ended them.
-    pub fn fallen(&mut self) -> Vec<String> {
+    pub fn unexpected_exits(&mut self) -> Vec<String> {
         let mut fallen = Vec::new();
         for process in &mut self.processes {
             if let Some(child) = &mut process.child
--- a/lab/src/tier/mod.rs
+++ b/lab/src/tier/mod.rs
@@ -4,7 +4,7 @@
 pub mod arrivals;
 pub mod client;
 pub mod configuration;
-pub mod day;
+
 pub mod deployment;
 pub mod fault;
 pub mod fleet;
@@ -16,6 +16,7 @@
 pub mod peer;
 pub mod platform;
 pub mod program;
+pub mod run;
 pub mod settings_file;
 #[cfg(test)]
 mod tests;
--- a/lab/src/tier/observation.rs
+++ b/lab/src/tier/observation.rs
@@ -29,7 +29,7 @@
 
 /// One try of a client, as it was sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Try {
+pub struct ClientRequest {
     /// Its `Request-Id`.
     pub request: String,
     /// The machine of the gatekeeper that got it.
@@ -43,12 +43,12 @@
     pub max_attempts: usize,
     /// The turn that it continues.
     pub previous: Option<String>,
-    pub program: Option<ProgramFacts>,
+    pub program: Option<ProgramDescription>,
 }
 
 /// What a try tells of its program.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ProgramFacts {
+pub struct ProgramDescription {
     pub name: String,
     /// Units that all its turns may emit; `None` for calls of tools.
     pub budget: Option<u64>,
@@ -71,13 +71,13 @@
     /// A whole answer. The body of a stream is empty: its events were noted one by one.
     Answered { status: u16, signature: Option<String>, body: Vec<u8>, retry_after: Option<Duration> },
     /// The connection ended within an answer.
-    BrokenOff { status: u16, signature: Option<String> },
+    Interrupted { status: u16, signature: Option<String> },
     /// The connection ended, or never came up, before an answer.
     Closed { request_written: bool },
     /// The client gave it up.
-    GivenUp,
+    TimedOut,
     /// Bytes that are no answer.
-    Unreadable,
+    Malformed,
 }
 
 impl Outcome {
@@ -90,9 +90,9 @@
 
 /// What a worker told the tier about itself, and was acknowledged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Leave {
+pub enum Departure {
     Draining,
-    Gone,
+    Deregistered,
 }
 
 /// What befell a machine of the tier.
@@ -104,8 +104,8 @@
     Terminated,
     /// SIGHUP.
     Reloaded,
-    Frozen,
-    Thawed,
+    Paused,
+    Resumed,
     DiskLost,
     Removed,
 }
@@ -113,13 +113,13 @@
 /// One thing that a stand-in saw.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Observation {
-    TrySent(Arc<Try>),
+    RequestSent(Arc<ClientRequest>),
     /// An event reached the client.
     EventReceived {
         request: String,
         event: StreamEvent,
     },
-    TryEnded {
+    RequestEnded {
         request: String,
         outcome: Outcome,
     },
@@ -165,7 +165,7 @@
     },
     LeaveAcknowledged {
         worker: String,
-        leave: Leave,
+        leave: Departure,
     },
     ConfigurationSent {
         generation: u64,
@@ -190,7 +190,7 @@
 
 /// An observation and when it was made, in milliseconds since the log began.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Seen {
+pub struct TimedObservation {
     pub at_ms: u64,
     pub what: Observation,
 }
@@ -199,7 +199,7 @@
 #[derive(Debug, Clone)]
 pub struct Log {
     began: Instant,
-    seen: Arc<Mutex<Vec<Seen>>>,
+    seen: Arc<Mutex<Vec<TimedObservation>>>,
 }
 
 impl Default for Log {
@@ -216,16 +216,16 @@
     }
 
     /// Notes an observation as of now.
-    pub fn note(&self, what: Observation) {
+    pub fn record(&self, what: Observation) {
         let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
         // The time is taken under the lock, so that the list is in the order of time.
         let at_ms = self.now_ms();
-        seen.push(Seen { at_ms, what });
+        seen.push(TimedObservation { at_ms, what });
     }
 
     /// All that was seen so far.
     #[must_use]
-    pub fn seen(&self) -> Vec<Seen> {
+    pub fn observations(&self) -> Vec<TimedObservation> {
         self.seen.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
--- a/lab/src/tier/operator.rs
+++ b/lab/src/tier/operator.rs
@@ -3,7 +3,7 @@
 use super::{
     observation::{Log, Observation},
     peer::call,
-    worker::registration::Controls,
+    worker::registration::ControlAddresses,
 };
 use crate::http::Message;
 use serde_json::{Value, json};
@@ -29,14 +29,14 @@
 #[derive(Debug, Clone)]
 pub struct Operator {
     log: Log,
-    controls: Controls,
+    controls: ControlAddresses,
     next: Arc<AtomicUsize>,
 }
 
 impl Operator {
     /// An operator that begins with a certain process of the list.
     #[must_use]
-    pub fn new(log: Log, controls: Controls, first: usize) -> Self {
+    pub fn new(log: Log, controls: ControlAddresses, first: usize) -> Self {
         Self { log, controls, next: Arc::new(AtomicUsize::new(first)) }
     }
 
@@ -44,11 +44,11 @@
     pub async fn configure(&self, body: &Arc<Vec<u8>>, if_match: u64, valid: bool, limit: Duration) -> u16 {
         let generation = serde_json::from_slice::<Value>(body).ok();
         let generation = generation.and_then(|v| v["generation"].as_u64()).unwrap_or(0);
-        self.log.note(Observation::ConfigurationSent { generation, body: body.clone(), valid });
+        self.log.record(Observation::ConfigurationSent { generation, body: body.clone(), valid });
         let headers = [("If-Match", if_match.to_string())];
         let answer = self.order("PUT", "/opalrun/config", &headers, body, limit).await;
         let status = answer.map_or(0, |a| a.status());
-        self.log.note(Observation::ConfigurationAnswered { generation, body: body.clone(), status });
+        self.log.record(Observation::ConfigurationAnswered { generation, body: body.clone(), status });
         status
     }
 
@@ -56,7 +56,7 @@
     pub async fn configure_and_lose_answer(&self, body: &Arc<Vec<u8>>, if_match: u64) {
         let generation = serde_json::from_slice::<Value>(body).ok();
         let generation = generation.and_then(|v| v["generation"].as_u64()).unwrap_or(0);
-        self.log.note(Observation::ConfigurationSent { generation, body: body.clone(), valid: true });
+        self.log.record(Observation::ConfigurationSent { generation, body: body.clone(), valid: true });
         if let Some(address) = self.choose() {
             let headers = [("If-Match", if_match.to_string())];
             // Whatever comes back is what gets lost.
@@ -68,7 +68,7 @@
     pub async fn read(&self, limit: Duration) -> Option<Vec<u8>> {
         let answer = self.order("GET", "/opalrun/config", &[], b"", limit).await;
         let body = answer.filter(|a| a.status() == 200).map(|a| a.body);
-        self.log.note(Observation::ConfigurationRead { body: body.clone() });
+        self.log.record(Observation::ConfigurationRead { body: body.clone() });
         body
     }
 
@@ -87,7 +87,7 @@
     }
 
     /// Asks until the machine is empty; whether it is in time.
-    pub async fn retired(&self, node: &str, limit: Duration) -> bool {
+    pub async fn wait_until_retired(&self, node: &str, limit: Duration) -> bool {
         let until = Instant::now() + limit;
         while Instant::now() < until {
             if self.retire_state(node, limit).await.as_deref() == Some("completed") {
--- a/lab/src/tier/page.rs
+++ b/lab/src/tier/page.rs
@@ -1,6 +1,6 @@
 //! A day's report as one page of HTML.
 
-use super::day::Summary;
+use super::run::Summary;
 use std::{
     fmt::Write as _,
     fs, io,
--- a/lab/src/tier/program.rs
+++ b/lab/src/tier/program.rs
@@ -1,9 +1,9 @@
 //! Agent programs: turns, calls of tools between them, and sub-agents that begin with their parent's prompt.
 
 use super::{
-    client::{Ask, Client, Reply, TurnHeaders},
+    client::{Client, Reply, RequestSpec, TurnHeaders},
     configuration::Route,
-    observation::ProgramFacts,
+    observation::ProgramDescription,
 };
 use std::{future::Future, pin::Pin, time::Duration};
 
@@ -36,10 +36,10 @@
 
 /// How a program ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
+pub enum ProgramOutcome {
     Completed,
     /// By a 402.
-    Stopped,
+    BudgetExhausted,
     /// By another status, or none: 0.
     Failed {
         status: u16,
@@ -49,7 +49,7 @@
 /// What became of a program.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProgramReport {
-    pub ended: Ended,
+    pub outcome: ProgramOutcome,
     /// Turns that were answered whole.
     pub turns: usize,
     /// Calls of tools that were answered.
@@ -58,7 +58,7 @@
 
 /// A line of turns: what a program has said and heard so far.
 #[derive(Debug, Clone)]
-pub struct Line {
+pub struct PromptHistory {
     session: String,
     previous: Option<String>,
     /// ID:TOKENS of the prompt so far.
@@ -66,7 +66,7 @@
     prompt_tokens: u64,
 }
 
-impl Line {
+impl PromptHistory {
     /// The empty line of a program.
     #[must_use]
     pub fn new(program: &str) -> Self {
@@ -84,9 +84,9 @@
 
 impl Program {
     /// Plays it to its end.
-    pub async fn play(&self, client: &Client) -> ProgramReport {
-        let mut told = ProgramReport { ended: Ended::Completed, turns: 0, calls: 0 };
-        let mut line = Line::new(&self.name);
+    pub async fn run(&self, client: &Client) -> ProgramReport {
+        let mut told = ProgramReport { outcome: ProgramOutcome::Completed, turns: 0, calls: 0 };
+        let mut line = PromptHistory::new(&self.name);
         if self.turns == 0 {
             self.tools(client, &mut told).await;
         }
@@ -100,12 +100,12 @@
             {
                 self.sub_agents(client, &line, count, turns, &mut told).await;
             }
-            if told.ended != Ended::Completed {
+            if told.outcome != ProgramOutcome::Completed {
                 return told;
             }
         }
         let mut round = 0;
-        while self.loops && told.ended == Ended::Completed {
+        while self.loops && told.outcome == ProgramOutcome::Completed {
             round += 1;
             self.sub_agents(client, &line.branch(round), 2, 2, &mut told).await;
         }
@@ -113,18 +113,24 @@
     }
 
     /// Asks for one more turn of a line, which gets longer if it is answered.
-    pub async fn one_turn(&self, client: &Client, line: &mut Line, number: usize) -> Ended {
-        let mut told = ProgramReport { ended: Ended::Completed, turns: 0, calls: 0 };
+    pub async fn run_turn(&self, client: &Client, line: &mut PromptHistory, number: usize) -> ProgramOutcome {
+        let mut told = ProgramReport { outcome: ProgramOutcome::Completed, turns: 0, calls: 0 };
         self.turn(client, line, number, &mut told).await;
-        told.ended
+        told.outcome
     }
 
-    async fn turn(&self, client: &Client, line: &mut Line, number: usize, told: &mut ProgramReport) -> bool {
+    async fn turn(
+        &self,
+        client: &Client,
+        line: &mut PromptHistory,
+        number: usize,
+        told: &mut ProgramReport,
+    ) -> bool {
         let ask = self.turn_ask(line, number);
         let mut refusals = 0;
         let mut failures = 0;
         let reply = loop {
-            let reply = client.ask(&ask).await;
+            let reply = client.send(&ask).await;
             match reply.status() {
                 402 if self.loops && refusals < RESENDS_AFTER_REFUSAL => refusals += 1,
                 200 | 400..=404 | 413 => break reply,
@@ -136,11 +142,17 @@
         self.after_turn(line, &ask, &reply, told)
     }
 
-    fn after_turn(&self, line: &mut Line, ask: &Ask, reply: &Reply, told: &mut ProgramReport) -> bool {
+    fn after_turn(
+        &self,
+        line: &mut PromptHistory,
+        ask: &RequestSpec,
+        reply: &Reply,
+        told: &mut ProgramReport,
+    ) -> bool {
         match reply.status() {
             200 => {}
-            402 => told.ended = Ended::Stopped,
-            status => told.ended = Ended::Failed { status },
+            402 => told.outcome = ProgramOutcome::BudgetExhausted,
+            status => told.outcome = ProgramOutcome::Failed { status },
         }
         if reply.status() != 200 {
             return false;
@@ -153,11 +165,11 @@
         true
     }
 
-    fn turn_ask(&self, line: &Line, number: usize) -> Ask {
+    fn turn_ask(&self, line: &PromptHistory, number: usize) -> RequestSpec {
         let body = format!("{} says {number}: what is next?\n", line.session).into_bytes();
         let retained = self.turns_route.retention.is_some();
         let turn = TurnHeaders {
-            program: ProgramFacts {
+            program: ProgramDescription {
                 name: self.name.clone(),
                 budget: Some(self.budget),
                 most: self.most,
@@ -169,7 +181,7 @@
             prompt_tokens: line.prompt_tokens,
             prompt_prefix: line.parts.join(","),
         };
-        Ask {
+        RequestSpec {
             route: self.turns_route.clone(),
             path: format!("turn-{number}"),
             body,
@@ -183,22 +195,26 @@
     async fn tools(&self, client: &Client, told: &mut ProgramReport) -> bool {
         let calls = self.tools.iter().map(|route| {
             let (client, ask) = (client.clone(), self.tool_ask(route));
-            tokio::spawn(async move { client.ask(&ask).await })
+            tokio::spawn(async move { client.send(&ask).await })
         });
         let calls: Vec<_> = calls.collect();
         for call in calls {
             let status = call.await.map_or(0, |reply| reply.status());
             match status {
                 200..=299 => told.calls += 1,
-                status => told.ended = Ended::Failed { status },
+                status => told.outcome = ProgramOutcome::Failed { status },
             }
         }
-        told.ended == Ended::Completed
+        told.outcome == ProgramOutcome::Completed
     }
 
-    fn tool_ask(&self, route: &Route) -> Ask {
-        let program =
-            ProgramFacts { name: self.name.clone(), budget: None, most: 0, chunk_tokens: self.chunk_tokens };
+    fn tool_ask(&self, route: &Route) -> RequestSpec {
+        let program = ProgramDescription {
+            name: self.name.clone(),
+            budget: None,
+            most: 0,
+            chunk_tokens: self.chunk_tokens,
+        };
         let turn = TurnHeaders {
             program,
             session: format!("{}.0", self.name),
@@ -209,14 +225,14 @@
         };
         let body = if route.kind.is_idempotent() { Vec::new() } else { b"do it".to_vec() };
         let (path, deadline) = ("tool".to_owned(), self.deadline);
-        Ask { route: route.clone(), path, body, deadline, retries: 1, turn: Some(turn) }
+        RequestSpec { route: route.clone(), path, body, deadline, retries: 1, turn: Some(turn) }
     }
 
     /// Plays sub-agents side by side.
     fn sub_agents<'a>(
         &'a self,
         client: &'a Client,
-        line: &'a Line,
+        line: &'a PromptHistory,
         count: usize,
         turns: usize,
         told: &'a mut ProgramReport,
@@ -225,7 +241,7 @@
             let agents = (1..=count).map(|number| {
                 let (program, client, mut line) = (self.clone(), client.clone(), line.branch(number));
                 tokio::spawn(async move {
-                    let mut told = ProgramReport { ended: Ended::Completed, turns: 0, calls: 0 };
+                    let mut told = ProgramReport { outcome: ProgramOutcome::Completed, turns: 0, calls: 0 };
                     for number in 0..turns {
                         if !program.turn(&client, &mut line, number, &mut told).await {
                             break;
@@ -238,8 +254,8 @@
             for agent in agents {
                 let Ok(part) = agent.await else { continue };
                 told.turns += part.turns;
-                if part.ended != Ended::Completed {
-                    told.ended = part.ended;
+                if part.outcome != ProgramOutcome::Completed {
+                    told.outcome = part.outcome;
                 }
             }
         })
--- a/lab/src/tier/day.rs
+++ b/lab/src/tier/run.rs
@@ -4,11 +4,11 @@
 use super::{
     arrivals::Arrivals,
     deployment::Deployment,
-    fault::{ORDER_LIMIT, Strikes},
+    fault::{FaultSequence, ORDER_LIMIT},
     fleet::{TierError, TierSpec},
-    judge::{Broken, EarlyStop, early_stops},
-    observation::{MachineEvent, Observation, Outcome, Seen},
-    program::{Ended, ProgramReport},
+    judge::{PrematureRefusal, Violation, premature_refusals},
+    observation::{MachineEvent, Observation, Outcome, TimedObservation},
+    program::{ProgramOutcome, ProgramReport},
 };
 use std::{
     collections::BTreeMap,
@@ -17,16 +17,16 @@
     time::{Duration, Instant},
 };
 
-/// Broken rules that a summary names.
-const BROKEN_SHOWN: usize = 20;
+/// Violation rules that a summary names.
+const MAX_VIOLATIONS_SHOWN: usize = 20;
 /// Early stops that a summary names.
-const EARLY_STOPS_SHOWN: usize = 5;
+const MAX_REFUSALS_SHOWN: usize = 5;
 /// A day is so many times as long as the pause before each strike.
 const FAULT_INTERVALS: u32 = 12;
 
 /// What day to play.
 #[derive(Debug, Clone)]
-pub struct Day {
+pub struct TierRun {
     /// The program of all roles.
     pub program: PathBuf,
     /// How long programs come.
@@ -50,9 +50,9 @@
     pub latency_ms: [u64; 3],
     /// What befell machines, and when.
     pub events: Vec<(u64, String)>,
-    pub broken: Vec<Broken>,
+    pub broken: Vec<Violation>,
     /// Turns answered 402 though the budget held them.
-    pub early_stops: Vec<EarlyStop>,
+    pub premature_refusals: Vec<PrematureRefusal>,
     /// Processes that ended by themselves.
     pub fallen: Vec<String>,
     /// For each second: tries answered by success, refused, and failed.
@@ -96,50 +96,55 @@
             writeln!(f, "{:<28}{event}", format!("{:.1} s", *at_ms as f64 / 1e3))?;
         }
         writeln!(f, "{:<28}{}", "struck by", self.faults.join(", "))?;
-        writeln!(f, "{:<28}{}", "402 while budget was left", self.early_stops.len())?;
-        for stop in self.early_stops.iter().take(EARLY_STOPS_SHOWN) {
-            let EarlyStop { at_ms, program, spent, most, budget } = stop;
+        writeln!(f, "{:<28}{}", "402 while budget was left", self.premature_refusals.len())?;
+        for stop in self.premature_refusals.iter().take(MAX_REFUSALS_SHOWN) {
+            let PrematureRefusal { at_ms, program, spent, most, budget } = stop;
             let at_s = *at_ms as f64 / 1e3;
             writeln!(f, "{:<28}{program} at {at_s:.3} s: {spent} + {most} of {budget}", "")?;
         }
         for fallen in &self.fallen {
             writeln!(f, "{:<28}{fallen}", "ended by itself")?;
         }
-        for broken in self.broken.iter().take(BROKEN_SHOWN) {
+        for broken in self.broken.iter().take(MAX_VIOLATIONS_SHOWN) {
             writeln!(f, "{:<28}{broken}", "broken")?;
         }
         f.write_str(&self.log_tails)
     }
 }
 
-impl Day {
+impl TierRun {
     /// Plays it.
     ///
     /// # Errors
     /// The tier does not start or come back in time.
-    pub async fn play(&self) -> Result<Summary, TierError> {
+    pub async fn run(&self) -> Result<Summary, TierError> {
         let mut deployment = Deployment::start(&self.program, self.tier.clone()).await?;
         let machines = deployment.tier.names().len();
-        let from = deployment.tier.log.seen().len();
+        let from = deployment.tier.log.observations().len();
         let arrivals = Arrivals::start(&deployment);
         let faults = self.inject_faults(&mut deployment).await?;
         let injected = arrivals.end().await;
         deployment.operator.read(ORDER_LIMIT).await;
-        let seen = deployment.tier.log.seen();
-        let mut summary =
-            summary(machines, &injected, &seen[from..], deployment.broken(), deployment.tier.fallen());
+        let seen = deployment.tier.log.observations();
+        let mut summary = summary(
+            machines,
+            &injected,
+            &seen[from..],
+            deployment.violations(),
+            deployment.tier.unexpected_exits(),
+        );
         summary.faults = faults;
-        summary.early_stops = early_stops(&seen, &self.tier.bounds);
+        summary.premature_refusals = premature_refusals(&seen, &self.tier.bounds);
         if !summary.passed() {
             summary.log_tails = deployment.tier.log_tails();
         }
         Ok(summary)
     }
 
-    /// Strikes, spread over the day, and ends with it.
+    /// FaultSequence, spread over the day, and ends with it.
     async fn inject_faults(&self, deployment: &mut Deployment) -> Result<Vec<String>, TierError> {
         let end = Instant::now() + self.length;
-        let mut faults = self.seed.map_or_else(Strikes::usual, Strikes::drawn);
+        let mut faults = self.seed.map_or_else(FaultSequence::usual, FaultSequence::drawn);
         let interval = self.length / FAULT_INTERVALS;
         let mut injected = Vec::new();
         loop {
@@ -157,17 +162,17 @@
 fn summary(
     machines: usize,
     injected: &[ProgramReport],
-    seen: &[Seen],
-    broken: Vec<Broken>,
+    seen: &[TimedObservation],
+    broken: Vec<Violation>,
     fallen: Vec<String>,
 ) -> Summary {
     let mut programs = BTreeMap::new();
     for injected in injected {
-        let name = match injected.ended {
-            Ended::Completed => "completed".to_owned(),
-            Ended::Stopped => "stopped by their budget".to_owned(),
-            Ended::Failed { status: 0 } => "failed without an answer".to_owned(),
-            Ended::Failed { status } => format!("failed with {status}"),
+        let name = match injected.outcome {
+            ProgramOutcome::Completed => "completed".to_owned(),
+            ProgramOutcome::BudgetExhausted => "stopped by their budget".to_owned(),
+            ProgramOutcome::Failed { status: 0 } => "failed without an answer".to_owned(),
+            ProgramOutcome::Failed { status } => format!("failed with {status}"),
         };
         *programs.entry(name).or_insert(0) += 1;
     }
@@ -187,7 +192,7 @@
         broken,
         fallen,
         faults: Vec::new(),
-        early_stops: Vec::new(),
+        premature_refusals: Vec::new(),
         log_tails: String::new(),
     }
 }
@@ -204,12 +209,12 @@
 }
 
 impl<'a> Collected<'a> {
-    fn add(&mut self, seen: &'a Seen) {
+    fn add(&mut self, seen: &'a TimedObservation) {
         match &seen.what {
-            Observation::TrySent(sent) => {
+            Observation::RequestSent(sent) => {
                 self.sent.insert(&sent.request, seen.at_ms);
             }
-            Observation::TryEnded { request, outcome } => self.ended(seen.at_ms, request, outcome),
+            Observation::RequestEnded { request, outcome } => self.ended(seen.at_ms, request, outcome),
             Observation::Machine { machine, event } => {
                 let name = match event {
                     MachineEvent::Terminated => "stopped by SIGTERM".to_owned(),
@@ -231,10 +236,10 @@
         let (name, kind) = match outcome {
             Outcome::Answered { status: status @ 200..=299, .. } => (status.to_string(), 0),
             Outcome::Answered { status, .. } => (status.to_string(), 1),
-            Outcome::BrokenOff { .. } => ("broken off".to_owned(), 2),
+            Outcome::Interrupted { .. } => ("broken off".to_owned(), 2),
             Outcome::Closed { .. } => ("closed".to_owned(), 2),
-            Outcome::GivenUp => ("given up".to_owned(), 2),
-            Outcome::Unreadable => ("unreadable".to_owned(), 2),
+            Outcome::TimedOut => ("given up".to_owned(), 2),
+            Outcome::Malformed => ("unreadable".to_owned(), 2),
         };
         if outcome.is_success()
             && let Some(sent_ms) = self.sent.get(request)
--- a/lab/src/tier/settings_file.rs
+++ b/lab/src/tier/settings_file.rs
@@ -68,7 +68,7 @@
 
 /// What one settings file says.
 #[derive(Debug)]
-pub struct Facts<'a> {
+pub struct SettingsFile<'a> {
     pub machine: &'a str,
     pub class: Class,
     pub role: &'a str,
@@ -84,7 +84,7 @@
     pub bounds: Bounds,
 }
 
-impl Facts<'_> {
+impl SettingsFile<'_> {
     /// The file's text.
     #[must_use]
     pub fn text(&self) -> String {
--- a/lab/src/tier/tests.rs
+++ b/lab/src/tier/tests.rs
@@ -1,14 +1,14 @@
 //! The stand-ins against each other: clients that meet workers as though these were gatekeepers.
 
 use super::{
-    client::{Ask, Client},
+    client::{Client, RequestSpec},
     configuration::{Configuration, Route},
     judge::{Bounds, Rule, judge},
-    observation::{Leave, Log, Observation, Outcome, RouteKind},
+    observation::{Departure, Log, Observation, Outcome, RouteKind},
     operator::Operator,
     peer::Peer,
     platform::{Entry, Platform},
-    worker::{Fault, Work, Worker, WorkerSpec, engine::EngineSpec, registration::Controls},
+    worker::{Fault, Work, Worker, WorkerSpec, engine::EngineSpec, registration::ControlAddresses},
 };
 use crate::http;
 use std::{
@@ -61,7 +61,7 @@
 impl World {
     async fn new(kind: RouteKind, work: Work) -> Self {
         let (control, told) = control().await;
-        let (log, controls) = (Log::default(), Controls::default());
+        let (log, controls) = (Log::default(), ControlAddresses::default());
         controls.set(vec![control]);
         let spec = WorkerSpec {
             service: "service".to_owned(),
@@ -88,20 +88,20 @@
         Client::new(self.log.clone(), self.platform.clone(), "zone-1", 1)
     }
 
-    fn ask(&self) -> Ask {
+    fn request_spec(&self) -> RequestSpec {
         let (route, path, body) = (self.route.clone(), "1".to_owned(), b"what?".to_vec());
-        Ask { route, path, body, deadline: Duration::from_millis(500), retries: 0, turn: None }
+        RequestSpec { route, path, body, deadline: Duration::from_millis(500), retries: 0, turn: None }
     }
 
     async fn outcome(&self, fault: Option<Fault>) -> Outcome {
         if let Some(fault) = fault {
-            self.worker.next_fails(fault);
+            self.worker.inject_fault(fault);
         }
-        self.client().ask(&self.ask()).await.outcome
+        self.client().send(&self.request_spec()).await.outcome
     }
 
     fn rules(&self) -> Vec<Rule> {
-        judge(&self.log.seen(), &Bounds::default()).into_iter().map(|b| b.rule).collect()
+        judge(&self.log.observations(), &Bounds::default()).into_iter().map(|b| b.rule).collect()
     }
 }
 
@@ -117,21 +117,21 @@
     assert_eq!(status(&world.outcome(Some(Fault::SecondAnswer)).await), 200);
     let closed = Outcome::Closed { request_written: true };
     assert_eq!(world.outcome(Some(Fault::LoseAnswer)).await, closed);
-    assert_eq!(world.outcome(Some(Fault::Garbage)).await, Outcome::Unreadable);
-    assert_eq!(world.outcome(Some(Fault::Silence)).await, Outcome::GivenUp);
-    assert!(matches!(world.outcome(Some(Fault::ResetMidAnswer)).await, Outcome::BrokenOff { .. }));
+    assert_eq!(world.outcome(Some(Fault::Garbage)).await, Outcome::Malformed);
+    assert_eq!(world.outcome(Some(Fault::Silence)).await, Outcome::TimedOut);
+    assert!(matches!(world.outcome(Some(Fault::ResetMidAnswer)).await, Outcome::Interrupted { .. }));
     assert_eq!(world.rules(), []);
 }
 
 #[tokio::test]
 async fn a_model_worker_streams_and_breaks_off_on_demand() {
     let world = World::new(STREAMING, Work::Model(ENGINE)).await;
-    let reply = world.client().ask(&world.ask()).await;
+    let reply = world.client().send(&world.request_spec()).await;
     assert_eq!(reply.status(), 200);
     let ids: Vec<u64> = reply.events.iter().map(|e| e.id).collect();
     assert!(!ids.is_empty() && ids.iter().zip(1..).all(|(id, wanted)| *id == wanted), "{ids:?}");
-    assert!(matches!(world.outcome(Some(Fault::ResetMidAnswer)).await, Outcome::BrokenOff { .. }));
-    assert!(matches!(world.outcome(Some(Fault::LoseAnswer)).await, Outcome::BrokenOff { .. }));
+    assert!(matches!(world.outcome(Some(Fault::ResetMidAnswer)).await, Outcome::Interrupted { .. }));
+    assert!(matches!(world.outcome(Some(Fault::LoseAnswer)).await, Outcome::Interrupted { .. }));
     assert_eq!(world.rules(), []);
 }
 
@@ -140,8 +140,8 @@
     let world = World::new(RouteKind::Unsafe, PLAIN).await;
     let client = world.client();
     let asks = (0..6).map(|_| {
-        let (client, ask) = (client.clone(), world.ask());
-        tokio::spawn(async move { client.ask(&ask).await.status() })
+        let (client, ask) = (client.clone(), world.request_spec());
+        tokio::spawn(async move { client.send(&ask).await.status() })
     });
     let mut statuses = Vec::new();
     for ask in asks.collect::<Vec<_>>() {
@@ -155,11 +155,11 @@
 async fn a_worker_that_leaves_says_so_first() {
     let world = World::new(RouteKind::Safe, PLAIN).await;
     assert!(world.worker.leave(LIMIT).await);
-    let leaves = world.log.seen().into_iter().filter_map(|s| match s.what {
+    let leaves = world.log.observations().into_iter().filter_map(|s| match s.what {
         Observation::LeaveAcknowledged { leave, .. } => Some(leave),
         _ => None,
     });
-    assert_eq!(leaves.collect::<Vec<_>>(), [Leave::Draining, Leave::Gone]);
+    assert_eq!(leaves.collect::<Vec<_>>(), [Departure::Draining, Departure::Deregistered]);
     let told = world.told.lock().expect("a list");
     let last = told.iter().rev().take(2).map(String::as_str).collect::<Vec<_>>();
     assert!(last[0].starts_with("DELETE /opalrun/instances/i-1"), "{last:?}");
@@ -173,8 +173,8 @@
     let answer = super::peer::call(world.worker.address, "GET", "/route/1", &headers, b"", LIMIT).await;
     let answer = answer.expect("an answer");
     assert_eq!((answer.status(), answer.header("instance-id")), (421, Some("i-1")));
-    let ran = |seen: &super::observation::Seen| matches!(seen.what, Observation::Ran { .. });
-    assert!(!world.log.seen().iter().any(ran));
+    let ran = |seen: &super::observation::TimedObservation| matches!(seen.what, Observation::Ran { .. });
+    assert!(!world.log.observations().iter().any(ran));
 }
 
 #[tokio::test]
--- a/lab/src/tier/worker/mod.rs
+++ b/lab/src/tier/worker/mod.rs
@@ -7,14 +7,14 @@
 pub mod registration;
 
 use super::{
-    observation::{Leave, Log, Observation},
+    observation::{Departure, Log, Observation},
     peer::Peer,
 };
 use crate::http::{self, Message};
 use engine::EngineSpec;
 pub use fault::Fault;
 use fault::Faults;
-use registration::{Controls, Facts, Registration};
+use registration::{ControlAddresses, Registration, WorkerDescription};
 use std::{
     io,
     net::SocketAddr,
@@ -100,7 +100,7 @@
     ///
     /// # Errors
     /// Its address can't be listened at.
-    pub fn start(id: &str, spec: WorkerSpec, controls: Controls, log: Log) -> io::Result<Arc<Self>> {
+    pub fn start(id: &str, spec: WorkerSpec, controls: ControlAddresses, log: Log) -> io::Result<Arc<Self>> {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(spec.address)?;
@@ -112,7 +112,7 @@
             }
             Work::Model(engine) => Kind::Model(Box::new(model::Model::new(engine))),
         };
-        let facts = Facts {
+        let facts = WorkerDescription {
             id: id.to_owned(),
             service: spec.service.clone(),
             address,
@@ -153,13 +153,13 @@
     }
 
     /// Has the next request that runs go wrong.
-    pub fn next_fails(&self, fault: Fault) {
+    pub fn inject_fault(&self, fault: Fault) {
         self.faults.push(fault);
     }
 
     /// Ends at once and says nothing, as after a crash.
     pub fn crash(&self) {
-        self.log.note(Observation::WorkerCrashed { worker: self.id.clone() });
+        self.log.record(Observation::WorkerCrashed { worker: self.id.clone() });
         self.alive.send_replace(false);
     }
 
@@ -168,8 +168,8 @@
         self.draining.store(true, Ordering::Relaxed);
         let acknowledged = self.registration.lock().await.heartbeat_until(true, limit).await;
         if acknowledged {
-            let (worker, leave) = (self.id.clone(), Leave::Draining);
-            self.log.note(Observation::LeaveAcknowledged { worker, leave });
+            let (worker, leave) = (self.id.clone(), Departure::Draining);
+            self.log.record(Observation::LeaveAcknowledged { worker, leave });
         }
         acknowledged
     }
@@ -179,8 +179,8 @@
         let mut acknowledged = self.drain(limit).await;
         tokio::time::sleep(self.spec.drain).await;
         if self.registration.lock().await.remove().await {
-            let (worker, leave) = (self.id.clone(), Leave::Gone);
-            self.log.note(Observation::LeaveAcknowledged { worker, leave });
+            let (worker, leave) = (self.id.clone(), Departure::Deregistered);
+            self.log.record(Observation::LeaveAcknowledged { worker, leave });
         } else {
             acknowledged = false;
         }
@@ -244,7 +244,7 @@
         let Some(request) = message.header("request-id").map(str::to_owned) else {
             return self.write(peer, 400, "Not-Executed: 1\r\n", b"").await;
         };
-        self.log.note(Observation::Reached { request: request.clone(), worker: self.id.clone() });
+        self.log.record(Observation::Reached { request: request.clone(), worker: self.id.clone() });
         match &self.kind {
             Kind::Plain(plain) => plain.answer(self, peer, message, &request).await,
             Kind::Model(model) => model.answer(self, peer, message, &request).await,
@@ -295,7 +295,7 @@
 
     fn log_run(&self, message: &Message, request: &str) {
         let (method, path) = message.target();
-        self.log.note(Observation::Ran {
+        self.log.record(Observation::Ran {
             request: request.to_owned(),
             worker: self.id.clone(),
             service: self.spec.service.clone(),
@@ -307,7 +307,7 @@
     }
 
     fn log_answer(&self, request: &str, status: u16, signature: &str, body: &[u8], is_complete: bool) {
-        self.log.note(Observation::WorkerAnswered {
+        self.log.record(Observation::WorkerAnswered {
             request: request.to_owned(),
             worker: self.id.clone(),
             status,
--- a/lab/src/tier/worker/model.rs
+++ b/lab/src/tier/worker/model.rs
@@ -168,7 +168,7 @@
             self.signature,
             self.worker.server_load()
         );
-        self.worker.log.note(Observation::AnswerBegun {
+        self.worker.log.record(Observation::AnswerBegun {
             request: self.request.to_owned(),
             status: 200,
             signature: self.signature.to_owned(),
@@ -209,7 +209,7 @@
     async fn event(&mut self, send: bool) -> io::Result<()> {
         let data = format!("{} {} of {}", self.signature, self.next, self.request);
         let text = format!("id: {}\ndata: {data}\n\n", self.next);
-        self.worker.log.note(Observation::EventMade {
+        self.worker.log.record(Observation::EventMade {
             request: self.request.to_owned(),
             worker: self.worker.id.clone(),
             event: StreamEvent { id: self.next, data: data.into_bytes() },
--- a/lab/src/tier/worker/registration.rs
+++ b/lab/src/tier/worker/registration.rs
@@ -17,9 +17,9 @@
 
 /// The processes that serve control, as callers know them.
 #[derive(Debug, Clone, Default)]
-pub struct Controls(Arc<Mutex<Vec<SocketAddr>>>);
+pub struct ControlAddresses(Arc<Mutex<Vec<SocketAddr>>>);
 
-impl Controls {
+impl ControlAddresses {
     /// Replaces the list.
     pub fn set(&self, addresses: Vec<SocketAddr>) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = addresses;
@@ -34,7 +34,7 @@
 
 /// What a worker says of itself in each heartbeat.
 #[derive(Debug, Clone)]
-pub struct Facts {
+pub struct WorkerDescription {
     pub id: String,
     pub service: String,
     pub address: SocketAddr,
@@ -44,7 +44,7 @@
     pub is_model: bool,
 }
 
-impl Facts {
+impl WorkerDescription {
     fn body(&self, draining: bool, sequence: u64) -> Value {
         let mut body = json!({
             "backend": self.service, "address": self.address.to_string(), "zone": self.zone,
@@ -63,8 +63,8 @@
 /// The registration of one worker.
 #[derive(Debug)]
 pub struct Registration {
-    facts: Facts,
-    controls: Controls,
+    facts: WorkerDescription,
+    controls: ControlAddresses,
     sequence: u64,
     /// Where the last acknowledgement asked for later heartbeats, until one fails there.
     heartbeat_address: Option<SocketAddr>,
@@ -75,7 +75,7 @@
 impl Registration {
     /// A worker that nobody has heard of yet.
     #[must_use]
-    pub fn new(facts: Facts, controls: Controls) -> Self {
+    pub fn new(facts: WorkerDescription, controls: ControlAddresses) -> Self {
         let next = fold(&facts.id);
         Self { facts, controls, sequence: 0, heartbeat_address: None, next }
     }
--- a/lab/src/world/counter.rs
+++ b/lab/src/world/counter.rs
@@ -1,8 +1,8 @@
 //! The counter: named totals in parts, each a line with so many calls a second.
 
 use crate::{
+    link::{Connection, FlowDirection},
     record::{Event, Log},
-    switchboard::{Conn, Dir},
     world::plan::{Plan, mix},
 };
 use rand::{RngExt, SeedableRng};
@@ -145,7 +145,7 @@
     }
 
     /// Serves one connection of a gateway to its end.
-    pub async fn serve(self: Arc<Self>, gate: usize, mut conn: Conn) {
+    pub async fn serve(self: Arc<Self>, gate: usize, mut conn: Connection) {
         let taken = {
             let mut open_connections = self.open_connections.lock().unwrap_or_else(PoisonError::into_inner);
             open_connections[gate] += 1;
@@ -163,7 +163,7 @@
         self.open_connections.lock().unwrap_or_else(PoisonError::into_inner)[gate] -= 1;
     }
 
-    async fn exchange(&self, gate: usize, conn: &mut Conn) {
+    async fn exchange(&self, gate: usize, conn: &mut Connection) {
         // Calls under way to the counter, and answers on their way back, each in order.
         let (mut incoming, mut scheduled, mut outgoing) =
             (VecDeque::new(), VecDeque::<ScheduledCall>::new(), VecDeque::new());
@@ -172,17 +172,17 @@
                 let bytes: Vec<u8> = conn.buffer().drain(..=end).collect();
                 let line = String::from_utf8_lossy(&bytes).trim_end().to_owned();
                 // Over a cut link it waits, and what follows with it.
-                let at = conn.link.arrival(Dir::Out, bytes.len());
+                let at = conn.link.arrival(FlowDirection::Out, bytes.len());
                 incoming.push_back((at, line));
             }
             if conn.buffer().len() > MAX_LINE_BYTES {
                 return;
             }
             if let Some((at @ None, _)) = incoming.front_mut() {
-                *at = conn.link.arrival(Dir::Out, 0);
+                *at = conn.link.arrival(FlowDirection::Out, 0);
             }
             if let Some((at @ None, _)) = outgoing.front_mut() {
-                *at = conn.link.arrival(Dir::In, 0);
+                *at = conn.link.arrival(FlowDirection::In, 0);
             }
             let link = conn.link.clone();
             let poll = async {
@@ -209,11 +209,11 @@
                         // Answers come in order: with one lost, none after it could be told from another.
                         return conn.reset();
                     };
-                    outgoing.push_back((link.arrival(Dir::In, said.len()), said));
+                    outgoing.push_back((link.arrival(FlowDirection::In, said.len()), said));
                 }
                 () = next(outgoing.front().map(|(at, _)| *at)) => {
                     let said: Option<(Option<Instant>, String)> = outgoing.pop_front();
-                    if let Some((_, said)) = said && conn.write_now(said.as_bytes()).await.is_err() {
+                    if let Some((_, said)) = said && conn.write_without_delay(said.as_bytes()).await.is_err() {
                         return;
                     }
                 }
--- a/lab/src/world/discovery.rs
+++ b/lab/src/world/discovery.rs
@@ -2,8 +2,8 @@
 
 use crate::{
     http,
+    link::{Connection, FlowDirection},
     record::{Event, Log},
-    switchboard::{Conn, Dir},
     world::plan::Plan,
 };
 use rand::{RngExt, SeedableRng};
@@ -156,16 +156,16 @@
     }
 
     /// Serves one connection of a gateway to its end.
-    pub async fn serve(self: Arc<Self>, gate: usize, mut conn: Conn) {
+    pub async fn serve(self: Arc<Self>, gate: usize, mut conn: Connection) {
         let agent = self.agents[gate].clone();
         loop {
             let Ok(Some(message)) = http::read(&mut conn).await else { return };
-            conn.link.pass(Dir::Out, 100).await;
+            conn.link.wait_for_transit(FlowDirection::Out, 100).await;
             let said = tokio::select! {
                 said = self.answer(&agent, &message) => said,
                 _ = conn.fill() => return,
             };
-            if conn.write(Dir::In, &said).await.is_err() {
+            if conn.write(FlowDirection::In, &said).await.is_err() {
                 return;
             }
         }
--- a/lab/src/world/faults.rs
+++ b/lab/src/world/faults.rs
@@ -6,9 +6,9 @@
     worker::{Disturbance, Worker},
 };
 use crate::{
+    link::LinkFault,
     record::{Event, GateState, WorkerState},
     scenario::{Direction, Disk, Fault, FaultKind, Peers, Selection},
-    switchboard::LinkFault,
 };
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -241,9 +241,9 @@
             _ => Vec::new(),
         };
         let link_fault = LinkFault {
-            what: fault.what,
+            kind: fault.what,
             // Between gateways each direction is a link, and the fault is on all of it.
-            way: if matches!(peers, Peers::Gates(_)) { Direction::Both } else { fault.way },
+            direction: if matches!(peers, Peers::Gates(_)) { Direction::Both } else { fault.way },
             delay: Duration::from_secs_f64(fault.ms / MILLISECONDS_PER_SECOND),
             jitter: Duration::from_secs_f64(fault.jitter_ms / MILLISECONDS_PER_SECOND),
             share: fault.share,
@@ -251,7 +251,7 @@
         };
         let every = |on: bool| {
             for link in gates.iter().flat_map(|g| self.links.of(*g, &peers, &workers, fault.way)) {
-                if on { link.begin(index, link_fault) } else { link.heal(index) }
+                if on { link.begin_fault(index, link_fault) } else { link.end_fault(index) }
             }
         };
         every(true);
--- a/lab/src/world/front.rs
+++ b/lab/src/world/front.rs
@@ -2,9 +2,9 @@
 
 use crate::{
     http,
+    link::{Connection, FlowDirection},
     record::{Event, Log, Outcome},
     scenario::Effect,
-    switchboard::{Conn, Dir},
     world::{
         gates::Gate,
         plan::{Arrival, Plan, mix},
@@ -35,7 +35,7 @@
     plan: Arc<Plan>,
     log: Arc<Log>,
     gates: Vec<Arc<Gate>>,
-    pools: Vec<Mutex<Vec<Conn>>>,
+    pools: Vec<Mutex<Vec<Connection>>>,
     /// How late requests went out, in microseconds.
     late: Mutex<Histogram<u64>>,
     /// First tries that went out, for the progress shown.
@@ -198,25 +198,25 @@
         std::future::pending::<()>().await;
     }
 
-    async fn connect(&self, gate: usize) -> Option<Conn> {
+    async fn connect(&self, gate: usize) -> Option<Connection> {
         let gate = &self.gates[gate];
         let state = gate.front.state();
         if state.refuse {
             return None;
         }
-        if state.into.cut || state.out.cut {
+        if state.inbound.partitioned || state.outbound.partitioned {
             sleep(CONNECT_TIMEOUT).await;
             return None;
         }
         let socket = timeout(CONNECT_TIMEOUT, TcpStream::connect(gate.addr)).await.ok()?.ok()?;
-        Some(Conn::new(socket, gate.front.clone()))
+        Some(Connection::new(socket, gate.front.clone()))
     }
 
     async fn exchange(&self, gate: usize, message: &[u8], genuine: &str, until: Instant) -> Outcome {
         let kept = loop {
             let kept = self.pools[gate].lock().unwrap_or_else(PoisonError::into_inner).pop();
             match kept {
-                Some(conn) if !conn.idle() => {}
+                Some(conn) if !conn.is_reusable() => {}
                 kept => break kept,
             }
         };
@@ -257,14 +257,14 @@
         }
     }
 
-    async fn ask(&self, conn: &mut Conn, message: &[u8], until: Instant) -> Said {
+    async fn ask(&self, conn: &mut Connection, message: &[u8], until: Instant) -> Said {
         let exchange = async {
-            if conn.write(Dir::In, message).await.is_err() {
+            if conn.write(FlowDirection::In, message).await.is_err() {
                 return Said::Ended;
             }
             match http::read(conn).await {
                 Ok(Some(answer)) => {
-                    conn.link.pass(Dir::Out, answer.body.len()).await;
+                    conn.link.wait_for_transit(FlowDirection::Out, answer.body.len()).await;
                     Said::Answer(answer)
                 }
                 _ if conn.buffer().starts_with(b"HTTP/1.1 200") => Said::CutOff,
--- a/lab/src/world/gates.rs
+++ b/lab/src/world/gates.rs
@@ -1,9 +1,9 @@
 //! The gateways: the built program, a process each, with limits, a folder and a log of its own.
 
 use crate::{
+    link::{Connection, FlowDirection, Link},
     record::{Event, GateState, Log},
     scenario::Disk,
-    switchboard::{Conn, Dir, Link},
     world::plan::Plan,
 };
 use rustix::process::{Pid, Resource, Rlimit, Signal, kill_process, prlimit};
@@ -282,13 +282,14 @@
     }
 
     async fn up(&self) -> bool {
-        if self.front.state().into.cut || self.front.state().refuse {
+        if self.front.state().inbound.partitioned || self.front.state().refuse {
             return false;
         }
         let ask = async {
             let socket = TcpStream::connect(self.addr).await?;
-            let mut conn = Conn::new(socket, self.front.clone());
-            conn.write(Dir::In, b"GET /up HTTP/1.1\r\nHost: front\r\nConnection: close\r\n\r\n").await?;
+            let mut conn = Connection::new(socket, self.front.clone());
+            conn.write(FlowDirection::In, b"GET /up HTTP/1.1\r\nHost: front\r\nConnection: close\r\n\r\n")
+                .await?;
             crate::http::read(&mut conn).await
         };
         let answer = tokio::time::timeout(Duration::from_secs(1), ask).await;
--- a/lab/src/world/mod.rs
+++ b/lab/src/world/mod.rs
@@ -10,9 +10,9 @@
 pub mod worker;
 
 use crate::{
+    link::{Link, LinkListener, Relay},
     record::{FORM, Header, Log, Meter, Recording},
     scenario::{Direction, Peers, Scenario},
-    switchboard::{Link, Port, Relay},
 };
 use counter::Counter;
 use discovery::Discovery;
@@ -205,9 +205,9 @@
 /// Accepts on `port` for good, and serves each connection in a task of its own.
 fn serve<F>(
     tasks: &mut JoinSet<()>,
-    mut port: Port,
+    mut port: LinkListener,
     up: &watch::Sender<bool>,
-    serve: impl Fn(crate::switchboard::Conn) -> F + Send + 'static,
+    serve: impl Fn(crate::link::Connection) -> F + Send + 'static,
 ) where
     F: Future<Output = ()> + Send + 'static,
 {
@@ -328,7 +328,7 @@
         for gate in 0..spec.gatekeepers {
             let mut row = Vec::new();
             for worker in &workers {
-                let port = Port::open(ip, links.workers[gate][worker.index].clone())?;
+                let port = LinkListener::open(ip, links.workers[gate][worker.index].clone())?;
                 row.push(port.addr);
                 let of = worker.clone();
                 serve(tasks, port, &worker.up, move |conn| of.clone().serve(gate, conn));
@@ -348,8 +348,8 @@
         for gate in 0..spec.gatekeepers {
             let up = [watch::channel(true).0, watch::channel(false).0];
             let ports = [
-                Port::open(ip, links.discovery[gate].clone())?,
-                Port::open(ip, links.discovery[gate].clone())?,
+                LinkListener::open(ip, links.discovery[gate].clone())?,
+                LinkListener::open(ip, links.discovery[gate].clone())?,
             ];
             let agent = [ports[0].addr, ports[1].addr];
             for (port, up) in ports.into_iter().zip(&up) {
@@ -357,7 +357,7 @@
                 serve(tasks, port, up, move |conn| of.clone().serve(gate, conn));
             }
             agents.push(up);
-            let port = Port::open(ip, links.counter[gate].clone())?;
+            let port = LinkListener::open(ip, links.counter[gate].clone())?;
             let counter_at = plan.scenario.counter.on.then_some(port.addr);
             let of = counter.clone();
             serve(tasks, port, &counter.up, move |conn| of.clone().serve(gate, conn));
--- a/lab/src/world/worker.rs
+++ b/lab/src/world/worker.rs
@@ -2,9 +2,9 @@
 
 use crate::{
     http,
+    link::{Connection, FlowDirection},
     record::{Ending, Event, Log, Micros, WorkerState},
     scenario::Scenario,
-    switchboard::{Conn, Dir},
     world::plan::{Facts, Plan},
 };
 use rand::{RngExt, SeedableRng};
@@ -162,7 +162,7 @@
     }
 
     /// Serves one connection to its end.
-    pub async fn serve(self: Arc<Self>, gate: usize, mut conn: Conn) {
+    pub async fn serve(self: Arc<Self>, gate: usize, mut conn: Connection) {
         let open_connections = self.connections.fetch_add(1, Ordering::Relaxed);
         let mut incarnations = self.incarnations.subscribe();
         incarnations.borrow_and_update();
@@ -173,7 +173,7 @@
         self.connections.fetch_sub(1, Ordering::Relaxed);
     }
 
-    async fn exchange(&self, gate: usize, conn: &mut Conn, open_connections: usize) {
+    async fn exchange(&self, gate: usize, conn: &mut Connection, open_connections: usize) {
         let world = &self.scenario.world;
         if open_connections >= world.connections {
             return conn.reset();
@@ -188,12 +188,12 @@
                 trip += Duration::from_secs_f64(world.handshake_ms / 1e3);
             }
             let left_gateway = Instant::now();
-            conn.link.pass(Dir::Out, message.body.len() + 200).await;
+            conn.link.wait_for_transit(FlowDirection::Out, message.body.len() + 200).await;
             tokio::time::sleep(trip).await;
             let link_delay = left_gateway.elapsed().as_micros() as Micros;
             let closes = message.closes();
             let Some(said) = self.request(gate, conn, &message, link_delay).await else { return };
-            if conn.write(Dir::In, &said).await.is_err() || closes {
+            if conn.write(FlowDirection::In, &said).await.is_err() || closes {
                 return;
             }
         }
@@ -203,7 +203,7 @@
     async fn request(
         &self,
         gate: usize,
-        conn: &mut Conn,
+        conn: &mut Connection,
         message: &http::Message,
         link_delay: Micros,
     ) -> Option<Vec<u8>> {
@@ -224,7 +224,7 @@
     }
 
     /// Does the work of one attempt and answers it, unless something is wrong with this worker.
-    async fn attempt(&self, conn: &mut Conn, facts: &Facts, mut work: Work<'_>) -> Option<Vec<u8>> {
+    async fn attempt(&self, conn: &mut Connection, facts: &Facts, mut work: Work<'_>) -> Option<Vec<u8>> {
         let disturbance = self.disturbance();
         if disturbance.draining {
             return Some(self.reject(work));
@@ -270,7 +270,7 @@
     }
 
     /// Waits for a free core; `None` where the gateway gives the attempt up before.
-    async fn wait_for_core(&self, conn: &mut Conn, work: &mut Work<'_>) -> Option<SemaphorePermit<'_>> {
+    async fn wait_for_core(&self, conn: &mut Connection, work: &mut Work<'_>) -> Option<SemaphorePermit<'_>> {
         let since = Instant::now();
         self.waiting.fetch_add(1, Ordering::Relaxed);
         let core = tokio::select! {
@@ -289,7 +289,7 @@
     }
 
     /// Works for so many seconds; `None` where the gateway gives the attempt up before.
-    async fn work_for(&self, conn: &mut Conn, work: &mut Work<'_>, seconds: f64) -> Option<()> {
+    async fn work_for(&self, conn: &mut Connection, work: &mut Work<'_>, seconds: f64) -> Option<()> {
         let begun = Instant::now();
         tokio::select! {
             () = tokio::time::sleep(Duration::from_secs_f64(seconds)) => {}
@@ -306,7 +306,7 @@
     /// Answers an attempt whose work is done, unless the answer is to stop or break off half way.
     async fn answer(
         &self,
-        conn: &mut Conn,
+        conn: &mut Connection,
         body: &str,
         disturbance: &Disturbance,
         mut work: Work<'_>,
@@ -327,9 +327,9 @@
 }
 
 /// Sends the first half of an answer and resets the connection: at once, or once the gateway has given it up.
-async fn answer_half(conn: &mut Conn, body: &str, stalls: bool) {
+async fn answer_half(conn: &mut Connection, body: &str, stalls: bool) {
     let half = if stalls { http::beginning(&body.as_bytes()[..body.len() / 2]) } else { http::half(body) };
-    if conn.write(Dir::In, &half).await.is_ok() && stalls {
+    if conn.write(FlowDirection::In, &half).await.is_ok() && stalls {
         closed(conn).await;
     }
     conn.reset();
@@ -363,9 +363,9 @@
 }
 
 /// Waits until the gateway ends the connection or its sending: it gives the attempt up.
-async fn closed(conn: &mut Conn) {
+async fn closed(conn: &mut Connection) {
     // Bytes before the end are no protocol of ours; they wait for their turn.
     while let Ok(1..) = conn.fill().await {}
     let link = conn.link.clone();
-    link.pass(Dir::Out, 0).await;
+    link.wait_for_transit(FlowDirection::Out, 0).await;
 }
