--- a/crates/opalrun/tests/state.rs
+++ b/crates/opalrun/tests/state.rs
@@ -102,7 +102,7 @@
     std::fs::write(&segment, &bytes).unwrap();
     let output = run(&["state", "verify", "store", folder.path().to_str().unwrap()]);
     assert!(output.status.success(), "{output:?}");
-    assert!(text(&output.stdout).contains("would be cut off"), "{output:?}");
+    assert!(text(&output.stdout).contains("would be truncated to"), "{output:?}");
     assert_eq!(std::fs::read(&segment).unwrap(), bytes);
 }
 
--- a/crates/storage/src/data_directory.rs
+++ b/crates/storage/src/data_directory.rs
@@ -1,4 +1,4 @@
-//! The directory of a process's files.
+//! The data directory of a process.
 
 use crate::{Disk, StorageError, SystemDisk, error::from_io};
 use std::{
@@ -6,10 +6,10 @@
     sync::Arc,
 };
 
-/// Suffix of the name of a temporary file, which a versioned file's next version is written to.
+/// Suffix of temporary files. The next version of a versioned file is written to one before it is renamed.
 pub(crate) const TEMPORARY_SUFFIX: &str = ".tmp";
 
-/// The directory of a process's files.
+/// The data directory of a process, on a [`Disk`].
 #[derive(Debug, Clone)]
 pub struct DataDirectory {
     disk: Arc<dyn Disk>,
@@ -17,8 +17,8 @@
 }
 
 impl DataDirectory {
-    /// Opens the directory on the machine's disk, creates it where it is missing, and removes the temporary files that an
-    /// earlier process left.
+    /// Opens the directory on the machine's disk. Creates it if it is missing, and removes temporary files left by an
+    /// interrupted write of an earlier process.
     ///
     /// # Errors
     /// [`StorageError::Io`] or [`StorageError::Full`].
@@ -26,7 +26,7 @@
         Self::open_on(Arc::new(SystemDisk), path)
     }
 
-    /// As [`open`](Self::open), on another disk.
+    /// Same as [`open`](Self::open), on the given disk.
     ///
     /// # Errors
     /// [`StorageError::Io`] or [`StorageError::Full`].
@@ -40,13 +40,13 @@
         Ok(directory)
     }
 
-    /// Its path.
+    /// Path of the directory.
     #[must_use]
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// The names of the files in it, sorted.
+    /// Returns the names of the files in the directory, sorted.
     ///
     /// # Errors
     /// [`StorageError::Io`].
@@ -68,7 +68,7 @@
         self.disk.sync_directory(&self.path).map_err(from_io("sync folder", &self.path))
     }
 
-    /// Removes a file, durably.
+    /// Removes a file and syncs the directory, so that the removal is durable.
     pub(crate) fn remove(&self, name: &str) -> Result<(), StorageError> {
         let path = self.file(name);
         self.disk.remove(&path).map_err(from_io("remove", path))?;
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -8,52 +8,60 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StorageError {
-    /// The disk is full. Nothing was written, and the space is freed.
+    /// The disk is full. Nothing was written; space taken by a partial write has been freed.
     #[snafu(display("{}: the disk is full at {}", ResultCode::DISK_FULL, path.display()))]
     Full {
-        /// The file that was written.
+        /// Path of the file being written.
         path: PathBuf,
     },
-    /// A file is damaged where no loss of power can have damaged it.
-    #[snafu(display("{}: {} is damaged at byte {offset}: {what}", ResultCode::DISK_CORRUPT, path.display()))]
+    /// A file is damaged at a place that a power loss can't have damaged, because it had been synced.
+    #[snafu(display("{}: {} is damaged at byte {offset}: {damage}", ResultCode::DISK_CORRUPT, path.display()))]
     Corrupt {
-        /// The file.
+        /// Path of the damaged file.
         path: PathBuf,
-        /// The byte at which the damage begins.
+        /// Byte offset in the file at which the damaged part begins.
         offset: u64,
-        /// What is wrong there.
-        what: &'static str,
+        /// What is damaged or inconsistent, as text for operators.
+        damage: &'static str,
     },
-    /// A file has a format that this version of the program does not know.
-    #[snafu(display("{}: {} has format {format}, this program reads up to {known}", ResultCode::DISK_NEWER, path.display()))]
+    /// The format version of a file is newer than this version of the program supports.
+    #[snafu(display(
+        "{}: {} has format version {format}, this program supports versions up to {known}",
+        ResultCode::DISK_NEWER,
+        path.display()
+    ))]
     Newer {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Its format.
+        /// Format version found in the file.
         format: u32,
-        /// The newest format that can be read.
+        /// Newest format version that this program supports.
         known: u32,
     },
-    /// The operating system refused an operation.
+    /// An operation of the operating system failed.
     #[snafu(display("{}: can't {operation} {}: {source}", ResultCode::DISK_FAILED, path.display()))]
     Io {
-        /// The operation.
+        /// The operation, as a verb for messages: `read`, `sync`.
         operation: &'static str,
-        /// The file.
+        /// Path of the file or directory.
         path: PathBuf,
-        /// The error of the operating system.
+        /// The error from the operating system.
         source: io::Error,
     },
-    /// An earlier failure left the log in a state that only opening it again can recover.
-    #[snafu(display("{}: {} takes no more writes after a failure", ResultCode::DISK_FAILED, path.display()))]
+    /// An earlier write failed and could not be undone. The log must be opened again before further writes.
+    #[snafu(display(
+        "{}: {} rejects writes after an earlier failure, until it is opened again",
+        ResultCode::DISK_FAILED,
+        path.display()
+    ))]
     Failed {
-        /// The file.
+        /// Path of the log's last segment.
         path: PathBuf,
     },
 }
 
 impl StorageError {
-    /// Its result code, as in `docs/results.md`.
+    /// Returns the result code of the error, as listed in `docs/results.md`.
     #[must_use]
     pub fn code(&self) -> ResultCode {
         match self {
@@ -64,14 +72,14 @@
         }
     }
 
-    /// Whether the disk is full.
+    /// Returns whether the operation failed because the disk is full.
     #[must_use]
     pub fn is_full(&self) -> bool {
         matches!(self, Self::Full { .. })
     }
 }
 
-/// Maps an error of the operating system in an operation on a file.
+/// Returns a function that maps an operating system error from `operation` on `path` to a [`StorageError`].
 pub(crate) fn from_io(
     operation: &'static str,
     path: impl Into<PathBuf>,
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,7 +1,7 @@
-//! Files that survive a loss of power: versioned files that are replaced atomically, and logs of records.
+//! Crash-safe storage: versioned files that are replaced atomically, and append-only logs of records.
 //!
-//! All access goes through the [`Disk`] trait, so that tests can use a [`MemoryDisk`] that loses power, runs full
-//! or fails. Calls block; a process makes them from a thread of its own for the disk.
+//! All access goes through the [`Disk`] trait, so that tests can use a [`MemoryDisk`] to simulate power losses, full
+//! disks and I/O errors. Calls block; processes make them from a dedicated disk thread.
 #![forbid(unsafe_code)]
 
 mod data_directory;
@@ -10,7 +10,6 @@
 mod memory_disk;
 mod read_only_disk;
 mod record_log;
-
 mod system_disk;
 mod versioned_file;
 
--- a/crates/storage/src/memory_disk/content.rs
+++ b/crates/storage/src/memory_disk/content.rs
@@ -1,42 +1,44 @@
-//! The content of a file on a [`MemoryDisk`](super::MemoryDisk): what is durable, what is not synced yet, and what a loss
-//! of power leaves of it.
+//! The content of a file on a [`MemoryDisk`](super::MemoryDisk): the durable state, the changes that are not synced yet,
+//! and how a simulated power loss treats them.
 
-/// Bytes that a disk writes atomically.
+/// Size in bytes of the unit that the simulated disk writes atomically.
 const SECTOR_BYTES: usize = 512;
 
-/// What a loss of power does to writes that were not synced.
+/// How a simulated power loss treats changes that were not synced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PowerLoss {
-    /// All of them are gone.
+    /// All unsynced changes are lost.
     DropAll,
-    /// All of them are there.
+    /// All unsynced changes are kept.
     KeepAll,
-    /// Each is present, missing or torn, at random; each creation, renaming and removal of a name is kept or lost.
+    /// Each unsynced write is kept, lost or torn at random; each creation, rename and removal is kept or lost at random.
     Random {
-        /// Seed of the random choices.
+        /// Seed of the random number generator.
         seed: u64,
     },
 }
 
-/// The content of a file.
+/// The content of a file, with its unsynced changes.
 #[derive(Debug, Default, Clone)]
 pub(super) struct Content {
-    /// As it reads now.
+    /// Content that a read returns, unsynced changes included.
     pub(super) current: Vec<u8>,
-    /// As it was at the last sync.
+    /// Content as of the last sync.
     pub(super) durable: Vec<u8>,
-    /// The changes since.
-    pub(super) unsynced: Vec<Step>,
+    /// Changes since the last sync, oldest first.
+    pub(super) unsynced: Vec<ContentChange>,
 }
 
-/// A change of a file's content.
+/// A change to a file's content.
 #[derive(Debug, Clone)]
-pub(super) enum Step {
+pub(super) enum ContentChange {
+    /// Writes bytes at a byte offset, extending the file with zeros if needed.
     Write { position: usize, bytes: Vec<u8> },
+    /// Sets the length of the file, in bytes.
     Truncate { length: usize },
 }
 
-impl Step {
+impl ContentChange {
     fn apply(&self, content: &mut Vec<u8>) {
         match self {
             Self::Write { position, bytes } => {
@@ -52,20 +54,20 @@
 }
 
 impl Content {
-    /// Changes the content; the change is not durable before the next sync.
-    pub(super) fn step(&mut self, step: Step) {
-        step.apply(&mut self.current);
-        self.unsynced.push(step);
+    /// Applies a change to the current content; it becomes durable at the next sync.
+    pub(super) fn change(&mut self, change: ContentChange) {
+        change.apply(&mut self.current);
+        self.unsynced.push(change);
     }
 
-    /// What a loss of power leaves of the changes since the last sync becomes the content.
+    /// Simulates a power loss: applies `loss` to the unsynced changes; the result is both current and durable.
     pub(super) fn lose_power(&mut self, loss: PowerLoss, random: &mut SplitMix) {
         let mut content = std::mem::take(&mut self.durable);
-        for step in std::mem::take(&mut self.unsynced) {
+        for change in std::mem::take(&mut self.unsynced) {
             match loss {
                 PowerLoss::DropAll => {}
-                PowerLoss::KeepAll => step.apply(&mut content),
-                PowerLoss::Random { .. } => apply_randomly(&step, &mut content, random),
+                PowerLoss::KeepAll => change.apply(&mut content),
+                PowerLoss::Random { .. } => apply_randomly(&change, &mut content, random),
             }
         }
         self.current = content.clone();
@@ -73,32 +75,32 @@
     }
 }
 
-/// Applies a change as a loss of power might leave it: not at all, entirely, torn, or in some of its sectors.
-fn apply_randomly(step: &Step, content: &mut Vec<u8>, random: &mut SplitMix) {
-    match (random.next() % 4, step) {
+/// Applies a change as a power loss may leave it: not at all, completely, only a prefix of it, or only some of its sectors.
+fn apply_randomly(change: &ContentChange, content: &mut Vec<u8>, random: &mut SplitMix) {
+    match (random.next() % 4, change) {
         (0, _) => {}
-        (1, step) => step.apply(content),
-        (2, Step::Write { position, bytes }) => {
+        (1, change) => change.apply(content),
+        (2, ContentChange::Write { position, bytes }) => {
             let kept = random.next() as usize % (bytes.len() + 1);
-            Step::Write { position: *position, bytes: bytes[..kept].to_vec() }.apply(content);
+            ContentChange::Write { position: *position, bytes: bytes[..kept].to_vec() }.apply(content);
         }
-        (_, Step::Write { position, bytes }) => {
+        (_, ContentChange::Write { position, bytes }) => {
             for (index, sector) in bytes.chunks(SECTOR_BYTES).enumerate() {
                 if random.next().is_multiple_of(2) {
                     let position = position + index * SECTOR_BYTES;
-                    Step::Write { position, bytes: sector.to_vec() }.apply(content);
+                    ContentChange::Write { position, bytes: sector.to_vec() }.apply(content);
                 }
             }
         }
-        (_, step) => step.apply(content),
+        (_, change) => change.apply(content),
     }
 }
 
-/// The `SplitMix64` generator: a seed yields the same choices in every build.
+/// The `SplitMix64` random number generator. A seed yields the same sequence in every build.
 pub(super) struct SplitMix(pub(super) u64);
 
 impl SplitMix {
-    /// The next random number.
+    /// Returns the next random number.
     pub(super) fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.0;
--- a/crates/storage/src/memory_disk/mod.rs
+++ b/crates/storage/src/memory_disk/mod.rs
@@ -1,10 +1,10 @@
-//! A disk in memory for tests, which loses power, runs full and fails on demand.
+//! An in-memory disk for tests, with simulated power losses, capacity limits, I/O errors and corruption.
 
 mod content;
 
 use crate::{Disk, DiskFile};
 pub use content::PowerLoss;
-use content::{Content, SplitMix, Step};
+use content::{Content, ContentChange, SplitMix};
 use std::{
     collections::BTreeMap,
     io,
@@ -12,7 +12,7 @@
     sync::{Arc, Mutex, MutexGuard, PoisonError},
 };
 
-/// A disk in memory. Clones are the same disk.
+/// An in-memory disk. Clones share the same content.
 #[derive(Debug, Clone, Default)]
 pub struct MemoryDisk {
     shared: Arc<Mutex<State>>,
@@ -21,57 +21,59 @@
 #[derive(Debug, Default)]
 struct State {
     directories: Vec<PathBuf>,
+    /// Content of all files ever created. A removed file stays here without a name.
     files: Vec<Content>,
-    /// Names as they are now.
+    /// Path of each file and its index in `files`, including unsynced renames and removals.
     names: BTreeMap<PathBuf, usize>,
-    /// Names as they were at the last sync of their directories.
+    /// Entries of `names` as of the last sync of the file's directory.
     durable_names: BTreeMap<PathBuf, usize>,
-    /// Bytes that all files together may have.
+    /// Maximum total size of all files in bytes; `None` for no limit.
     capacity: Option<usize>,
-    /// Operations left before every one fails, as without power.
+    /// Number of operations that still succeed before all others fail; `None` if no failure is set.
     operations_left: Option<u64>,
+    /// Number of operations since the disk was created.
     operations: u64,
-    /// Increases with each loss of power; files that were opened before it fail.
+    /// Number of power losses so far. Handles opened before the last one fail.
     incarnation: u64,
 }
 
 impl MemoryDisk {
-    /// An empty disk without a limit.
+    /// Creates an empty disk without a capacity limit.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Limits the bytes that all files together may have.
+    /// Sets the maximum total size of all files in bytes; `None` removes the limit.
     pub fn set_capacity(&self, bytes: Option<usize>) {
         self.state().capacity = bytes;
     }
 
-    /// Lets this many more operations (writes, truncations, syncs, creations, renames and removals) succeed; all after them
-    /// fail.
+    /// Makes all operations (writes, truncations, syncs, creations, renames and removals) fail after this many more have
+    /// succeeded; `None` turns failures off.
     pub fn fail_after(&self, operations: Option<u64>) {
         self.state().operations_left = operations;
     }
 
-    /// The number of such operations so far.
+    /// Returns the number of operations counted by [`fail_after`](Self::fail_after) since the disk was created.
     #[must_use]
     pub fn operations(&self) -> u64 {
         self.state().operations
     }
 
-    /// Bytes of all files together.
+    /// Returns the total size of all files, in bytes.
     #[must_use]
     pub fn used(&self) -> usize {
         let state = self.state();
         state.names.values().map(|file| state.files[*file].current.len()).sum()
     }
 
-    /// Loses power and restarts. Files that were open can't be used any more.
+    /// Simulates a power loss and a restart. Handles of files that were open fail from now on.
     pub fn lose_power(&self, loss: PowerLoss) {
         self.state().lose_power(loss);
     }
 
-    /// Changes bytes of a file in place, as a fault of the disk would.
+    /// Changes the content of a file in place, durably, to simulate corruption by a disk fault.
     pub fn damage(&self, path: &Path, change: impl FnOnce(&mut Vec<u8>)) {
         let mut state = self.state();
         let Some(file) = state.names.get(path).copied() else {
@@ -93,7 +95,7 @@
         self.operations += 1;
         match &mut self.operations_left {
             None => Ok(()),
-            Some(0) => Err(io::Error::other("the disk does not answer")),
+            Some(0) => Err(io::Error::other("simulated disk failure")),
             Some(left) => {
                 *left -= 1;
                 Ok(())
@@ -160,7 +162,7 @@
         let mut state = self.state();
         state.begin_operation()?;
         let file = if let Some(file) = state.names.get(path).copied() {
-            state.files[file].step(Step::Truncate { length: 0 });
+            state.files[file].change(ContentChange::Truncate { length: 0 });
             file
         } else {
             state.files.push(Content::default());
@@ -214,12 +216,16 @@
     }
 }
 
+/// A file of a [`MemoryDisk`], open for writing.
 #[derive(Debug)]
 struct MemoryFile {
     disk: MemoryDisk,
     path: PathBuf,
+    /// Index of the content in the disk's `files`.
     file: usize,
+    /// Byte offset of the next write.
     position: usize,
+    /// Incarnation of the disk when the file was opened.
     incarnation: u64,
 }
 
@@ -228,7 +234,7 @@
         let disk = self.disk.clone();
         let mut state = disk.state();
         if state.incarnation != self.incarnation {
-            return Err(io::Error::other("the file was open at a loss of power"));
+            return Err(io::Error::other("the file was opened before a simulated power loss"));
         }
         state.begin_operation()?;
         action(self, &mut state)
@@ -242,8 +248,8 @@
             let growth = end.saturating_sub(state.files[file.file].current.len());
             let free = state.capacity.map_or(usize::MAX, |capacity| capacity.saturating_sub(state.used()));
             let fitting = bytes.len() - growth.saturating_sub(free).min(bytes.len());
-            let step = Step::Write { position: file.position, bytes: bytes[..fitting].to_vec() };
-            state.files[file.file].step(step);
+            let change = ContentChange::Write { position: file.position, bytes: bytes[..fitting].to_vec() };
+            state.files[file.file].change(change);
             file.position += fitting;
             if fitting < bytes.len() { Err(io::ErrorKind::StorageFull.into()) } else { Ok(()) }
         })
@@ -264,7 +270,7 @@
 
     fn truncate(&mut self, length: u64) -> io::Result<()> {
         self.operate(|file, state| {
-            state.files[file.file].step(Step::Truncate { length: length as usize });
+            state.files[file.file].change(ContentChange::Truncate { length: length as usize });
             file.position = length as usize;
             Ok(())
         })
--- a/crates/storage/src/read_only_disk.rs
+++ b/crates/storage/src/read_only_disk.rs
@@ -1,4 +1,4 @@
-//! The machine's disk without changes to it: what a start would repair is recorded and not done.
+//! A read-only view of the machine's disk: repairs that a process makes at its start are recorded instead of executed.
 
 use crate::{Disk, DiskFile, SystemDisk};
 use std::{
@@ -7,21 +7,21 @@
     sync::{Arc, Mutex, PoisonError},
 };
 
-/// The machine's disk for reading only. Changes succeed without effect and are recorded as text for operators, so code
-/// that opens a data directory can be used to inspect it.
+/// A read-only view of the machine's disk. Modifications succeed without effect and are recorded as text for operators,
+/// so that the code that opens a data directory can be used to inspect it.
 #[derive(Debug, Clone, Default)]
 pub struct ReadOnlyDisk {
     skipped_changes: Arc<Mutex<Vec<String>>>,
 }
 
 impl ReadOnlyDisk {
-    /// A disk without skipped changes.
+    /// Creates a disk without recorded changes.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The changes that were skipped so far, as text for operators.
+    /// Returns the changes that were skipped so far, as text for operators, oldest first.
     #[must_use]
     pub fn skipped_changes(&self) -> Vec<String> {
         self.skipped_changes.lock().unwrap_or_else(PoisonError::into_inner).clone()
@@ -31,8 +31,8 @@
         self.skipped_changes.lock().unwrap_or_else(PoisonError::into_inner).push(change);
     }
 
-    fn untouched(&self, path: &Path) -> Box<dyn DiskFile> {
-        Box::new(UntouchedFile { disk: self.clone(), path: path.to_owned() })
+    fn open_read_only(&self, path: &Path) -> Box<dyn DiskFile> {
+        Box::new(ReadOnlyFile { disk: self.clone(), path: path.to_owned() })
     }
 }
 
@@ -41,7 +41,7 @@
         if path.is_dir() {
             return Ok(());
         }
-        Err(io::Error::new(io::ErrorKind::NotFound, "there is no such folder"))
+        Err(io::Error::new(io::ErrorKind::NotFound, "no such directory"))
     }
 
     fn list(&self, directory: &Path) -> io::Result<Vec<String>> {
@@ -54,11 +54,11 @@
 
     fn create(&self, path: &Path) -> io::Result<Box<dyn DiskFile>> {
         self.skip(format!("{} would be written", path.display()));
-        Ok(self.untouched(path))
+        Ok(self.open_read_only(path))
     }
 
     fn open_at(&self, path: &Path, _position: u64) -> io::Result<Box<dyn DiskFile>> {
-        Ok(self.untouched(path))
+        Ok(self.open_read_only(path))
     }
 
     fn rename(&self, from: &Path, _to: &Path) -> io::Result<()> {
@@ -67,7 +67,7 @@
     }
 
     fn remove(&self, path: &Path) -> io::Result<()> {
-        self.skip(format!("{} would be removed: it was left unfinished", path.display()));
+        self.skip(format!("{} would be removed: it is an incomplete temporary file", path.display()));
         Ok(())
     }
 
@@ -76,14 +76,14 @@
     }
 }
 
-/// A file that is not written.
+/// A file handle whose writes have no effect.
 #[derive(Debug)]
-struct UntouchedFile {
+struct ReadOnlyFile {
     disk: ReadOnlyDisk,
     path: PathBuf,
 }
 
-impl DiskFile for UntouchedFile {
+impl DiskFile for ReadOnlyFile {
     fn write_all(&mut self, _bytes: &[u8]) -> io::Result<()> {
         Ok(())
     }
@@ -94,7 +94,7 @@
 
     fn truncate(&mut self, length: u64) -> io::Result<()> {
         let path = self.path.display();
-        self.disk.skip(format!("{path} would be cut off at byte {length}: its end was never synced"));
+        self.disk.skip(format!("{path} would be truncated to {length} bytes: its end was never synced"));
         Ok(())
     }
 }
--- a/crates/storage/src/record_log/mod.rs
+++ b/crates/storage/src/record_log/mod.rs
@@ -1,7 +1,7 @@
-//! A log of numbered records in segment files: appended in batches, with one sync for each batch.
+//! A log of numbered records in segment files. Records are appended in batches, with one sync per batch.
 //!
-//! A truncation of the log's end is written as a batch that begins at a lower number, and a reset as one that begins at a
-//! higher number. So the segments are append-only, and each such step is as crash-safe as any batch.
+//! Truncating the end of the log is written as a batch that begins at a lower record number, and a reset as one that
+//! begins at a higher number. Segments are therefore append-only, and both operations are as crash-safe as any batch.
 
 mod replay;
 mod segment;
@@ -13,10 +13,10 @@
     path::{Path, PathBuf},
 };
 
-/// Options of a log.
+/// Options of a [`RecordLog`].
 #[derive(Debug, Clone, Copy)]
 pub struct RecordLogOptions {
-    /// Size in bytes from which on a segment is followed by a new one.
+    /// Size in bytes at which a segment is closed and the next batch begins a new one.
     pub segment_bytes: u64,
 }
 
@@ -26,46 +26,52 @@
     }
 }
 
-/// A log of numbered records.
+/// A crash-safe log of numbered records.
 #[derive(Debug)]
 pub struct RecordLog {
     directory: DataDirectory,
+    /// Prefix of the names of the segment files.
     name: String,
     options: RecordLogOptions,
+    /// Segments on disk, oldest first.
     segments: VecDeque<Segment>,
-    /// The last segment; `None` where the next batch begins a new one.
+    /// The last segment, open for appending; `None` if the next batch begins a new segment.
     file: Option<Box<dyn DiskFile>>,
-    /// The records that are not synced yet.
+    /// Appended records that are not synced yet.
     batch: BatchBuilder,
+    /// Number of the oldest record in the log.
     first_record: u64,
-    /// The number of the next record, as far as the log is synced.
+    /// Number of the next record, counting only synced records.
     synced_next: u64,
-    /// The sequence of the next batch.
+    /// Sequence number of the next batch.
     next_sequence: u64,
-    /// A write has failed in a way that only opening the log again can recover from.
+    /// Set after a write that failed and could not be undone; the log must then be opened again.
     failed: bool,
 }
 
 /// A segment file of a log.
 #[derive(Debug, Clone, Copy)]
 struct Segment {
+    /// Number of the segment, which is part of its file name.
     number: u64,
+    /// Size in bytes, header included.
     bytes: u64,
-    /// The lowest number of a record in it, or the next record's number at its start.
+    /// Lowest record number in the segment; for a segment without records the next record number when it was created.
     start_record: u64,
-    /// The highest number of a record in it, plus one.
+    /// Highest record number in the segment, plus one.
     end_record: u64,
 }
 
 impl RecordLog {
     /// Opens the log `name` in a directory and passes each record with its number to `replay`, in the order written.
-    /// A record whose number was passed before replaces that one and all after it. At the end only the records from
-    /// [`first_record`](Self::first_record) to before [`next_record`](Self::next_record) are in the log.
+    /// A record with a number that was passed before replaces that record and all later ones. When this returns, the log
+    /// contains only records from [`first_record`](Self::first_record) up to, but not including,
+    /// [`next_record`](Self::next_record).
     ///
-    /// A torn tail is truncated; it was never synced.
+    /// A torn tail, which was never synced, is truncated.
     ///
     /// # Errors
-    /// [`StorageError::Corrupt`] where anything else is damaged, [`StorageError::Newer`], or [`StorageError::Io`].
+    /// [`StorageError::Corrupt`] if anything but the tail is damaged, [`StorageError::Newer`], or [`StorageError::Io`].
     pub fn open(
         directory: &DataDirectory,
         name: &str,
@@ -93,25 +99,25 @@
         Ok(log)
     }
 
-    /// The number of the oldest record.
+    /// Returns the number of the oldest record.
     #[must_use]
     pub fn first_record(&self) -> u64 {
         self.first_record
     }
 
-    /// The number that the next record gets.
+    /// Returns the number that the next appended record gets.
     #[must_use]
     pub fn next_record(&self) -> u64 {
         if self.batch.is_open() { self.batch.next_record() } else { self.synced_next }
     }
 
-    /// Bytes on disk.
+    /// Returns the total size of the segment files, in bytes.
     #[must_use]
     pub fn bytes(&self) -> u64 {
         self.segments.iter().map(|segment| segment.bytes).sum()
     }
 
-    /// Appends a record and returns its number. It is durable after the next [`sync`](Self::sync).
+    /// Appends a record and returns its number. The record is durable after the next successful [`sync`](Self::sync).
     pub fn append(&mut self, record: &[u8]) -> u64 {
         if !self.batch.is_open() {
             self.batch.begin(self.synced_next);
@@ -120,11 +126,11 @@
         self.batch.next_record() - 1
     }
 
-    /// Writes all records appended since the last sync and makes them durable, with one sync of the disk.
+    /// Writes all records appended since the last sync and makes them durable, with a single disk sync.
     ///
     /// # Errors
-    /// The records appended since the last sync are not in the log. After [`StorageError::Full`] the space is freed
-    /// and the log can be used further; after other errors it accepts no more writes until it is opened anew.
+    /// On any error, the records appended since the last sync are discarded. After [`StorageError::Full`] the space is
+    /// freed and the log remains usable; after other errors it rejects writes until it is opened again.
     pub fn sync(&mut self) -> Result<(), StorageError> {
         if self.failed {
             self.batch.clear();
@@ -141,10 +147,10 @@
         written
     }
 
-    /// Drops all records from number `record` on, durably. Records that were appended and not yet synced are synced first.
+    /// Removes all records with number `record` or higher, durably. Unsynced records are synced first.
     ///
     /// # Errors
-    /// As for [`sync`](Self::sync).
+    /// Same as [`sync`](Self::sync).
     pub fn truncate_from(&mut self, record: u64) -> Result<(), StorageError> {
         self.sync()?;
         if record >= self.synced_next {
@@ -154,10 +160,10 @@
         self.sync()
     }
 
-    /// Drops all records and begins anew at number `record`, durably.
+    /// Removes all records, durably; the next record gets number `record`.
     ///
     /// # Errors
-    /// As for [`sync`](Self::sync).
+    /// Same as [`sync`](Self::sync).
     pub fn reset(&mut self, record: u64) -> Result<(), StorageError> {
         self.truncate_from(self.first_record)?;
         if record != self.synced_next {
@@ -167,20 +173,19 @@
         self.drop_before(record)
     }
 
-    /// Begins a new segment with the next batch, so that [`drop_before`](Self::drop_before) can remove all that came
-    /// earlier.
+    /// Starts a new segment with the next batch, so that [`drop_before`](Self::drop_before) can remove all earlier records.
     pub fn roll(&mut self) {
         self.file = None;
     }
 
-    /// Removes the oldest segments that contain only records before number `record`.
+    /// Removes the oldest segments that contain only records with numbers below `record`.
     ///
     /// # Errors
     /// [`StorageError::Io`].
     pub fn drop_before(&mut self, record: u64) -> Result<(), StorageError> {
-        // The newest segment stays: it says which sequence comes next.
+        // The newest segment is kept, because it determines the next sequence number.
         while self.segments.len() > 1 && self.segments[0].end_record <= record {
-            // Each removal is durable before the next one, so that no segment in the middle is ever missing.
+            // Each removal is made durable before the next one, so that a power loss leaves no gap between segments.
             self.directory.remove(&self.segment_name(self.segments[0].number))?;
             self.segments.pop_front();
             self.advance_first_record();
@@ -205,7 +210,7 @@
         self.path(self.segments.back().map_or(0, |segment| segment.number))
     }
 
-    /// Applies a batch that is durable.
+    /// Updates the record and sequence numbers for a batch that is durable.
     fn apply_batch(&mut self, sequence: u64, first_record: u64, next_record: u64) {
         if first_record > self.synced_next || first_record < self.first_record {
             self.first_record = first_record;
@@ -230,7 +235,7 @@
         let Err(error) = written else {
             return Ok(());
         };
-        // What was written in part must be gone before another batch is written in its stead.
+        // A partial write must be removed before another batch is written at the same position.
         let undone = file.truncate(length).and_then(|()| file.sync());
         self.failed = !error.is_full() || undone.is_err();
         Err(error)
@@ -268,7 +273,7 @@
         Ok(file)
     }
 
-    /// Applies the batch that was just written.
+    /// Updates the segment and the record numbers for the batch that was just written.
     fn finish_batch(&mut self) {
         let next_record = self.batch.next_record();
         if let Some(segment) = self.segments.back_mut() {
--- a/crates/storage/src/record_log/replay.rs
+++ b/crates/storage/src/record_log/replay.rs
@@ -1,14 +1,14 @@
-//! Opening a log: its segments are replayed, and a torn tail is truncated.
+//! Opening a log: replays its segments and truncates a torn tail.
 
 use super::{
     RecordLog, Segment,
-    segment::{Batch, FORMAT, HeaderReading, SEGMENT_HEADER_BYTES, SegmentHeader, contains_later_batch},
+    segment::{Batch, FORMAT, ParsedHeader, SEGMENT_HEADER_BYTES, SegmentHeader, contains_later_batch},
 };
 use crate::{StorageError, error::from_io};
 use std::path::{Path, PathBuf};
 
 impl RecordLog {
-    /// The numbers of the log's segments, by their files' names, in order.
+    /// Returns the segment numbers found in the file names of the directory, in ascending order.
     pub(super) fn segment_numbers(&self) -> Result<Vec<u64>, StorageError> {
         let mut numbers = Vec::new();
         for name in self.directory.list()? {
@@ -24,7 +24,7 @@
         Ok(numbers)
     }
 
-    /// Replays a segment's batches; a torn tail of the last segment is truncated.
+    /// Replays the batches of a segment. A torn tail of the last segment is truncated.
     pub(super) fn replay_segment(
         &mut self,
         number: u64,
@@ -34,8 +34,8 @@
         let path = self.path(number);
         let bytes = self.directory.disk().read(&path).map_err(from_io("read", &path))?.unwrap_or_default();
         let header = match SegmentHeader::parse(&bytes) {
-            HeaderReading::Valid(header) if header.number == number => header,
-            HeaderReading::Newer(format) => return Err(StorageError::Newer { path, format, known: FORMAT }),
+            ParsedHeader::Valid(header) if header.number == number => header,
+            ParsedHeader::Newer(format) => return Err(StorageError::Newer { path, format, known: FORMAT }),
             _ => return self.drop_torn_segment(number, is_last, &bytes),
         };
         self.check_follows(&header, path.clone())?;
@@ -44,9 +44,9 @@
             Segment { number, bytes: 0, start_record: header.next_record, end_record: header.next_record };
         while offset < bytes.len() {
             let Some(batch) = Batch::parse(&bytes[offset..], self.next_sequence..=self.next_sequence) else {
-                let what = "a batch in the middle";
+                let damage = "a batch before the end of the log is damaged";
                 if !is_last || contains_later_batch(&bytes[offset..], self.next_sequence) {
-                    return Err(StorageError::Corrupt { path, offset: offset as u64, what });
+                    return Err(StorageError::Corrupt { path, offset: offset as u64, damage });
                 }
                 self.truncate_segment(&path, offset as u64)?;
                 break;
@@ -70,9 +70,9 @@
     ) -> Result<(), StorageError> {
         let mut next = batch.first_record;
         for record in batch.records() {
-            let what = "a record that does not fit its batch";
+            let damage = "a record exceeds its batch";
             let Some(record) = record else {
-                return Err(StorageError::Corrupt { path: path.to_path_buf(), offset, what });
+                return Err(StorageError::Corrupt { path: path.to_path_buf(), offset, damage });
             };
             replay(next, record);
             next += 1;
@@ -81,7 +81,7 @@
         Ok(())
     }
 
-    /// Checks that a segment follows the one before it; the first one says where the log begins.
+    /// Checks that a segment continues the previous one. The first segment sets the numbers at which the log begins.
     fn check_follows(&mut self, header: &SegmentHeader, path: PathBuf) -> Result<(), StorageError> {
         let Some(last) = self.segments.back() else {
             self.first_record = header.next_record;
@@ -93,28 +93,28 @@
             return Err(StorageError::Corrupt {
                 path,
                 offset: 0,
-                what: "does not follow the segment before it",
+                damage: "the segment does not continue the previous segment",
             });
         }
         Ok(())
     }
 
-    /// Removes a last segment without a valid header: it was never synced.
+    /// Removes a last segment without a valid header, which was never synced.
     fn drop_torn_segment(&mut self, number: u64, is_last: bool, bytes: &[u8]) -> Result<(), StorageError> {
-        let what = "the header of a segment";
+        let damage = "the segment header is damaged";
         if !is_last || contains_later_batch(bytes, self.next_sequence) {
-            return Err(StorageError::Corrupt { path: self.path(number), offset: 0, what });
+            return Err(StorageError::Corrupt { path: self.path(number), offset: 0, damage });
         }
         self.directory.remove(&self.segment_name(number))
     }
 
     fn truncate_segment(&self, path: &Path, length: u64) -> Result<(), StorageError> {
         let mut file = self.directory.disk().open_at(path, length).map_err(from_io("open", path))?;
-        file.truncate(length).map_err(from_io("cut off", path))?;
+        file.truncate(length).map_err(from_io("truncate", path))?;
         file.sync().map_err(from_io("sync", path))
     }
 
-    /// Opens the last segment to append to it.
+    /// Opens the last segment for appending.
     pub(super) fn reopen_last(&mut self) -> Result<(), StorageError> {
         let Some(last) = self.segments.back() else {
             return Ok(());
--- a/crates/storage/src/system_disk.rs
+++ b/crates/storage/src/system_disk.rs
@@ -1,4 +1,4 @@
-//! The disk of the machine.
+//! The file system of the machine.
 
 use crate::{Disk, DiskFile};
 use std::{
@@ -7,7 +7,7 @@
     path::Path,
 };
 
-/// The disk of the machine, through the operating system.
+/// The file system of the machine, accessed through the operating system.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct SystemDisk;
 
--- a/crates/storage/src/versioned_file.rs
+++ b/crates/storage/src/versioned_file.rs
@@ -1,26 +1,26 @@
 //! A file that is replaced atomically: each version is written to a temporary file, synced and renamed.
 //!
-//! Layout: magic (8 bytes), format (u32), length of the content (u64), checksum of the content (u32), content. Numbers
-//! are little-endian.
+//! Layout: magic (8 bytes), format version of the content (u32), length of the content (u64), CRC-32 of the content (u32),
+//! content. Integers are little-endian.
 
 use crate::{DataDirectory, StorageError, data_directory::TEMPORARY_SUFFIX, error::from_io};
 use std::path::{Path, PathBuf};
 
-/// The first bytes of a versioned file.
+/// Magic bytes at the start of a versioned file.
 const MAGIC: &[u8; 8] = b"OPALFILE";
-/// Bytes before the content.
+/// Size in bytes of the header that precedes the content.
 const HEADER_BYTES: usize = 24;
 
-/// A version of the content of a [`VersionedFile`].
+/// The content of a [`VersionedFile`], with its format version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VersionedContent {
-    /// The number of its format.
+    /// Format version of the content.
     pub format: u32,
-    /// The bytes.
+    /// The content, without the file header.
     pub content: Vec<u8>,
 }
 
-/// A file that is replaced atomically. Readers see one version or the next, also after a loss of power.
+/// A file that is replaced atomically. Reads return either the old or the new content, even after a power loss.
 #[derive(Debug, Clone)]
 pub struct VersionedFile {
     directory: DataDirectory,
@@ -29,14 +29,14 @@
 }
 
 impl VersionedFile {
-    /// The file `name` in `directory`, whose content is written in the format with the number `format`. Contents of older
-    /// formats are read as well; to interpret them is left to the caller.
+    /// Creates a handle of the file `name` in `directory`. Content is written with format version `format`. Content of
+    /// older versions can be read as well; the caller must interpret it.
     #[must_use]
     pub fn new(directory: &DataDirectory, name: impl Into<String>, format: u32) -> Self {
         Self { directory: directory.clone(), name: name.into(), format }
     }
 
-    /// Reads the newest durable version; `None` before the first write.
+    /// Reads the current content; returns `None` before the first write.
     ///
     /// # Errors
     /// [`StorageError::Corrupt`], [`StorageError::Newer`] or [`StorageError::Io`].
@@ -48,15 +48,15 @@
         self.parse(bytes).map(Some)
     }
 
-    /// Replaces the content. When this returns, the new version is durable.
+    /// Replaces the content. When this returns successfully, the new content is durable.
     ///
     /// # Errors
-    /// [`StorageError::Full`] or [`StorageError::Io`]: the old version is still there, or after a failed sync of the
-    /// directory either of the two.
+    /// [`StorageError::Full`] or [`StorageError::Io`]. The old content is still in place, except after a failed sync of
+    /// the directory: then the file has either the old or the new content.
     pub fn write(&self, content: &[u8]) -> Result<(), StorageError> {
         let temporary = self.directory.file(&format!("{}{TEMPORARY_SUFFIX}", self.name));
         if let Err(error) = self.write_temporary(&temporary, content) {
-            // Frees the space; if that fails as well, the next opening of the directory does it.
+            // Frees the space. If the removal fails too, the file is removed when the directory is opened next.
             let _ = self.directory.disk().remove(&temporary);
             return Err(error);
         }
@@ -65,7 +65,7 @@
         self.directory.sync()
     }
 
-    /// Removes the file, durably. It then reads as never written.
+    /// Removes the file, durably. Reads then return `None`, as before the first write.
     ///
     /// # Errors
     /// [`StorageError::Io`].
@@ -91,10 +91,10 @@
 
     fn parse(&self, mut bytes: Vec<u8>) -> Result<VersionedContent, StorageError> {
         let Some(header) = bytes.first_chunk::<HEADER_BYTES>() else {
-            return Err(self.corrupt("shorter than its header"));
+            return Err(self.corrupt("the file is shorter than its header"));
         };
         if &header[..8] != MAGIC {
-            return Err(self.corrupt("not a file of this program"));
+            return Err(self.corrupt("the magic bytes are not those of a versioned file"));
         }
         let format = u32::from_le_bytes([header[8], header[9], header[10], header[11]]);
         if format > self.format {
@@ -104,7 +104,7 @@
         let mut length = [0; 8];
         length.copy_from_slice(&header[12..20]);
         if u64::from_le_bytes(length) != (bytes.len() - HEADER_BYTES) as u64 {
-            return Err(self.corrupt("of another length than it says"));
+            return Err(self.corrupt("the length does not match the header"));
         }
         bytes.drain(..HEADER_BYTES);
         if crc32fast::hash(&bytes) != checksum {
@@ -113,7 +113,7 @@
         Ok(VersionedContent { format, content: bytes })
     }
 
-    fn corrupt(&self, what: &'static str) -> StorageError {
-        StorageError::Corrupt { path: self.path(), offset: 0, what }
+    fn corrupt(&self, damage: &'static str) -> StorageError {
+        StorageError::Corrupt { path: self.path(), offset: 0, damage }
     }
 }
--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The formats of versioned files and of record logs, against files that an earlier build has written.
+//! Golden tests: versioned files and record logs keep the formats that an earlier build wrote.
 
 #[path = "support/golden.rs"]
 mod golden;
@@ -12,29 +12,29 @@
 type Records = BTreeMap<u64, Vec<u8>>;
 
 fn check_versioned_file(name: &str, format: u32, content: &[u8]) {
-    // Given a file of this build.
+    // Given a file that this build writes.
     let folder = tempfile::tempdir().unwrap();
     let directory = DataDirectory::open(folder.path()).unwrap();
     let file = VersionedFile::new(&directory, "file", format);
     file.write(content).unwrap();
     let written = fs::read(folder.path().join("file")).unwrap();
 
-    // Then it has the bytes of the earlier build's.
+    // Then it has the same bytes as the golden file.
     let golden = golden::assert_file(name, &written);
 
-    // And the earlier build's file reads as the same content.
+    // And the golden file is read as the same content.
     fs::write(folder.path().join("file"), golden).unwrap();
     assert_eq!(file.read().unwrap(), Some(VersionedContent { format, content: content.to_vec() }));
 }
 
 #[test]
-fn versioned_files_of_an_earlier_build_are_read_and_written_alike() {
+fn versioned_files_keep_their_format() {
     check_versioned_file("versioned_file_empty.bin", 1, b"");
     check_versioned_file("versioned_file_text.bin", 1, b"content of a versioned file");
     check_versioned_file("versioned_file_format_7.bin", 7, &[0, 1, 2, 253, 254, 255]);
 }
 
-/// What a log holds after it was opened.
+/// The records and record numbers of a log after it was opened.
 #[derive(Debug, PartialEq, Eq)]
 struct Contents {
     first_record: u64,
@@ -68,16 +68,16 @@
 }
 
 fn check_log(name: &str, options: RecordLogOptions, write: impl Fn(&mut RecordLog), expected: &Contents) {
-    // Given a log of this build.
+    // Given a log that this build writes.
     let folder = tempfile::tempdir().unwrap();
     let (mut log, _) = open(folder.path(), options);
     write(&mut log);
     drop(log);
 
-    // Then its segments have the bytes of the earlier build's.
+    // Then its segments have the same bytes as the golden segments.
     golden::assert_directory(name, folder.path());
 
-    // And the earlier build's log replays to the same records, and goes on from there.
+    // And the golden log replays to the same records, and can be appended to.
     let copy = tempfile::tempdir().unwrap();
     golden::copy_directory(name, copy.path());
     let (mut log, found) = open(copy.path(), options);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_log_of_one_segment_is_read_and_written_alike() {
+fn a_log_with_one_segment_keeps_its_format() {
     let write = |log: &mut RecordLog| {
         append(log, 0..1);
         append(log, 1..4);
@@ -109,13 +109,13 @@
 }
 
 #[test]
-fn a_log_of_several_segments_is_read_and_written_alike() {
+fn a_log_with_several_segments_keeps_its_format() {
     let write = |log: &mut RecordLog| (0..12).for_each(|number| append(log, number..number + 1));
     check_log("record_log_several_segments", SMALL_SEGMENTS, write, &contents(0, 12));
 }
 
 #[test]
-fn a_log_whose_oldest_segments_were_dropped_is_read_and_written_alike() {
+fn a_log_without_its_oldest_segments_keeps_its_format() {
     let write = |log: &mut RecordLog| {
         (0..12).for_each(|number| append(log, number..number + 1));
         log.drop_before(7).unwrap();
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_log_truncated_at_its_end_is_read_and_written_alike() {
+fn a_truncated_log_keeps_its_format() {
     let write = |log: &mut RecordLog| {
         append(log, 0..6);
         log.truncate_from(3).unwrap();
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_log_that_began_anew_is_read_and_written_alike() {
+fn a_reset_log_keeps_its_format() {
     let write = |log: &mut RecordLog| {
         append(log, 0..3);
         log.reset(40).unwrap();
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_log_rolled_to_a_new_segment_is_read_and_written_alike() {
+fn a_log_rolled_to_a_new_segment_keeps_its_format() {
     let write = |log: &mut RecordLog| {
         append(log, 0..2);
         log.roll();
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_file_that_was_left_unfinished_is_removed_at_the_start() {
+fn opening_a_data_directory_removes_temporary_files() {
     let folder = tempfile::tempdir().unwrap();
     fs::write(folder.path().join("file.tmp"), b"unfinished").unwrap();
     fs::write(folder.path().join("file"), b"finished").unwrap();
--- a/crates/storage/tests/record_log.rs
+++ b/crates/storage/tests/record_log.rs
@@ -1,4 +1,4 @@
-//! The log of records under losses of power, full disks and damage.
+//! Record logs and versioned files after power losses, on full disks and with corrupted content.
 
 use opalrun_storage::{
     DataDirectory, MemoryDisk, PowerLoss, RecordLog, RecordLogOptions, StorageError, SystemDisk,
@@ -7,14 +7,14 @@
 use std::{collections::BTreeMap, path::Path, sync::Arc};
 
 const FOLDER: &str = "/data";
-const SMALL: RecordLogOptions = RecordLogOptions { segment_bytes: 300 };
+const SMALL_SEGMENTS: RecordLogOptions = RecordLogOptions { segment_bytes: 300 };
 
 type Records = BTreeMap<u64, Vec<u8>>;
 
 fn open(disk: &MemoryDisk) -> Result<(RecordLog, Records), StorageError> {
     let directory = DataDirectory::open_on(Arc::new(disk.clone()), FOLDER)?;
     let mut records = Records::new();
-    let log = RecordLog::open(&directory, "test", SMALL, |number, bytes| {
+    let log = RecordLog::open(&directory, "test", SMALL_SEGMENTS, |number, bytes| {
         records.split_off(&number);
         records.insert(number, bytes.to_vec());
     })?;
@@ -23,15 +23,16 @@
     Ok((log, records))
 }
 
-/// What a log must hold, as a plain map.
+/// The expected state of a log, as a map.
 #[derive(Debug, Default, Clone, PartialEq)]
 struct Model {
     records: Records,
+    /// Number of the next record.
     next: u64,
 }
 
-/// One random step on a log. Returns the models that may stand after a loss of power during it.
-fn random_step(
+/// Performs a random operation on a log. Returns its result and the model as of a successful operation.
+fn random_operation(
     log: &mut RecordLog,
     model: &Model,
     random: &mut fastrand::Rng,
@@ -68,34 +69,35 @@
     (result, after)
 }
 
-/// Records that both have, and the end, must be the same; old records may be dropped.
+/// Returns whether a log matches a model: the next record number is equal, and so are all records from the log's oldest on.
 fn matches(found: &Records, next: u64, model: &Model) -> bool {
-    let kept = found.keys().next().copied().unwrap_or(next);
-    next == model.next && *found == model.records.clone().split_off(&kept)
+    let oldest = found.keys().next().copied().unwrap_or(next);
+    next == model.next && *found == model.records.clone().split_off(&oldest)
 }
 
 #[test]
-fn after_a_loss_of_power_at_any_operation_the_log_is_as_before_or_after_it() {
+fn a_power_loss_leaves_the_log_as_before_or_after_the_interrupted_operation() {
     for seed in 0..40 {
         for operations in 0..60 {
-            lose_power_after(seed, operations, PowerLoss::Random { seed: seed * 1000 + operations });
+            check_power_loss_after(seed, operations, PowerLoss::Random { seed: seed * 1000 + operations });
         }
-        lose_power_after(seed, seed % 30, PowerLoss::DropAll);
-        lose_power_after(seed, seed % 30, PowerLoss::KeepAll);
+        check_power_loss_after(seed, seed % 30, PowerLoss::DropAll);
+        check_power_loss_after(seed, seed % 30, PowerLoss::KeepAll);
     }
 }
 
-fn lose_power_after(seed: u64, operations: u64, loss: PowerLoss) {
+/// Interrupts a random sequence of operations after `operations` disk operations with a power loss, and checks the log.
+fn check_power_loss_after(seed: u64, operations: u64, loss: PowerLoss) {
     let disk = MemoryDisk::new();
     let mut random = fastrand::Rng::with_seed(seed);
     let mut model = Model::default();
     let (mut log, _) = open(&disk).unwrap();
     disk.fail_after(Some(operations));
-    let mut maybe = None;
+    let mut interrupted = None;
     for _ in 0..60 {
-        let (result, after) = random_step(&mut log, &model, &mut random);
+        let (result, after) = random_operation(&mut log, &model, &mut random);
         if result.is_err() {
-            maybe = Some(after);
+            interrupted = Some(after);
             break;
         }
         model = after;
@@ -105,14 +107,15 @@
     disk.lose_power(loss);
     let (mut log, found) = open(&disk).unwrap();
     let next = log.next_record();
-    // A reset is two steps; after the first the log is empty.
+    // A reset is not atomic: it first empties the log and then sets the next record number.
     let emptied = found.is_empty() && model.records.first_key_value().is_none_or(|(first, _)| *first == next);
-    let stands = matches(&found, next, &model) || maybe.is_some_and(|maybe| matches(&found, next, &maybe));
+    let is_expected =
+        matches(&found, next, &model) || interrupted.is_some_and(|after| matches(&found, next, &after));
     assert!(
-        stands || emptied,
-        "seed {seed}, {operations} operations: {found:?} to {next}, expected {model:?}"
+        is_expected || emptied,
+        "seed {seed}, {operations} operations: found {found:?}, next record {next}, expected {model:?}"
     );
-    // The log goes on from there.
+    // Records can be appended to the log after the power loss.
     let number = log.append(b"after");
     log.sync().unwrap();
     drop(log);
@@ -121,7 +124,7 @@
 }
 
 #[test]
-fn a_full_disk_is_an_error_and_its_space_is_freed() {
+fn a_write_to_a_full_disk_fails_and_frees_its_space() {
     let disk = MemoryDisk::new();
     disk.set_capacity(Some(1000));
     let (mut log, _) = open(&disk).unwrap();
@@ -148,7 +151,7 @@
 }
 
 #[test]
-fn a_torn_tail_is_truncated_and_a_damaged_middle_is_corrupt() {
+fn a_torn_tail_is_truncated_and_damage_before_it_is_an_error() {
     let disk = MemoryDisk::new();
     let (mut log, _) = open(&disk).unwrap();
     for record in [b"first", b"secnd", b"third"] {
@@ -181,7 +184,7 @@
 }
 
 #[test]
-fn a_versioned_file_has_one_version_or_the_next() {
+fn a_power_loss_leaves_a_versioned_file_with_the_old_or_the_new_content() {
     for seed in 0..300 {
         let disk = MemoryDisk::new();
         let file = |disk: &MemoryDisk| {
@@ -206,7 +209,9 @@
     file.write(b"one").unwrap();
     file.write(b"two").unwrap();
     assert_eq!(file.read().unwrap(), Some(VersionedContent { format: 1, content: b"two".to_vec() }));
-    let mut log = RecordLog::open(&directory, "log", SMALL, |_, _| panic!("it is new")).unwrap();
+    let mut log =
+        RecordLog::open(&directory, "log", SMALL_SEGMENTS, |_, _| panic!("a new log has no records"))
+            .unwrap();
     for number in 0..50_u64 {
         assert_eq!(log.append(&number.to_le_bytes()), number);
         log.sync().unwrap();
@@ -215,7 +220,7 @@
     log.drop_before(20).unwrap();
     drop(log);
     let mut last = None;
-    let log = RecordLog::open(&directory, "log", SMALL, |number, bytes| {
+    let log = RecordLog::open(&directory, "log", SMALL_SEGMENTS, |number, bytes| {
         assert_eq!(bytes, number.to_le_bytes());
         last = Some(number);
     })
--- a/crates/storage/tests/support/golden.rs
+++ b/crates/storage/tests/support/golden.rs
@@ -1,31 +1,31 @@
-//! Golden files: bytes written by an earlier build that this one must still read, and write alike.
+//! Golden files: files written by an earlier build, which later builds must read, and write with the same bytes.
 //!
-//! They lie in the package's `tests/golden`. With `WRITE_GOLDEN=1` in the environment a missing file is written by the
-//! build at hand; without it a missing file fails the test, and no existing file is ever replaced.
+//! They are in the package's `tests/golden` directory. With `WRITE_GOLDEN=1` in the environment, missing files are written;
+//! otherwise a missing file fails the test. Existing files are never replaced.
 
 use std::{
     fs,
     path::{Path, PathBuf},
 };
 
-/// Where the golden file or directory `name` of the package under test lies.
+/// Returns the path of the golden file or directory `name` of the package under test.
 pub fn path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
 }
 
-/// Asserts that the golden file `name` holds exactly `encoded`, and returns its bytes.
+/// Asserts that the content of the golden file `name` equals `encoded`, and returns it.
 pub fn assert_file(name: &str, encoded: &[u8]) -> Vec<u8> {
     let path = path(name);
     if !path.exists() && may_write() {
-        fs::create_dir_all(path.parent().expect("a golden file lies in a directory")).unwrap();
+        fs::create_dir_all(path.parent().expect("a golden file has a parent directory")).unwrap();
         fs::write(&path, encoded).unwrap();
     }
     let golden = fs::read(&path).unwrap_or_else(|error| panic!("golden file {}: {error}", path.display()));
-    assert!(golden == encoded, "{name} holds {golden:02x?}, but this build writes {encoded:02x?}");
+    assert!(golden == encoded, "{name} contains {golden:02x?}, but this build writes {encoded:02x?}");
     golden
 }
 
-/// Asserts that the golden directory `name` has exactly the files of the directory `written`, with the same bytes.
+/// Asserts that the golden directory `name` has exactly the files of the directory `written`, with the same content.
 pub fn assert_directory(name: &str, written: &Path) {
     if !path(name).exists() && may_write() {
         copy_files(written, &path(name));
@@ -36,7 +36,7 @@
     }
 }
 
-/// Copies the golden directory `name`, so that what opens it may change it.
+/// Copies the golden directory `name` to `to`, so that a test can modify the copy.
 pub fn copy_directory(name: &str, to: &Path) {
     copy_files(&path(name), to);
 }
