--- a/crates/wire/src/feed.rs
+++ b/crates/wire/src/feed.rs
@@ -1,30 +1,30 @@
 //! The change feed: how control publishes its state to gatekeepers and stores.
 //!
-//! Control state is divided into shards. A subscriber names the offset it holds of each shard and gets either the
-//! changes from there on or a snapshot. Offsets are indexes of the shard's replicated log, so they mean the same
-//! at every control process. Within one incarnation of a subscriber offsets never decrease.
+//! Control state is divided into shards. A subscriber sends the offset up to which it has applied each shard, and receives
+//! either the changes after that offset or a snapshot. Offsets are indexes of the shard's replicated log, so they have the
+//! same meaning at every control process. Within one incarnation of a subscriber, offsets never decrease.
 
 #![allow(
     missing_docs,
-    reason = "the types that rkyv derives have undocumented fields; every type here is documented"
+    reason = "the types that rkyv derives have undocumented fields; every type defined here is documented"
 )]
 
 use crate::ids::{Epoch, FeedOffset, Generation, NodeIdentity, Partition, Shard};
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// The shard that holds the configuration, the control processes and the store map.
+/// The shard with the configuration, the list of control processes and the store map.
 pub const CONFIGURATION_SHARD: Shard = Shard::CONFIGURATION;
-/// Number of shards that hold the sessions of workers and gatekeepers, numbered from 1.
+/// Number of shards with the sessions of workers and gatekeepers. They are numbered from 1.
 pub const SESSION_SHARDS: u16 = 3;
 
-/// The shard that holds the sessions of a service's workers.
+/// Returns the shard with the sessions of a service's workers.
 #[must_use]
 pub fn shard_of_service(service: &str) -> Shard {
     let hash = stable_hash(service.as_bytes());
     Shard(1 + (hash % u64::from(SESSION_SHARDS)) as u16)
 }
 
-/// A hash that is the same in every process and version (FNV-1a with a final mix).
+/// Returns a hash that is the same in every process and version (FNV-1a with a final mixing step).
 #[must_use]
 pub fn stable_hash(bytes: &[u8]) -> u64 {
     let mut hash = 0xcbf2_9ce4_8422_2325_u64;
@@ -39,259 +39,261 @@
 /// A control process.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, Eq)]
 pub struct ControlNode {
-    /// Drawn at the first start on an empty disk; a machine that lost its disk is another node.
+    /// Identity of the process, generated at the first start on an empty disk. A machine that lost its disk gets a new one.
     pub identity: NodeIdentity,
-    /// The machine's name.
+    /// Name of the machine.
     pub node_name: String,
-    /// Where other processes of the tier reach it.
+    /// Address for other processes of the tier.
     pub peer_address: String,
-    /// Where workers and the operator reach it.
+    /// Address for workers and the operator.
     pub control_address: String,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
 }
 
-/// Whether a worker takes new requests.
+/// Whether a worker accepts new requests.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WorkerState {
-    /// It takes requests.
+    /// The worker accepts requests.
     Ready,
-    /// It finishes what it has and gets nothing new.
+    /// The worker completes its current requests and must not be sent new ones.
     Draining,
 }
 
-/// A worker's session.
+/// The session of a worker.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct Worker {
-    /// Its id, new at every start.
+    /// Identifier of the worker, new at every start.
     pub id: String,
-    /// The service it works for.
+    /// Service that the worker belongs to.
     pub service: String,
-    /// Where it takes requests.
+    /// Address on which the worker accepts requests.
     pub address: String,
-    /// Its zone.
+    /// Zone of the worker.
     pub zone: String,
-    /// The generation of its software.
+    /// Version of the worker's software.
     pub generation: String,
-    /// Requests that it works on at a time.
+    /// Maximum number of requests that the worker processes concurrently.
     pub capacity: u32,
-    /// Whether it takes new requests.
+    /// Whether the worker accepts new requests.
     pub state: WorkerState,
-    /// Milliseconds of slow start that remained when it reported so (`cold_remaining_ms` of its heartbeat).
+    /// Milliseconds of slow start that remained at the worker's last heartbeat (`cold_remaining_ms`).
     pub warmup_remaining_ms: u64,
-    /// Rises with each of its calls.
+    /// Sequence number of the worker's last call; increases with each call.
     pub sequence: u64,
 }
 
-/// Whether a store machine takes part.
+/// Whether a store machine holds replicas.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreState {
-    /// It holds replicas.
+    /// The store holds replicas.
     Active,
-    /// Its replicas are being moved to other stores.
+    /// The replicas of the store are being moved to other stores.
     Retiring,
-    /// It holds no replicas any more.
+    /// The store holds no replicas any more.
     Retired,
 }
 
 /// A store process.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, Eq)]
 pub struct StoreNode {
-    /// Drawn at the first start on an empty disk; a machine that lost its disk is another node.
+    /// Identity of the process, generated at the first start on an empty disk. A machine that lost its disk gets a new one.
     pub identity: NodeIdentity,
-    /// The machine's name.
+    /// Name of the machine.
     pub node_name: String,
-    /// Where gatekeepers and other stores reach it.
+    /// Address for gatekeepers and other stores.
     pub address: String,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Whether it takes part.
+    /// Whether the store holds replicas.
     pub state: StoreState,
 }
 
 /// One replica of a partition.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Replica {
-    /// The identity of its store.
+    /// Identity of the store with the replica.
     pub store: NodeIdentity,
-    /// It holds everything that was acknowledged. An incomplete one is still catching up: it takes writes, but its
-    /// answers count towards no quorum.
+    /// Whether the replica has all acknowledged data. An incomplete replica is still catching up: it accepts writes, but
+    /// its replies do not count towards a quorum.
     pub is_complete: bool,
 }
 
 /// The replicas of one partition of the stores' data.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, Eq, Default)]
 pub struct PartitionReplicas {
-    /// The replicas that hold it.
+    /// Current replicas of the partition.
     pub replicas: Vec<Replica>,
-    /// Former replicas that still have its data: sources for catching up while some replica is incomplete.
+    /// Former replicas that still have the data, from which incomplete replicas can catch up.
     pub sources: Vec<NodeIdentity>,
 }
 
 impl PartitionReplicas {
-    /// Complete replicas whose answers an operation needs.
+    /// Returns the number of complete replicas that must reply for an operation to succeed.
     #[must_use]
     pub fn quorum(&self) -> usize {
         self.replicas.len() / 2 + 1
     }
 }
 
-/// Which store holds which partitions. Operations carry the epoch; a store rejects those of an older one.
+/// The assignment of partitions to stores. Operations carry its epoch; a store rejects operations with an older epoch.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, Eq, Default)]
 pub struct StoreMap {
-    /// Rises with each change of the map.
+    /// Epoch of the map; increases with each change.
     pub epoch: Epoch,
-    /// All stores that the map or a partition names.
+    /// All known stores, including every store that a partition refers to.
     pub stores: Vec<StoreNode>,
-    /// By number; empty until the first map is formed.
+    /// Replicas of each partition, indexed by partition number; empty until the first map is formed.
     pub partitions: Vec<PartitionReplicas>,
 }
 
 /// Number of partitions of the stores' data.
 pub const STORE_PARTITIONS: u16 = 32;
 
-/// The partition of a program's count or of a turn, by its name.
+/// Returns the partition of a program's count or of a turn, from the program's name or the turn's id.
 #[must_use]
 pub fn partition_of(name: &str) -> Partition {
     Partition((stable_hash(name.as_bytes()) % u64::from(STORE_PARTITIONS)) as u16)
 }
 
-/// One change of a shard's state.
+/// A change to the state of a shard.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub enum Change {
-    /// A configuration is in force: the operator's body as it was sent.
+    /// A new configuration is in force.
     Configuration {
-        /// Its generation.
+        /// Generation of the configuration.
         generation: Generation,
-        /// The JSON body.
+        /// The JSON body, as the operator sent it.
         body: Vec<u8>,
     },
-    /// The control processes.
+    /// The list of control processes has changed; this is the complete new list.
     ControlNodes(Vec<ControlNode>),
-    /// The store map.
+    /// The store map has changed.
     StoreMap(StoreMap),
-    /// A worker has registered or has changed.
+    /// A worker has registered, or its session has changed.
     Worker(Worker),
     /// A worker's session has ended.
     WorkerGone {
-        /// Its service.
+        /// Service of the worker.
         service: String,
-        /// Its id.
+        /// Identifier of the worker.
         id: String,
     },
 }
 
-/// How far a subscriber knows a shard.
+/// The offset up to which a subscriber has applied a shard.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Position {
     /// The shard.
     pub shard: Shard,
-    /// The offset up to which its changes are known.
+    /// Offset of the last applied change.
     pub offset: FeedOffset,
 }
 
-/// What a subscriber (an agent, a store, or a proxy at its agent) sends.
+/// A message from a subscriber: an agent, a store, or a proxy that subscribes to its local agent.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub enum FeedRequest {
-    /// Begins, and asks for the shards named; a shard at offset 0 begins with a snapshot.
+    /// Starts a subscription to the listed shards. A shard at offset 0 starts with a snapshot.
     Subscribe {
-        /// Who asks.
+        /// The subscribing process.
         subscriber: Subscriber,
-        /// What it holds.
+        /// Applied offset of each requested shard.
         positions: Vec<Position>,
     },
-    /// Sent about twice a second: keeps the subscription alive and reports the applied offsets.
+    /// Keeps the subscription alive and reports the applied offsets; sent about twice a second.
     Heartbeat {
-        /// What it holds now.
+        /// Applied offset of each shard.
         positions: Vec<Position>,
-        /// The generation of the configuration in force there.
+        /// Generation of the configuration that the subscriber applies.
         generation: Generation,
     },
-    /// From a gatekeeper: requests that failed at workers since its last report.
+    /// From a gatekeeper: numbers of requests that failed at workers since its last report.
     WorkerFailures(Vec<WorkerFailures>),
-    /// From a store: the replicas of these partitions here are complete as of this epoch.
+    /// From a store: its replicas of the listed partitions are complete as of the given epoch.
     ReplicasComplete {
-        /// The store's identity.
+        /// Identity of the store.
         store: NodeIdentity,
-        /// The epoch of the map in which it became so.
+        /// Epoch of the store map in which the replicas became complete.
         epoch: Epoch,
-        /// The partitions.
+        /// Partitions whose replicas are complete.
         partitions: Vec<Partition>,
     },
-    /// From a store that received SIGTERM: asks whether its replicas are to be moved before it exits.
+    /// From a store that received SIGTERM: asks whether its replicas will be moved before it exits.
     ShutdownRequested {
-        /// The store's identity.
+        /// Identity of the store.
         store: NodeIdentity,
     },
 }
 
-/// Requests of one gatekeeper that failed at one worker.
+/// The number of a gatekeeper's requests that failed at one worker.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, Eq)]
 pub struct WorkerFailures {
-    /// The worker's id.
+    /// Identifier of the worker.
     pub worker: String,
-    /// How many failed.
+    /// Number of failed requests since the last report.
     pub failures: u32,
 }
 
-/// Who subscribes.
+/// The process that subscribes to the change feed.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub enum Subscriber {
-    /// The agent beside a gatekeeper.
+    /// The agent of a gatekeeper machine.
     Gatekeeper {
-        /// The machine's name.
+        /// Name of the machine.
         node_name: String,
-        /// Drawn at each start of the agent.
+        /// Random number generated at each start of the agent.
         incarnation: u64,
-        /// Its zone.
+        /// Zone of the machine.
         zone: String,
     },
     /// A store.
     Store {
-        /// Who it is; its `state` does not count.
+        /// The store; the receiver ignores its `state`.
         node: StoreNode,
-        /// Its disk has been there since the first start of the system, or it has caught up since: no data was lost.
+        /// Whether the store has all of its data: its disk exists since the first start of the system, or it has caught up
+        /// since.
         bootstrap: bool,
     },
-    /// A proxy, at the agent beside it.
+    /// A proxy that subscribes to the agent of its machine.
     Proxy,
 }
 
-/// What a subscriber gets.
+/// A message to a subscriber.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub enum FeedUpdate {
-    /// The whole state of a shard, which replaces what was known of it.
+    /// The complete state of a shard. It replaces the subscriber's state of the shard.
     Snapshot {
         /// The shard.
         shard: Shard,
-        /// The offset that it stands for.
+        /// Offset of the last change contained in the snapshot.
         offset: FeedOffset,
-        /// The state, as the changes that make it from nothing.
+        /// The changes that build the state from an empty one.
         changes: Vec<Change>,
     },
-    /// Changes that follow what is known.
+    /// Changes that follow the last offset sent for the shard.
     Changes {
         /// The shard.
         shard: Shard,
-        /// The offset after them.
+        /// Offset of the last change in the message.
         offset: FeedOffset,
         /// The changes, in order.
         changes: Vec<Change>,
     },
-    /// Sent a few times a second while this control process is in contact with a majority of its group: what it has
-    /// sent is fresh. A subscriber that misses these connects to another control process.
+    /// Confirms that this control process is in contact with a majority of its group, so that the state it has sent is up
+    /// to date. Sent a few times a second. A subscriber that stops receiving it connects to another control process.
     Fresh {
-        /// Gatekeepers with a session, over the whole tier.
+        /// Number of gatekeepers with a session in the whole tier.
         gatekeepers: u32,
     },
-    /// Workers at which requests of several gatekeepers failed recently. The list replaces the one before it; losing
-    /// one does no harm.
+    /// Identifiers of workers at which requests of several gatekeepers failed recently. Each list replaces the previous
+    /// one, so a lost message is harmless.
     Suspects(Vec<String>),
-    /// This process can't serve now; the subscriber connects to another one.
+    /// This process can't serve the feed now; the subscriber should connect to another one.
     Unavailable,
-    /// To a store that asked to shut down.
+    /// The reply to a store's [`FeedRequest::ShutdownRequested`].
     ShutdownDecision {
-        /// Its replicas are being moved: it should serve until the map no longer names it. Otherwise it may exit.
+        /// Whether the store's replicas are being moved. If so, the store should serve until the store map no longer
+        /// contains it; otherwise it may exit.
         is_moving: bool,
     },
 }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,4 +1,4 @@
-//! Framing and encoding: `[body length: u32][checksum of the body: u32][body]`, both numbers little-endian.
+//! Framing and encoding of messages: `[body length: u32][CRC-32 of the body: u32][body]`, both integers little-endian.
 
 use crate::ResultCode;
 use rkyv::{
@@ -11,49 +11,49 @@
 };
 use snafu::Snafu;
 
-/// Version of the protocol between processes; a connection begins with it.
+/// Version of the protocol between processes. It is sent at the start of each connection.
 pub const PROTOCOL_VERSION: u32 = 2;
-/// Bytes before a frame's body.
+/// Size of a frame header, in bytes.
 pub const HEADER_BYTES: usize = 8;
-/// Longest body of a frame, in bytes.
+/// Maximum size of a frame body, in bytes.
 pub const MAX_FRAME_BYTES: usize = 16 << 20;
 
-/// Why a frame or its message can't be read.
+/// Why a frame or its message can't be decoded.
 #[derive(Debug, Snafu, Clone, Copy, PartialEq, Eq)]
 pub enum FrameError {
     /// The body is longer than [`MAX_FRAME_BYTES`].
-    #[snafu(display("{}: a frame of {bytes} bytes is too long", ResultCode::FRAME_TOO_LONG))]
+    #[snafu(display("{}: frame body of {bytes} bytes exceeds the limit", ResultCode::FRAME_TOO_LONG))]
     TooLong {
-        /// The length that the frame names.
+        /// Body length from the frame header, in bytes.
         bytes: usize,
     },
-    /// The checksum does not match.
-    #[snafu(display("{}: a frame's checksum does not match", ResultCode::FRAME_CORRUPT))]
+    /// The checksum does not match the body.
+    #[snafu(display("{}: frame checksum mismatch", ResultCode::FRAME_CORRUPT))]
     Corrupt,
-    /// The body is no message of the expected type.
-    #[snafu(display("{}: a frame's body can't be read", ResultCode::FRAME_UNREADABLE))]
+    /// The body is not a valid message of the expected type.
+    #[snafu(display("{}: frame body can't be decoded", ResultCode::FRAME_UNREADABLE))]
     Unreadable,
 }
 
-/// A header's length and checksum.
+/// Returns the body length in bytes and the checksum from a frame header.
 #[must_use]
 pub fn parse_header(header: [u8; HEADER_BYTES]) -> (usize, u32) {
     let [l0, l1, l2, l3, checksum @ ..] = header;
     (u32::from_le_bytes([l0, l1, l2, l3]) as usize, u32::from_le_bytes(checksum))
 }
 
-/// Encodes a message without a header.
+/// Encodes a message as a frame body, without a header.
 ///
 /// # Panics
-/// Never: encoding into memory does not fail.
+/// Never: encoding into memory can't fail.
 pub fn encode<T>(message: &T) -> AlignedVec
 where
     T: for<'a> Serialize<HighSerializer<AlignedVec, ArenaHandle<'a>, rancor::Error>>,
 {
-    rkyv::to_bytes::<rancor::Error>(message).expect("encoding into memory does not fail")
+    rkyv::to_bytes::<rancor::Error>(message).expect("encoding into memory can't fail")
 }
 
-/// Encodes a message as a whole frame.
+/// Encodes a message as a frame: header and body.
 pub fn encode_frame<T>(message: &T) -> Vec<u8>
 where
     T: for<'a> Serialize<HighSerializer<AlignedVec, ArenaHandle<'a>, rancor::Error>>,
@@ -66,10 +66,10 @@
     frame
 }
 
-/// Decodes a body whose checksum was checked. The bytes need not be aligned.
+/// Decodes a frame body whose checksum was verified. The bytes need not be aligned.
 ///
 /// # Errors
-/// [`FrameError::Unreadable`] where the bytes are no such message.
+/// [`FrameError::Unreadable`] if the bytes are not a valid message of type `T`.
 pub fn decode<T>(body: &[u8]) -> Result<T, FrameError>
 where
     T: Archive,
@@ -81,16 +81,16 @@
     rkyv::from_bytes::<T, rancor::Error>(&aligned).map_err(|_| FrameError::Unreadable)
 }
 
-/// The checksum of a body.
+/// Returns the CRC-32 checksum of a frame body.
 #[must_use]
 pub fn checksum(body: &[u8]) -> u32 {
     crc32fast::hash(body)
 }
 
-/// Checks a body against its header.
+/// Verifies a frame body against the checksum from its header.
 ///
 /// # Errors
-/// [`FrameError::Corrupt`] where the checksum differs.
+/// [`FrameError::Corrupt`] if the checksum differs.
 pub fn check(body: &[u8], checksum: u32) -> Result<(), FrameError> {
     if self::checksum(body) == checksum { Ok(()) } else { Err(FrameError::Corrupt) }
 }
--- a/crates/wire/src/ids.rs
+++ b/crates/wire/src/ids.rs
@@ -1,5 +1,5 @@
-//! Numbers that processes exchange, each with a type of its own, so that one can't be taken for another. On the wire, on
-//! disk and in JSON each is the plain number.
+//! Newtypes of the numbers that processes exchange, so that they can't be confused. On the wire, on disk and in JSON each
+//! is a plain number.
 
 use facet::Facet;
 use rkyv::{Archive, Deserialize, Serialize};
@@ -25,8 +25,8 @@
 }
 
 number! {
-    /// The identity of a control process or store: drawn at the first start on an empty disk, so a machine that lost its
-    /// disk is another node.
+    /// The identity of a control process or store. It is generated at the first start on an empty disk, so a machine that
+    /// lost its disk gets a new identity.
     NodeIdentity(u64)
 }
 
@@ -41,25 +41,25 @@
 }
 
 number! {
-    /// The epoch of a store map: rises with each change of it. 0 comes before the first map.
+    /// The epoch of a store map; increases with each change of the map. 0 means that there is no map yet.
     Epoch(u64)
 }
 
 number! {
-    /// The generation of a configuration, which the operator numbers. 0 comes before the first.
+    /// The generation of a configuration, assigned by the operator. 0 means that there is no configuration yet.
     Generation(u64)
 }
 
 number! {
-    /// An offset in a shard's changes: the index of an entry in the shard's replicated log. 0 comes before the first.
+    /// An offset in the changes of a shard: the index of an entry in the shard's replicated log. 0 precedes the first entry.
     FeedOffset(u64)
 }
 
 impl Shard {
-    /// The shard that holds the configuration, the control processes and the store map.
+    /// The shard with the configuration, the list of control processes and the store map.
     pub const CONFIGURATION: Self = Self(0);
 
-    /// The shard's place in a list of all shards.
+    /// Returns the index of the shard in a list of all shards.
     #[must_use]
     pub const fn position(self) -> usize {
         self.0 as usize
@@ -67,7 +67,7 @@
 }
 
 impl Partition {
-    /// The partition's place in a list of all partitions.
+    /// Returns the index of the partition in a list of all partitions.
     #[must_use]
     pub const fn position(self) -> usize {
         self.0 as usize
@@ -75,7 +75,7 @@
 }
 
 impl Epoch {
-    /// The epoch of the next change of the map.
+    /// Returns the epoch of the map after its next change.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,6 +1,6 @@
-//! The messages that the processes of the serving tier send to each other, and their encoding.
+//! The messages that processes of the serving tier exchange, and their encoding.
 //!
-//! Every message travels in a [`frame`]: a length, a checksum and an rkyv-encoded body.
+//! Every message is sent in a [`frame`]: a length, a checksum and an rkyv-encoded body.
 #![forbid(unsafe_code)]
 
 pub mod feed;
--- a/crates/wire/src/store.rs
+++ b/crates/wire/src/store.rs
@@ -1,39 +1,40 @@
-//! What gatekeepers and stores say to each other: counts of programs and retained turns.
+//! Messages between gatekeepers and stores: unit counts of programs and retained turns.
 
 #![allow(
     missing_docs,
-    reason = "the types that rkyv derives have undocumented fields; every type here is documented"
+    reason = "the types that rkyv derives have undocumented fields; every type defined here is documented"
 )]
 
 use crate::ids::{Epoch, Partition};
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// A turn is kept for this many times its retention, so that one that goes on being built on rarely has to be extended.
+/// Factor by which a store prolongs the requested retention, so that turns of an active conversation rarely have to be
+/// extended.
 const RETENTION_FACTOR: u64 = 2;
-/// A turn is kept for this much longer: it is stored before the end of its answer reaches the client.
+/// Added to the retention, because a turn is stored before the end of its response reaches the client.
 const RETENTION_SLACK_MS: u64 = 10_000;
-/// Longest retention that is taken over, so that no client can fill a store for good.
+/// Upper bound on the requested retention, so that clients can't fill a store permanently.
 const MAX_RETENTION_MS: u64 = 3_600_000;
 
-/// For how long a store keeps a turn that is to be kept for `retention_ms` at least.
+/// Returns how long, in milliseconds, a store keeps a turn whose requested retention is `retention_ms`.
 #[must_use]
 pub fn keep_ms(retention_ms: u64) -> u64 {
     retention_ms.min(MAX_RETENTION_MS) * RETENTION_FACTOR + RETENTION_SLACK_MS
 }
 
-/// One holder's entry in the count of a program. Only the holder writes it, with a rising sequence.
+/// A holder's entry in the unit count of a program. Only the holder writes it, with increasing sequence numbers.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CountEntry {
-    /// The holder: drawn at each start of a gatekeeper's proxy.
+    /// Identity of the holder, generated at each start of a gatekeeper's proxy.
     pub holder: u64,
-    /// Rises with each write of the holder for this program.
+    /// Sequence number; increases with each write of the holder for this program.
     pub sequence: u64,
-    /// Units that the holder has taken from the budget and not given back, over its life.
+    /// Units that the holder has taken from the budget since its start, less the units that it has returned.
     pub taken: u64,
 }
 
-/// Merges entries into those that are known of the same program: of each holder the one with the highest sequence stays.
-/// Returns whether one was newer than what was known.
+/// Merges entries into the known entries of the same program, keeping the one with the highest sequence number of each
+/// holder. Returns whether any entry was newer than the known one.
 pub fn merge_count_entries(known: &mut Vec<CountEntry>, entries: &[CountEntry]) -> bool {
     let mut is_changed = false;
     for entry in entries {
@@ -47,74 +48,74 @@
     is_changed
 }
 
-/// A turn that was answered whole.
+/// A turn with a complete response.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, Eq)]
 pub struct Turn {
-    /// The `Request-Id` of the turn.
+    /// Value of the turn's `Request-Id` header.
     pub id: String,
-    /// The turns before it, oldest first: the whole chain.
+    /// Ids of all preceding turns of the conversation, oldest first.
     pub ancestors: Vec<String>,
-    /// What the turn itself brought.
+    /// Input of this turn only, without that of preceding turns.
     pub input: Vec<u8>,
-    /// The data of each of its events, each followed by a line feed.
+    /// Data of each event of the response, each followed by a line feed.
     pub output: Vec<u8>,
-    /// Milliseconds for which it is to be kept from when it is written. Stores keep it for longer.
+    /// Minimum time for which the turn must be kept after it is written, in milliseconds. Stores keep it longer.
     pub retention_ms: u64,
-    /// The worker that answered it, as a hint for the next turn.
+    /// Identifier of the worker that served the turn, as a hint for routing the next turn.
     pub worker: String,
 }
 
-/// A request to a store. `epoch` is that of the sender's map.
+/// A request to a store.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, Eq)]
 pub enum StoreRequest {
-    /// Writes a holder's entry durably and reads all entries of the program.
+    /// Writes a holder's entry durably and returns all entries of the program.
     WriteCount {
-        /// The epoch of the sender's map.
+        /// Epoch of the sender's store map.
         epoch: Epoch,
-        /// The program.
+        /// Name of the program.
         program: String,
-        /// The entry.
+        /// Entry to write.
         entry: CountEntry,
     },
     /// Writes a turn durably.
     PutTurn {
-        /// The epoch of the sender's map.
+        /// Epoch of the sender's store map.
         epoch: Epoch,
-        /// The turn.
+        /// Turn to write.
         turn: Turn,
     },
     /// Reads a turn.
     GetTurn {
-        /// The epoch of the sender's map.
+        /// Epoch of the sender's store map.
         epoch: Epoch,
-        /// Its id.
+        /// Id of the turn.
         id: String,
     },
-    /// Keeps turns for as long as if they had been written now, since another turn builds on them. All of them lie in one
-    /// partition; those that are not here are passed over.
+    /// Restarts the retention of turns as if they were written now, because a new turn depends on them. All turns must
+    /// belong to one partition; turns that the store does not have are ignored.
     ExtendTurns {
-        /// The epoch of the sender's map.
+        /// Epoch of the sender's store map.
         epoch: Epoch,
-        /// The partition.
+        /// Partition of the turns.
         partition: Partition,
-        /// Their ids.
+        /// Ids of the turns.
         ids: Vec<String>,
-        /// Milliseconds for which they are to be kept from now on.
+        /// Minimum time for which the turns must be kept from now on, in milliseconds.
         retention_ms: u64,
     },
-    /// From another store: a page of everything that it holds of a partition, for an incomplete replica.
+    /// From a store with an incomplete replica: reads a page of all data that the receiver has of a partition.
     CopyPartition {
-        /// The epoch of the asking store's map: the answer must come from a store that knows it, too.
+        /// Epoch of the sender's store map. The receiver must have reached this epoch as well.
         epoch: Epoch,
-        /// The partition.
+        /// Partition to read.
         partition: Partition,
-        /// Where the page begins; 0 at first.
+        /// Position at which the page begins; 0 for the first page.
         cursor: u64,
     },
 }
 
 impl StoreRequest {
-    /// The epoch of the sender's map.
+    /// Returns the epoch of the sender's store map.
     #[must_use]
     pub fn epoch(&self) -> Epoch {
         match self {
@@ -127,49 +128,49 @@
     }
 }
 
-/// A store's answer.
+/// A reply of a store.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, Eq)]
 pub enum StoreReply {
-    /// The entry is durable; these are all entries of the program.
+    /// The entry has been written durably.
     Count {
-        /// This replica is complete: its answer counts towards the quorum.
+        /// Whether the replica is complete, so that its reply counts towards the quorum.
         is_complete: bool,
-        /// All entries, the one written included.
+        /// All entries of the program, including the one just written.
         entries: Vec<CountEntry>,
     },
-    /// The turn is durable, or the turns are extended.
+    /// The turn has been written durably, or the retention of the turns has been extended.
     Stored {
-        /// This replica is complete.
+        /// Whether the replica is complete, so that its reply counts towards the quorum.
         is_complete: bool,
     },
-    /// What is known of a turn.
+    /// The result of reading a turn.
     Turn {
-        /// This replica is complete: a missing turn is really missing here.
+        /// Whether the replica is complete. Only then does a missing turn mean that it was not stored here.
         is_complete: bool,
-        /// The turn, if it is here.
+        /// The turn; `None` if the store does not have it.
         turn: Option<Turn>,
-        /// Milliseconds for which it is kept yet.
+        /// Remaining time for which the store keeps the turn, in milliseconds.
         left_ms: u64,
     },
-    /// A page of a partition.
+    /// A page of a partition's data.
     Page {
-        /// Programs with all entries of their counts.
+        /// Names of programs, each with all entries of its count.
         counts: Vec<(String, Vec<CountEntry>)>,
-        /// Turns, with the milliseconds that are left of their time.
+        /// Turns, each with the remaining time for which it is kept, in milliseconds.
         turns: Vec<(Turn, u64)>,
-        /// Where the next page begins; `None`: that was all.
+        /// Cursor of the next page; `None` if this is the last page.
         next: Option<u64>,
-        /// The replica that answered is complete.
+        /// Whether the replica of the replying store is complete.
         is_complete: bool,
     },
-    /// The request names an older epoch than this store knows, or a partition that it does not hold.
+    /// The request carries an older epoch than the store's, or refers to a partition that the store does not hold.
     StaleEpoch {
-        /// The epoch that the store knows.
+        /// Epoch of the store's map.
         epoch: Epoch,
     },
-    /// The store can't do it now (a full disk, say): numbered as in `docs/results.md`.
+    /// The store can't perform the operation now, for example because its disk is full.
     Failed {
-        /// The result code.
+        /// Result code, as listed in `docs/results.md`.
         code: u16,
     },
 }
--- a/crates/wire/tests/golden_messages.rs
+++ b/crates/wire/tests/golden_messages.rs
@@ -1,4 +1,4 @@
-//! Every message between processes keeps its encoding, so that processes of two versions understand each other.
+//! Golden tests: every message between processes keeps its encoding, so that processes of different versions are compatible.
 
 #[path = "support/golden.rs"]
 mod golden;
@@ -235,7 +235,7 @@
     ]
 }
 
-/// Fails to compile when a message gets a variant, as a reminder that it needs a golden file.
+/// Fails to compile when a variant is added to a message type, as a reminder that it needs a golden file.
 fn _every_variant_has_a_case(
     request: &FeedRequest,
     update: &FeedUpdate,
@@ -285,7 +285,7 @@
     }
 }
 
-/// Checks the golden files of one type of message.
+/// Checks the golden files of one message type.
 macro_rules! check_messages {
     ($directory:literal, $cases:expr) => {
         golden::check(
@@ -338,6 +338,6 @@
 }
 
 #[test]
-fn the_protocol_version_stays() {
+fn the_protocol_version_is_unchanged() {
     assert_eq!(PROTOCOL_VERSION, 2);
 }
--- a/crates/wire/tests/result_codes.rs
+++ b/crates/wire/tests/result_codes.rs
@@ -1,11 +1,11 @@
-//! The table of result codes against the codes.
+//! The result codes in the source match the table in `docs/results.md`.
 
 use std::collections::BTreeMap;
 
 const SOURCE: &str = include_str!("../src/result_code.rs");
 const TABLE: &str = include_str!("../../../docs/results.md");
 
-/// The names of the codes by number, as the source has them.
+/// Returns the names of the codes in the source, by number.
 fn codes() -> BTreeMap<u16, &'static str> {
     let constants = SOURCE.lines().filter_map(|line| line.trim().strip_prefix("pub const "));
     let pairs = constants.filter_map(|constant| {
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn every_code_stands_in_the_table_under_its_name() {
+fn every_code_is_listed_in_the_table_with_its_name() {
     let codes = codes();
     assert!(codes.len() > 20);
     for (code, name) in codes {
@@ -26,11 +26,11 @@
 }
 
 #[test]
-fn the_table_has_no_other_codes() {
+fn the_table_lists_no_unknown_codes() {
     let codes = codes();
     let rows = TABLE.lines().filter_map(|line| line.strip_prefix("| E"));
     for row in rows {
         let code = row[..3].parse().unwrap();
-        assert!(codes.contains_key(&code), "E{code:03} is no code");
+        assert!(codes.contains_key(&code), "E{code:03} is not a result code");
     }
 }
--- a/crates/wire/tests/support/golden.rs
+++ b/crates/wire/tests/support/golden.rs
@@ -1,7 +1,7 @@
-//! Golden files: encoded values that an earlier build wrote and that every later build must read and write the same.
+//! Golden files: values encoded by an earlier build, which every later build must decode and encode identically.
 //!
-//! A golden file is never changed. To add one for a new value, run the test once with `WRITE_GOLDEN=1`, which writes the
-//! files that are missing and leaves all others alone.
+//! A golden file is never changed. To add one for a new value, run the test once with `WRITE_GOLDEN=1`, which writes missing
+//! files and leaves existing ones unchanged.
 
 use std::{
     collections::BTreeSet,
@@ -10,7 +10,7 @@
     path::{Path, PathBuf},
 };
 
-/// Environment variable that lets a test write missing golden files when it is set to `1`.
+/// Environment variable that makes a test write missing golden files if it is set to `1`.
 const WRITE_VARIABLE: &str = "WRITE_GOLDEN";
 
 /// A value and the stem of the file that holds its encoding.
@@ -19,13 +19,13 @@
     pub value: T,
 }
 
-/// A golden case, in short.
+/// Creates a golden case.
 pub fn case<T>(file_stem: &'static str, value: T) -> GoldenCase<T> {
     GoldenCase { file_stem, value }
 }
 
 /// Checks that each file of `directory` decodes to the value of its case, that each value encodes to the bytes of its
-/// file, and that the directory holds no file without a case.
+/// file, and that the directory contains no file without a case.
 pub fn check<T: Debug + PartialEq>(
     directory: &str,
     cases: &[GoldenCase<T>],
@@ -37,13 +37,13 @@
     for case in cases {
         let path = directory.join(case.file_stem).with_extension("bin");
         if writes_missing_files && !path.exists() {
-            fs::create_dir_all(&directory).expect("the directory of golden files can be made");
+            fs::create_dir_all(&directory).expect("the directory of golden files can be created");
             fs::write(&path, encode(&case.value)).expect("a golden file can be written");
         }
         let golden =
             fs::read(&path).unwrap_or_else(|error| panic!("{}: can't be read: {error}", path.display()));
-        assert_eq!(decode(&golden), case.value, "{}: decodes to another value", path.display());
-        assert!(encode(&case.value) == golden, "{}: the value has another encoding now", path.display());
+        assert_eq!(decode(&golden), case.value, "{}: decodes to a different value", path.display());
+        assert!(encode(&case.value) == golden, "{}: the encoding of the value has changed", path.display());
     }
     let expected: BTreeSet<PathBuf> =
         cases.iter().map(|case| directory.join(case.file_stem).with_extension("bin")).collect();
