--- a/crates/settings/src/consistency.rs
+++ b/crates/settings/src/consistency.rs
@@ -1,10 +1,11 @@
-//! Settings that are each of the right form and can't work together: a process would start, and wait for its peers in vain.
+//! Checks for settings that are valid individually but contradict each other. A process would start with them but never
+//! reach its peers.
 
 use crate::{Problem, Settings};
 use std::net::{IpAddr, SocketAddr};
 
 impl Settings {
-    /// All settings that contradict others. Processes start with them; `opalrun check settings` rejects them.
+    /// Returns all settings that contradict others. Processes start in spite of them; `opalrun check settings` rejects them.
     #[must_use]
     pub fn contradictions(&self) -> Vec<Problem> {
         let mut problems = Vec::new();
@@ -15,7 +16,7 @@
         problems
     }
 
-    /// Peers connect to `ip`, so it must be an address of one machine.
+    /// Checks that `ip` is not the unspecified address, because peers connect to it.
     fn own_address_problem(&self) -> Option<Problem> {
         self.ip
             .is_unspecified()
@@ -28,22 +29,24 @@
     }
 
     fn seed_problem(&self, seed: SocketAddr) -> Option<Problem> {
-        let wanted = if self.is_peer_port(seed.port()) {
-            "addresses of `listen.control_plane`, whose port is none of the first two of `port_range`"
+        let expected = if self.is_peer_port(seed.port()) {
+            "a `listen.control_plane` address, whose port is not one of the first two of `port_range`"
         } else if seed.ip().is_loopback() != self.ip.is_loopback() {
-            "addresses that `ip` can reach: either all of them are loopback addresses or none"
-        } else if self.is_another_port_of_this_machine(seed) {
+            "an address reachable from `ip`: both must be loopback addresses, or neither"
+        } else if self.has_wrong_port_for_this_machine(seed) {
             "this machine's address with the port of `listen.control_plane`"
         } else {
             return None;
         };
-        Some(problem("seed_nodes", &seed, wanted))
+        Some(problem("seed_nodes", &seed, expected))
     }
 
-    fn is_another_port_of_this_machine(&self, seed: SocketAddr) -> bool {
+    /// Returns whether a seed has this machine's control address but another port.
+    fn has_wrong_port_for_this_machine(&self, seed: SocketAddr) -> bool {
         self.listen.control_plane.is_some_and(|own| own.ip() == seed.ip() && own.port() != seed.port())
     }
 
+    /// Checks that no configured address conflicts with the ports on which the process serves its peers.
     fn listen_problems(&self) -> impl Iterator<Item = Problem> {
         let listen = &self.listen;
         let addresses = [
@@ -55,21 +58,21 @@
         addresses.into_iter().filter_map(|(key, address)| {
             let address = address?;
             let is_taken = self.is_peer_port(address.port()) && self.shares_address(address.ip());
-            is_taken.then(|| problem(key, &address, "another port than the first two of `port_range`"))
+            is_taken.then(|| problem(key, &address, "a port other than the first two of `port_range`"))
         })
     }
 
-    /// Whether the tier's own protocol uses this port on every machine.
+    /// Returns whether the protocol between processes uses this port, on every machine.
     fn is_peer_port(&self, port: u16) -> bool {
         port == self.ports.peer() || port == self.ports.feed()
     }
 
-    /// Whether a process of this machine listens on the ports of `port_range` at this address.
+    /// Returns whether the ports of `port_range` may be in use at this address of the machine.
     fn shares_address(&self, ip: IpAddr) -> bool {
         ip == self.ip || ip.is_loopback() || ip.is_unspecified()
     }
 }
 
-fn problem(key: &str, value: &impl ToString, wanted: &'static str) -> Problem {
-    Problem { key: key.to_owned(), value: Some(value.to_string()), wanted }
+fn problem(key: &str, value: &impl ToString, expected: &'static str) -> Problem {
+    Problem { key: key.to_owned(), value: Some(value.to_string()), expected }
 }
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -8,59 +8,59 @@
 /// Why a settings file can't be used.
 #[derive(Debug, Snafu)]
 pub enum SettingsError {
-    /// The environment variable is missing or empty.
+    /// The environment variable with the path is not set, or empty.
     #[snafu(display(
-        "{}: the variable {PATH_VARIABLE} names no settings file",
+        "{}: the environment variable {PATH_VARIABLE} is not set to the path of a settings file",
         ResultCode::SETTINGS_INVALID
     ))]
     NoPath,
     /// The file can't be read.
     #[snafu(display("{}: {}: {source}", ResultCode::SETTINGS_INVALID, path.display()))]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The error of the operating system.
+        /// The error from the operating system.
         source: io::Error,
     },
     /// The file is not valid TOML.
     #[snafu(display("{}: {}: {source}", ResultCode::SETTINGS_INVALID, path.display()))]
     Syntax {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The error of the parser, with its position.
+        /// The error from the parser, with its position in the file.
         source: toml::de::Error,
     },
-    /// Values are missing or wrong.
+    /// Settings are missing or invalid.
     #[snafu(display("{}: {}: {}", ResultCode::SETTINGS_INVALID, path.display(), list(problems)))]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Every value that is missing or wrong.
+        /// All settings that are missing or invalid.
         problems: Vec<Problem>,
     },
 }
 
-/// A value that is missing or wrong.
+/// A setting that is missing or invalid.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    /// Its key, with the names of the tables around it.
+    /// Full key of the setting, such as `limits.memory_mb`.
     pub key: String,
-    /// The value; `None` where it is missing.
+    /// Value from the file; `None` if the setting is missing.
     pub value: Option<String>,
-    /// What the setting must be, as text for operators.
-    pub wanted: &'static str,
+    /// Description of a valid value, as text for operators.
+    pub expected: &'static str,
 }
 
 impl fmt::Display for Problem {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.value {
-            Some(value) => write!(f, "`{}` is {value}: wanted is {}", self.key, self.wanted),
-            None => write!(f, "`{}` is missing: wanted is {}", self.key, self.wanted),
+            Some(value) => write!(f, "`{}` is {value}: expected {}", self.key, self.expected),
+            None => write!(f, "`{}` is missing: expected {}", self.key, self.expected),
         }
     }
 }
 
-/// All problems in one line.
+/// Formats all problems in one line.
 fn list(problems: &[Problem]) -> String {
     problems.iter().map(Problem::to_string).collect::<Vec<_>>().join("; ")
 }
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -1,35 +1,37 @@
-//! Reads typed values out of a table and records each one that is missing or wrong.
+//! Reads typed values from a TOML table and records every value that is missing or invalid.
 
 use crate::Problem;
 use std::{net::SocketAddr, time::Duration};
 use toml::{Table, Value};
 
-/// Longest value that a message shows, in characters.
+/// Maximum length in characters of a value in a message; longer ones are truncated.
 const MAX_SHOWN_CHARACTERS: usize = 60;
-/// Longest duration that a setting may have, in seconds.
+/// Maximum duration of a setting, in seconds.
 const MAX_SECONDS: f64 = 1e6;
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
 
-/// The values of one table. A value that is missing or wrong is recorded as a problem and read as a default.
+/// Reads the values of one table. A missing or invalid value is recorded as a problem and replaced by a default.
 pub(crate) struct Fields<'a, 'p> {
-    /// Precedes keys in messages: the table's name and a point, or nothing.
+    /// Prefix of keys in messages: the name of the table and a dot; empty at the top level.
     prefix: &'static str,
+    /// The table; `None` if it is missing from the file.
     table: Option<&'a Table>,
+    /// Problems found so far, in all tables.
     problems: &'p mut Vec<Problem>,
 }
 
 impl<'a, 'p> Fields<'a, 'p> {
-    /// The values at the top level of a file.
+    /// Creates a reader of the top-level values of a file.
     pub(crate) fn root(table: &'a Table, problems: &'p mut Vec<Problem>) -> Self {
         Self { prefix: "", table: Some(table), problems }
     }
 
-    /// The table under `key`; one that is missing has no values.
+    /// Returns a reader of the table under `key`. All values of a missing table are missing.
     pub(crate) fn table(&mut self, key: &str, prefix: &'static str) -> Fields<'a, '_> {
-        let table = match self.present(key) {
+        let table = match self.get(key) {
             Some(Value::Table(table)) => Some(table),
             Some(other) => {
-                self.report_wrong(key, other, "a table");
+                self.report_invalid(key, other, "a table");
                 None
             }
             None => None,
@@ -37,26 +39,26 @@
         Fields { prefix, table, problems: self.problems }
     }
 
-    /// All keys that have a string, of a table with any keys.
+    /// Returns all keys with string values, for tables whose keys are not fixed.
     pub(crate) fn strings(&self) -> impl Iterator<Item = (String, String)> {
         let pairs = self.table.into_iter().flatten();
         pairs.filter_map(|(key, value)| Some((key.clone(), value.as_str()?.to_owned())))
     }
 
     pub(crate) fn string(&mut self, key: &str) -> String {
-        self.required(key, "a text that is not empty", string)
+        self.required(key, "a non-empty string", string)
     }
 
     pub(crate) fn string_or_empty(&mut self, key: &str) -> String {
-        self.optional(key, "a text", string).unwrap_or_default()
+        self.optional(key, "a string", string).unwrap_or_default()
     }
 
     pub(crate) fn optional_string(&mut self, key: &str) -> Option<String> {
-        self.optional(key, "a text", string)
+        self.optional(key, "a string", string)
     }
 
     pub(crate) fn string_list(&mut self, key: &str) -> Vec<String> {
-        self.optional(key, "a list of texts", |value| list(value, string)).unwrap_or_default()
+        self.optional(key, "a list of strings", |value| list(value, string)).unwrap_or_default()
     }
 
     pub(crate) fn boolean(&mut self, key: &str) -> bool {
@@ -72,91 +74,92 @@
         self.optional(key, "a loopback address and a port", loopback)
     }
 
-    /// A list of at least one address.
+    /// Reads a list of at least one address.
     pub(crate) fn address_list(&mut self, key: &str) -> Vec<SocketAddr> {
         let addresses = |value: &Value| list(value, address).filter(|addresses| !addresses.is_empty());
         self.required(key, "a list of one or more IP addresses with ports", addresses)
     }
 
-    /// A number, 0 or more.
+    /// Reads a number that is not negative.
     pub(crate) fn number(&mut self, key: &str) -> f64 {
-        self.required(key, "a number, 0 or more", number)
+        self.required(key, "a number of 0 or more", number)
     }
 
-    /// A number above 0.
+    /// Reads a number greater than 0.
     pub(crate) fn positive(&mut self, key: &str) -> f64 {
-        self.required(key, "a number above 0", |value| number(value).filter(|number| *number > 0.0))
+        self.required(key, "a number greater than 0", |value| number(value).filter(|number| *number > 0.0))
     }
 
-    /// An integer, 0 or more.
+    /// Reads an integer that is not negative.
     pub(crate) fn integer(&mut self, key: &str) -> u64 {
-        self.required(key, "a whole number, 0 or more", integer)
+        self.required(key, "an integer of 0 or more", integer)
     }
 
-    /// A duration in milliseconds, where the key ends in `_ms`, or in seconds; `default` where it is missing.
+    /// Reads a duration, in milliseconds if the key ends in `_ms`, otherwise in seconds. Returns `default` if it is missing.
     pub(crate) fn duration_or(&mut self, key: &str, default: Duration) -> Duration {
-        let wanted = "a number of at most 1,000,000 seconds";
-        self.optional(key, wanted, |value| duration(key, value)).unwrap_or(default)
+        let expected = "a duration of at most 1,000,000 seconds";
+        self.optional(key, expected, |value| duration(key, value)).unwrap_or(default)
     }
 
-    /// A duration above 0 in milliseconds, where the key ends in `_ms`, or in seconds.
+    /// Reads a duration greater than 0, in milliseconds if the key ends in `_ms`, otherwise in seconds.
     pub(crate) fn positive_duration(&mut self, key: &str) -> Duration {
         let above_zero = |value: &Value| duration(key, value).filter(|duration| !duration.is_zero());
-        self.required(key, "a number above 0", above_zero)
+        self.required(key, "a number greater than 0", above_zero)
     }
 
-    /// A value of any type by `read`; the type's default where it is missing or wrong.
+    /// Reads a required value with `read`. Returns the default of its type if it is missing or invalid.
     fn required<T: Default>(
         &mut self,
         key: &str,
-        wanted: &'static str,
+        expected: &'static str,
         read: impl Fn(&Value) -> Option<T>,
     ) -> T {
-        self.required_or(key, wanted, read, T::default())
+        self.required_or(key, expected, read, T::default())
     }
 
-    /// A value of any type by `read`; `fallback` where it is missing or wrong.
+    /// Reads a required value with `read`. Returns `fallback` if it is missing or invalid.
     pub(crate) fn required_or<T>(
         &mut self,
         key: &str,
-        wanted: &'static str,
+        expected: &'static str,
         read: impl Fn(&Value) -> Option<T>,
         fallback: T,
     ) -> T {
-        if self.present(key).is_none() {
-            self.report(key, None, wanted);
+        if self.get(key).is_none() {
+            self.report(key, None, expected);
             return fallback;
         }
-        self.optional(key, wanted, read).unwrap_or(fallback)
+        self.optional(key, expected, read).unwrap_or(fallback)
     }
 
+    /// Reads an optional value with `read`. Returns `None` if it is missing or invalid; only an invalid value is a problem.
     fn optional<T>(
         &mut self,
         key: &str,
-        wanted: &'static str,
+        expected: &'static str,
         read: impl Fn(&Value) -> Option<T>,
     ) -> Option<T> {
-        let value = self.present(key)?;
+        let value = self.get(key)?;
         let read = read(value);
         if read.is_none() {
-            self.report_wrong(key, value, wanted);
+            self.report_invalid(key, value, expected);
         }
         read
     }
 
-    /// The value under `key`, unless it is missing or an empty string.
-    fn present(&self, key: &str) -> Option<&'a Value> {
+    /// Returns the value under `key`, or `None` if it is missing or an empty string.
+    fn get(&self, key: &str) -> Option<&'a Value> {
         self.table?.get(key).filter(|value| value.as_str() != Some(""))
     }
 
-    fn report_wrong(&mut self, key: &str, value: &Value, wanted: &'static str) {
+    fn report_invalid(&mut self, key: &str, value: &Value, expected: &'static str) {
         let shown = value.to_string().chars().take(MAX_SHOWN_CHARACTERS).collect();
-        self.report(key, Some(shown), wanted);
+        self.report(key, Some(shown), expected);
     }
 
-    fn report(&mut self, key: &str, value: Option<String>, wanted: &'static str) {
+    fn report(&mut self, key: &str, value: Option<String>, expected: &'static str) {
         let key = format!("{}{key}", self.prefix);
-        self.problems.push(Problem { key, value, wanted });
+        self.problems.push(Problem { key, value, expected });
     }
 }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! The settings file of a process, which the platform writes: parsed, validated and typed.
+//! Parses and validates the settings file of a process, which the platform writes.
 //!
-//! Field names follow the keys of the operators' pages; a unit in a key (`_ms`, `_s`, `_mb`) is a type here where it can
-//! be. Unknown keys are ignored. All values that are missing or wrong are reported at once, each with its key, its value
-//! and what is wanted.
+//! Field names follow the keys in the operators' documentation. Keys with a unit suffix (`_ms`, `_s`) become typed fields
+//! where possible. Unknown keys are ignored. All missing or invalid settings are reported at once, each with its key, its
+//! value and a description of valid values.
 #![forbid(unsafe_code)]
 
 mod consistency;
@@ -19,29 +19,29 @@
     time::Duration,
 };
 
-/// The environment variable with the path of the settings file.
+/// Environment variable with the path of the settings file.
 pub const PATH_VARIABLE: &str = "OPALRUN_CONFIG";
 
 /// The settings of a process.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// The file that they were read from; empty for settings that were made in memory.
+    /// Path of the settings file; empty for settings that were created in memory.
     pub path: PathBuf,
-    /// The machine's name.
+    /// Name of the machine.
     pub node_name: String,
-    /// The role of the process, as the deploy file names it.
+    /// Role of the process, as named in the deploy file.
     pub role: String,
-    /// The class of the machine: `edge`, `core` or `storage`.
+    /// Class of the machine: `edge`, `core` or `storage`.
     pub machine_class: String,
-    /// Who calls the role from outside the tier.
+    /// Kinds of callers outside the tier that the role serves.
     pub serves: Vec<String>,
-    /// The machine's address.
+    /// Address of the machine.
     pub ip: IpAddr,
-    /// The machine's zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// The machine's region.
+    /// Region of the machine.
     pub region: String,
-    /// Ports for calls between the processes of the tier, the same on every machine: `port_range`.
+    /// Ports for calls between processes of the tier, equal on every machine: `port_range`.
     pub ports: PortRange,
     /// Addresses of some control processes, as of the time when the file was written.
     pub seed_nodes: Vec<SocketAddr>,
@@ -49,131 +49,131 @@
     pub bootstrap: bool,
     /// Whether the machine counts towards `fault_tolerance`.
     pub counts_for_quorum: bool,
-    /// The directory for data; `None` on machines without a disk.
+    /// Data directory; `None` on machines without a disk.
     pub data_dir: Option<PathBuf>,
-    /// The approximate period of the heartbeats of workers: `heartbeat_ms`.
+    /// Approximate period of worker heartbeats: `heartbeat_ms`.
     pub heartbeat: Duration,
-    /// The names of the guarantees that are in force.
+    /// Names of the guarantees that the tier must provide.
     pub guarantees: Vec<String>,
-    /// The region of each zone.
+    /// Region of each zone, by zone name.
     pub zones: BTreeMap<String, String>,
     /// Addresses that the role listens on.
     pub listen: Listen,
-    /// The loopback address on which metrics are served to scrapers: `figures.listen`. `None` turns them off.
+    /// Loopback address on which metrics are served to scrapers: `figures.listen`. `None` disables the metrics server.
     pub metrics: Option<SocketAddr>,
-    /// The resources of the process.
+    /// Resources available to the process.
     pub limits: Limits,
-    /// What may fail at one time.
+    /// Number of simultaneous failures that the tier must tolerate.
     pub fault_tolerance: FaultTolerance,
-    /// Bounds that the operators' rules set.
+    /// Time bounds from the operators' guarantees.
     pub bounds: Bounds,
 }
 
-/// The ports for the tier's own protocol.
+/// The ports for the protocol between processes of the tier.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PortRange {
-    /// The first port.
+    /// First port of the range.
     pub first: u16,
-    /// The last port.
+    /// Last port of the range.
     pub last: u16,
 }
 
 impl PortRange {
-    /// The port on which control processes and stores serve calls of other processes.
+    /// Returns the port on which control processes and stores serve calls from other processes.
     #[must_use]
     pub fn peer(self) -> u16 {
         self.first
     }
 
-    /// The port on which control processes and agents serve the change feed.
+    /// Returns the port on which control processes and agents serve the change feed.
     #[must_use]
     pub fn feed(self) -> u16 {
         self.first + 1
     }
 }
 
-/// Addresses that a role listens on.
+/// Addresses that a role listens on. Each is `None` if the role does not serve these callers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Listen {
-    /// For clients.
+    /// Address for clients.
     pub frontend: Option<SocketAddr>,
-    /// For the platform's readiness probe of a gatekeeper.
+    /// Address for the platform's readiness probe of a gatekeeper.
     pub readiness: Option<SocketAddr>,
-    /// For workers and the operator.
+    /// Address for workers and the operator.
     pub control_plane: Option<SocketAddr>,
 }
 
-/// The resources that a machine gives to the process.
+/// Resources available to the process.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Limits {
-    /// The share of a core's time that it may use.
+    /// Share of one core's time that the process may use.
     pub cpu_quota: f64,
-    /// The speed of a core: a factor.
+    /// Speed of a core, as a factor.
     pub cores: f64,
     /// Memory, in megabytes.
     pub memory_mb: f64,
-    /// File descriptors.
+    /// Maximum number of open file descriptors.
     pub max_fds: u64,
-    /// Bandwidth of the machine's link, in megabits a second.
+    /// Bandwidth of the machine's network link, in megabits per second.
     pub bandwidth_mbps: f64,
-    /// Disk, in megabytes; 0 where there is none.
+    /// Disk space, in megabytes; 0 if the machine has no disk.
     pub disk_mb: f64,
 }
 
-/// What may fail at one time while all rules are kept.
+/// Simultaneous failures that the tier must tolerate without violating a guarantee.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FaultTolerance {
-    /// Number of machines, of those that count for it.
+    /// Number of failed machines, of those with `counts_for_quorum`.
     pub hosts_lost: usize,
-    /// Number of zones.
+    /// Number of failed zones.
     pub zones: usize,
-    /// Number of regions.
+    /// Number of failed regions.
     pub regions: usize,
 }
 
-/// Bounds that the operators' rules set, one key of the table `bounds` each. A deployment without a rule may leave its
-/// value out: the default applies then.
+/// Time bounds from the operators' guarantees. Each is a key of the table `bounds`; a deployment without the guarantee may
+/// omit the key, and the default applies.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Bounds {
-    /// `seed_lag_s`: how far the operator's list of control processes may be behind.
+    /// `seed_lag_s`: maximum age of the operator's list of control processes.
     pub seed_lag: Duration,
-    /// `reuse_after_s`: the time after which the address of a worker that ended may be reused by another one.
+    /// `reuse_after_s`: time after which the address of an ended worker may be reused by another worker.
     pub reuse_after: Duration,
-    /// `contact_ms`: the time for which a machine must have been undisturbed to count as in contact.
+    /// `contact_ms`: time for which a machine must have been without faults to count as in contact.
     pub contact: Duration,
-    /// `ack_ms`: the time within which a request to drain is acknowledged.
+    /// `ack_ms`: maximum time until a request to drain is acknowledged.
     pub ack: Duration,
-    /// `catch_up_s`: the time for which a machine still counts as failed after it is back.
+    /// `catch_up_s`: time for which a machine still counts as failed after its return.
     pub catch_up: Duration,
-    /// `drain_ms`: the time for which a draining worker serves after the acknowledgement.
+    /// `drain_ms`: time for which a draining worker still serves after the acknowledgement.
     pub drain: Duration,
-    /// `grace_s`: the time between SIGTERM and SIGKILL.
+    /// `grace_s`: time between SIGTERM and SIGKILL.
     pub grace: Duration,
-    /// `loss_slack_ms`: the time for which a request may be in flight before ending it counts as losing it.
+    /// `loss_slack_ms`: time for which a request may be in flight before terminating it counts as losing it.
     pub loss_slack: Duration,
-    /// `config_apply_ms`: the time within which an acknowledged configuration is applied everywhere.
+    /// `config_apply_ms`: maximum time until an acknowledged configuration is applied everywhere.
     pub config_apply: Duration,
-    /// `downgrade_ms`: the time for which a gatekeeper may still apply the configuration before the one that it has seen.
+    /// `downgrade_ms`: time for which a gatekeeper that has seen a configuration may still apply the previous one.
     pub downgrade: Duration,
-    /// `skew_ms`: the time that an unsteady core adds to the bound of the configuration.
+    /// `skew_ms`: time that is added to the bound of the configuration while a control machine is unstable.
     pub skew: Duration,
-    /// `recovery_s`: the time within which requests are served again after the last fault.
+    /// `recovery_s`: maximum time from the last fault until requests are served again.
     pub recovery: Duration,
-    /// `pass_ms`: the time within which an event of a stream must be relayed.
+    /// `pass_ms`: maximum time for relaying an event of a stream.
     pub pass: Duration,
-    /// `again_s`: not explained in the operators' pages.
+    /// `again_s`: not explained in the operators' documentation.
     pub again: Duration,
-    /// `completion_s`: the time after the end of traffic within which programs must complete.
+    /// `completion_s`: maximum time from the end of traffic until programs complete.
     pub completion: Duration,
-    /// `settle_ms`: the time within which a turn's unused units must be free again.
+    /// `settle_ms`: maximum time until a turn's unused units are available again.
     pub settle: Duration,
 }
 
 impl Settings {
-    /// Loads the file that the variable [`PATH_VARIABLE`] of the environment names.
+    /// Loads the file whose path is in the environment variable [`PATH_VARIABLE`].
     ///
     /// # Errors
-    /// [`SettingsError::NoPath`] where it names none, or as [`Settings::load`].
+    /// [`SettingsError::NoPath`] if the variable is not set or empty, and the errors of [`Settings::load`].
     pub fn from_environment() -> Result<Self, SettingsError> {
         match std::env::var_os(PATH_VARIABLE) {
             Some(path) if !path.is_empty() => Self::load(Path::new(&path)),
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Reads and validates a file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     /// [`SettingsError::Read`], [`SettingsError::Syntax`] or [`SettingsError::Invalid`].
@@ -191,94 +191,94 @@
         Self::parse(&text, path)
     }
 
-    /// Parses and validates the text of a settings file; `path` names it in errors.
+    /// Parses and validates the text of a settings file; `path` is used in error messages.
     ///
     /// # Errors
-    /// As [`Settings::load`].
+    /// [`SettingsError::Syntax`] or [`SettingsError::Invalid`].
     pub fn parse(text: &str, path: &Path) -> Result<Self, SettingsError> {
         parse::parse(text, path)
     }
 
-    /// Loads the file again.
+    /// Loads the settings again from the same file.
     ///
     /// # Errors
-    /// As [`Settings::load`].
+    /// Same as [`Settings::load`].
     pub fn reload(&self) -> Result<Self, SettingsError> {
         Self::load(&self.path)
     }
 
-    /// The address on which this process serves calls of other processes.
+    /// Returns the address on which this process serves calls from other processes.
     #[must_use]
     pub fn peer_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.ports.peer())
     }
 
-    /// The address on which this process serves the change feed to other machines.
+    /// Returns the address on which this process serves the change feed to other machines.
     #[must_use]
     pub fn feed_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.ports.feed())
     }
 
-    /// The address on which the agent serves the change feed to the proxy beside it: on loopback. A machine whose own address is one of
-    /// loopback uses that, so that several such machines can share a host.
+    /// Returns the loopback address on which the agent serves the change feed to the proxy of its machine. If the machine's
+    /// own address is a loopback address, that one is used, so that several such machines can share a host.
     #[must_use]
     pub fn agent_address(&self) -> SocketAddr {
         let ip = if self.ip.is_loopback() { self.ip } else { Ipv4Addr::LOCALHOST.into() };
         SocketAddr::new(ip, self.ports.feed())
     }
 
-    /// The addresses on which the control processes among the seeds serve the change feed.
+    /// Returns the addresses on which the seed nodes serve the change feed.
     #[must_use]
     pub fn seed_feed_addresses(&self) -> Vec<SocketAddr> {
         self.seed_nodes.iter().map(|seed| SocketAddr::new(seed.ip(), self.ports.feed())).collect()
     }
 
-    /// The number of replicas of all replicated state: a majority is left when `hosts_lost` machines have failed.
+    /// Returns the number of replicas of all replicated state, such that a majority survives `hosts_lost` failed machines.
     #[must_use]
     pub fn replicas(&self) -> usize {
         2 * self.fault_tolerance.hosts_lost + 1
     }
 
-    /// Whether a guarantee is in force.
+    /// Returns whether the tier must provide a guarantee.
     #[must_use]
     pub fn has_guarantee(&self, guarantee: &str) -> bool {
         self.guarantees.iter().any(|name| name == guarantee)
     }
 
-    /// The directory for data.
+    /// Returns the data directory.
     ///
     /// # Errors
-    /// [`SettingsError::Invalid`] where the file names none.
+    /// [`SettingsError::Invalid`] if the setting is missing.
     pub fn required_data_dir(&self) -> Result<&Path, SettingsError> {
-        self.data_dir.as_deref().ok_or_else(|| self.missing("data_dir", "a folder"))
+        self.data_dir.as_deref().ok_or_else(|| self.missing("data_dir", "a directory"))
     }
 
-    /// The address for clients.
+    /// Returns the address for clients.
     ///
     /// # Errors
-    /// [`SettingsError::Invalid`] where the file names none.
+    /// [`SettingsError::Invalid`] if the setting is missing.
     pub fn required_frontend(&self) -> Result<SocketAddr, SettingsError> {
         self.listen.frontend.ok_or_else(|| self.missing("listen.frontend", "an address and a port"))
     }
 
-    /// The address for the platform's readiness probe.
+    /// Returns the address for the platform's readiness probe.
     ///
     /// # Errors
-    /// [`SettingsError::Invalid`] where the file names none.
+    /// [`SettingsError::Invalid`] if the setting is missing.
     pub fn required_readiness(&self) -> Result<SocketAddr, SettingsError> {
         self.listen.readiness.ok_or_else(|| self.missing("listen.readiness", "an address and a port"))
     }
 
-    /// The address for workers and the operator.
+    /// Returns the address for workers and the operator.
     ///
     /// # Errors
-    /// [`SettingsError::Invalid`] where the file names none.
+    /// [`SettingsError::Invalid`] if the setting is missing.
     pub fn required_control_plane(&self) -> Result<SocketAddr, SettingsError> {
         self.listen.control_plane.ok_or_else(|| self.missing("listen.control_plane", "an address and a port"))
     }
 
-    fn missing(&self, key: &str, wanted: &'static str) -> SettingsError {
-        let problem = Problem { key: key.to_owned(), value: None, wanted };
+    fn missing(&self, key: &str, expected: &'static str) -> SettingsError {
+        let problem = Problem { key: key.to_owned(), value: None, expected };
         SettingsError::Invalid { path: self.path.clone(), problems: vec![problem] }
     }
 }
--- a/crates/settings/src/parse.rs
+++ b/crates/settings/src/parse.rs
@@ -1,4 +1,4 @@
-//! Parses the text of a settings file into [`Settings`]. Keys are those of the operators' pages.
+//! Parses the text of a settings file into [`Settings`]. The keys are those of the operators' documentation.
 
 use crate::{Bounds, FaultTolerance, Limits, Listen, PortRange, Settings, SettingsError, fields::Fields};
 use std::{
@@ -8,7 +8,7 @@
 };
 use toml::{Table, Value};
 
-/// Parses the text of the file `path`.
+/// Parses and validates the text of a settings file; `path` is used in error messages.
 pub(crate) fn parse(text: &str, path: &Path) -> Result<Settings, SettingsError> {
     let table: Table =
         text.parse().map_err(|source| SettingsError::Syntax { path: path.to_owned(), source })?;
@@ -53,7 +53,7 @@
 
 fn ports(fields: &mut Fields<'_, '_>) -> PortRange {
     let unusable = PortRange { first: 0, last: 0 };
-    fields.required_or("port_range", "a first port and a later last one", port_range, unusable)
+    fields.required_or("port_range", "two ports, the first lower than the last", port_range, unusable)
 }
 
 fn port_range(value: &Value) -> Option<PortRange> {
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Valid and invalid settings files.
+//! Parsing, validation and consistency checks of settings files.
 
 use opalrun_settings::{Settings, SettingsError};
 use std::{path::Path, time::Duration};
@@ -9,9 +9,9 @@
     Settings::parse(text, Path::new("settings.toml"))
 }
 
-/// The problems of the example after a replacement, as messages.
+/// Returns the messages of all problems of the example with `from` replaced by `to`.
 fn problems(from: &str, to: &str) -> Vec<String> {
-    assert!(EXAMPLE.contains(from), "the example has no {from}");
+    assert!(EXAMPLE.contains(from), "the example does not contain {from}");
     match parse(&EXAMPLE.replace(from, to)) {
         Err(SettingsError::Invalid { problems, .. }) => problems.iter().map(ToString::to_string).collect(),
         other => panic!("{other:?}"),
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn every_setting_of_the_example_is_read() {
+fn settings_of_the_example_are_parsed() {
     let settings = parse(EXAMPLE).unwrap();
     assert_eq!(settings.node_name, "core-pasig-hall-1");
     assert_eq!(settings.peer_address().to_string(), "10.1.0.42:7380");
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn metrics_are_off_unless_a_loopback_address_is_named() {
+fn metrics_are_disabled_unless_a_loopback_address_is_set() {
     assert_eq!(parse(EXAMPLE).unwrap().metrics, None);
     let with = |listen: &str| format!("{EXAMPLE}\n[figures]\nlisten = \"{listen}\"\n");
     let settings = parse(&with("127.0.0.1:9100")).unwrap();
@@ -62,13 +62,13 @@
     assert_eq!(settings.data_dir, None);
     assert_eq!(settings.listen.control_plane, None);
     let error = settings.required_data_dir().unwrap_err().to_string();
-    assert_eq!(error, "E201: settings.toml: `data_dir` is missing: wanted is a folder");
+    assert_eq!(error, "E201: settings.toml: `data_dir` is missing: expected a directory");
     let text = EXAMPLE.replace("[listen]\ncontrol_plane = \"10.1.0.42:8144\"\n", "");
     assert_eq!(parse(&text).unwrap().listen.control_plane, None);
 }
 
 #[test]
-fn bounds_may_be_missing_and_may_be_fractions() {
+fn bounds_may_be_omitted_and_may_be_fractional() {
     let text = EXAMPLE.replace("grace_s = 8\n", "").replace("drain_ms = 2000", "drain_ms = 1500.5");
     let bounds = parse(&text).unwrap().bounds;
     assert_eq!(bounds.grace, Duration::from_secs(8));
@@ -76,22 +76,22 @@
 }
 
 #[test]
-fn a_wrong_value_is_reported_with_key_value_and_what_is_wanted() {
+fn an_invalid_value_is_reported_with_key_value_and_expectation() {
     assert_eq!(
         problems("cpu_quota = 0.6", "cpu_quota = 0"),
-        ["`limits.cpu_quota` is 0: wanted is a number above 0"]
+        ["`limits.cpu_quota` is 0: expected a number greater than 0"]
     );
     assert_eq!(
         problems("ip = \"10.1.0.42\"", "ip = \"core-1\""),
-        ["`ip` is \"core-1\": wanted is an IP address"]
+        ["`ip` is \"core-1\": expected an IP address"]
     );
     assert_eq!(
         problems("heartbeat_ms = 1200", "heartbeat_ms = \"often\""),
-        ["`heartbeat_ms` is \"often\": wanted is a number above 0"]
+        ["`heartbeat_ms` is \"often\": expected a number greater than 0"]
     );
     assert_eq!(
         problems("port_range = [7380,7395]", "port_range = [7380,7380]"),
-        ["`port_range` is [7380, 7380]: wanted is a first port and a later last one"]
+        ["`port_range` is [7380, 7380]: expected two ports, the first lower than the last"]
     );
     assert_eq!(problems("10.3.0.8:8144", "core-3:8144").len(), 1);
     assert_eq!(problems("grace_s = 8", "grace_s = -8").len(), 1);
@@ -146,50 +146,50 @@
     });
 }
 
-/// What contradicts other settings in the example with one text in the place of another.
+/// Returns the messages of all contradictions in the example with `from` replaced by `to`.
 fn contradictions(from: &str, to: &str) -> Vec<String> {
-    assert!(EXAMPLE.contains(from), "{from}");
+    assert!(EXAMPLE.contains(from), "the example does not contain {from}");
     let settings = parse(&EXAMPLE.replace(from, to)).unwrap();
     settings.contradictions().iter().map(ToString::to_string).collect()
 }
 
 #[test]
-fn settings_that_fit_together_have_no_contradiction() {
+fn consistent_settings_have_no_contradictions() {
     assert!(parse(EXAMPLE).unwrap().contradictions().is_empty());
 }
 
 #[test]
-fn settings_that_can_t_work_together_are_contradictions() {
+fn inconsistent_settings_are_reported_as_contradictions() {
     let ports =
-        "wanted is addresses of `listen.control_plane`, whose port is none of the first two of `port_range`";
+        "expected a `listen.control_plane` address, whose port is not one of the first two of `port_range`";
     assert_eq!(
         contradictions("port_range = [7380,7395]", "port_range = [8143,8160]"),
         [
             format!("`seed_nodes` is 10.1.0.42:8144: {ports}"),
             format!("`seed_nodes` is 10.2.0.43:8144: {ports}"),
             format!("`seed_nodes` is 10.3.0.8:8144: {ports}"),
-            "`listen.control_plane` is 10.1.0.42:8144: wanted is another port than the first two of `port_range`"
+            "`listen.control_plane` is 10.1.0.42:8144: expected a port other than the first two of `port_range`"
                 .to_owned(),
         ]
     );
     assert_eq!(
         contradictions("control_plane = \"10.1.0.42:8144\"", "control_plane = \"10.1.0.42:8145\""),
         [
-            "`seed_nodes` is 10.1.0.42:8144: wanted is this machine's address with the port of `listen.control_plane`"
+            "`seed_nodes` is 10.1.0.42:8144: expected this machine's address with the port of `listen.control_plane`"
         ]
     );
     assert_eq!(
         contradictions("zone = \"pasig-hall\"", "zone = \"pasig\""),
-        ["`zone` is pasig: wanted is one of the zones in the table `zones`"]
+        ["`zone` is pasig: expected one of the zones in the table `zones`"]
     );
     assert_eq!(
         contradictions("\"10.3.0.8:8144\"", "\"127.0.0.1:8144\""),
         [
-            "`seed_nodes` is 127.0.0.1:8144: wanted is addresses that `ip` can reach: either all of them are loopback addresses or none"
+            "`seed_nodes` is 127.0.0.1:8144: expected an address reachable from `ip`: both must be loopback addresses, or neither"
         ]
     );
     assert_eq!(
         contradictions("ip = \"10.1.0.42\"", "ip = \"0.0.0.0\""),
-        ["`ip` is 0.0.0.0: wanted is the address at which peers reach this machine"]
+        ["`ip` is 0.0.0.0: expected the address at which peers reach this machine"]
     );
 }
