--- a/crates/metrics/src/lib.rs
+++ b/crates/metrics/src/lib.rs
@@ -1,8 +1,8 @@
-//! Metrics of a process for scrapers: counters, gauges and histograms in the usual text format, on a loopback address
-//! that the settings name.
+//! Serves the metrics of a process to scrapers: counters, gauges and histograms in the `OpenMetrics` text format, on a
+//! loopback address from the settings.
 //!
-//! Nothing is kept up to date for a scraper that may never come. Counters and histograms are held by the code that
-//! counts; everything else is read from the process when a scraper asks, by the closure given to [`start`].
+//! Counters and histograms are updated by the code that owns them. All other values are read from the process only when a
+//! scraper sends a request, by the closure passed to [`start`], so that they cost nothing without a scraper.
 #![forbid(unsafe_code)]
 
 mod scrape;
@@ -12,14 +12,14 @@
 pub use scrape::{Labels, Scrape};
 pub use server::{serve, start};
 
-/// Bounds of the buckets of durations, in seconds.
+/// Upper bounds of the buckets of duration histograms, in seconds.
 const DURATION_BOUNDS: [f64; 10] = [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0];
 
-/// A histogram of durations in seconds.
+/// Creates a histogram of durations in seconds.
 #[must_use]
 pub fn duration_histogram() -> Histogram {
     Histogram::new(DURATION_BOUNDS)
 }
 
-/// Counters of one kind of thing, told apart by labels.
+/// Counters with the same name and different labels.
 pub type LabelledCounter = Family<Labels, Counter>;
--- a/crates/metrics/src/scrape.rs
+++ b/crates/metrics/src/scrape.rs
@@ -1,4 +1,4 @@
-//! One look of a scraper at the process.
+//! Collects the metrics for one scrape.
 
 use prometheus_client::{
     encoding::text::encode,
@@ -7,18 +7,20 @@
 };
 use std::{collections::HashMap, fmt, sync::atomic::AtomicU64};
 
-/// Stands before the name of each metric.
+/// Prefix of the name of each metric.
 const PREFIX: &str = "opalrun";
 
-/// Names and values that tell metrics of one name apart.
+/// Label names and values, which distinguish metrics with the same name.
 pub type Labels = Vec<(&'static str, String)>;
 
 type LabelledGauge = Family<Labels, Gauge<f64, AtomicU64>>;
 
-/// Gathers what a scraper gets.
+/// The metrics of one scrape.
 pub struct Scrape {
     registry: Registry,
+    /// Labelled gauges that have been registered, by name.
     gauges: HashMap<&'static str, LabelledGauge>,
+    /// Labelled counters that have been registered, by name.
     counters: HashMap<&'static str, Family<Labels, Counter>>,
 }
 
@@ -29,14 +31,14 @@
 }
 
 impl Scrape {
-    /// A value as it is now.
+    /// Adds a gauge with its current value.
     pub fn gauge(&mut self, name: &'static str, help: &'static str, value: f64) {
         let gauge: Gauge<f64, AtomicU64> = Gauge::default();
         gauge.set(value);
         self.registry.register(name, help, gauge);
     }
 
-    /// A value as it is now, one of several with this name.
+    /// Adds a labelled gauge with its current value. It may be called several times with one name and different labels.
     pub fn labelled_gauge(
         &mut self,
         name: &'static str,
@@ -53,7 +55,8 @@
         family.get_or_create(&labels.to_vec()).set(value);
     }
 
-    /// Peers of one kind that this process needs: how many can't be reached, and attempts that failed.
+    /// Adds the metrics of one kind of peer that this process depends on: the number of unreachable peers and the number of
+    /// failed connection attempts.
     pub fn peers(&mut self, peer: &'static str, missing: usize, failed_attempts: u64) {
         let labels = [("peer", peer.to_owned())];
         let help = "Peers that this process needs and can't reach";
@@ -62,7 +65,7 @@
         self.labelled_counter("peer_attempts_failed", help, &labels, failed_attempts);
     }
 
-    /// A count as it is now, one of several with this name. The text format adds `_total` to its name.
+    /// Adds a labelled counter with its current value. The text format appends `_total` to its name.
     fn labelled_counter(
         &mut self,
         name: &'static str,
@@ -79,25 +82,25 @@
         family.get_or_create(&labels.to_vec()).inc_by(count);
     }
 
-    /// A counter. The text format adds `_total` to its name.
+    /// Adds a counter. The text format appends `_total` to its name.
     pub fn counter(&mut self, name: &'static str, help: &'static str, counter: &Counter) {
         self.registry.register(name, help, counter.clone());
     }
 
-    /// Counters told apart by labels.
+    /// Adds a family of labelled counters. The text format appends `_total` to its name.
     pub fn counters(&mut self, name: &'static str, help: &'static str, counters: &Family<Labels, Counter>) {
         self.registry.register(name, help, counters.clone());
     }
 
-    /// A histogram.
+    /// Adds a histogram.
     pub fn histogram(&mut self, name: &'static str, help: &'static str, histogram: &Histogram) {
         self.registry.register(name, help, histogram.clone());
     }
 
-    /// All of it as text.
+    /// Encodes all metrics in the `OpenMetrics` text format.
     ///
     /// # Errors
-    /// Where a metric can't be written.
+    /// An error if a metric can't be encoded.
     pub fn text(&self) -> Result<String, fmt::Error> {
         let mut text = String::new();
         encode(&mut text, &self.registry)?;
--- a/crates/metrics/src/server.rs
+++ b/crates/metrics/src/server.rs
@@ -1,4 +1,4 @@
-//! Answers scrapers over HTTP.
+//! The HTTP server for scrapers.
 
 use crate::Scrape;
 use http_body_util::Full;
@@ -17,60 +17,61 @@
     time::sleep,
 };
 
-/// Where the metrics lie.
+/// HTTP path of the metrics.
 const PATH: &str = "/metrics";
+/// Content type of the `OpenMetrics` text format.
 const TEXT_FORMAT: HeaderValue =
     HeaderValue::from_static("application/openmetrics-text; version=1.0.0; charset=utf-8");
-/// How long a request's head may take to arrive, and a connection may rest.
-const HEAD_LIMIT: Duration = Duration::from_secs(30);
-/// Pause after a connection could not be accepted.
+/// Time-out for receiving a request head, and for idle connections.
+const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(30);
+/// Delay after a failure to accept a connection.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Serves metrics at an address, if there is one. Runs inside a `LocalSet`. A process serves on without metrics where
-/// the address can't be listened on.
-pub fn start(address: Option<SocketAddr>, gather: impl Fn(&mut Scrape) + 'static) {
+/// Starts serving metrics at an address, if one is given. Must be called inside a `LocalSet`. If the process can't listen
+/// on the address, it continues without metrics. `collect` is called for each scrape and adds the metrics.
+pub fn start(address: Option<SocketAddr>, collect: impl Fn(&mut Scrape) + 'static) {
     let Some(address) = address else { return };
     spawn_local(async move {
         match TcpListener::bind(address).await {
-            Ok(listener) => serve(listener, gather).await,
-            Err(error) => tracing::error!(%address, %error, "metrics are not served"),
+            Ok(listener) => serve(listener, collect).await,
+            Err(error) => tracing::error!(%address, %error, "failed to listen; metrics are not served"),
         }
     });
 }
 
-/// Serves metrics to all that connect.
-pub async fn serve(listener: TcpListener, gather: impl Fn(&mut Scrape) + 'static) {
-    let gather = Rc::new(gather);
+/// Serves metrics on a listener until the future is dropped. `collect` is called for each scrape and adds the metrics.
+pub async fn serve(listener: TcpListener, collect: impl Fn(&mut Scrape) + 'static) {
+    let collect = Rc::new(collect);
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                spawn_local(serve_connection(stream, Rc::clone(&gather)));
+                spawn_local(serve_connection(stream, Rc::clone(&collect)));
             }
             Err(_) => sleep(ACCEPT_BACKOFF).await,
         }
     }
 }
 
-async fn serve_connection(stream: TcpStream, gather: Rc<impl Fn(&mut Scrape) + 'static>) {
+async fn serve_connection(stream: TcpStream, collect: Rc<impl Fn(&mut Scrape) + 'static>) {
     let service = service_fn(move |request: Request<Incoming>| {
-        let answer = answer(&request, &*gather);
-        async move { Ok::<_, Infallible>(answer) }
+        let response = respond(&request, &*collect);
+        async move { Ok::<_, Infallible>(response) }
     });
-    let serving = http1::Builder::new()
+    let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD_LIMIT)
+        .header_read_timeout(HEADER_READ_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service);
-    if let Err(error) = serving.await {
-        tracing::debug!(%error, "a scraper's connection failed");
+    if let Err(error) = connection.await {
+        tracing::debug!(%error, "scraper connection failed");
     }
 }
 
-fn answer(request: &Request<Incoming>, gather: &impl Fn(&mut Scrape)) -> Response<Full<Bytes>> {
+fn respond(request: &Request<Incoming>, collect: &impl Fn(&mut Scrape)) -> Response<Full<Bytes>> {
     if request.uri().path() != PATH {
         return empty(StatusCode::NOT_FOUND);
     }
     let mut scrape = Scrape::default();
-    gather(&mut scrape);
+    collect(&mut scrape);
     let Ok(text) = scrape.text() else { return empty(StatusCode::INTERNAL_SERVER_ERROR) };
     let mut response = Response::new(Full::new(Bytes::from(text)));
     response.headers_mut().insert(CONTENT_TYPE, TEXT_FORMAT);
--- a/crates/metrics/tests/scraped.rs
+++ b/crates/metrics/tests/scraped.rs
@@ -1,4 +1,4 @@
-//! What a scraper gets.
+//! Metrics served over HTTP.
 
 use opalrun_metrics::{Counter, LabelledCounter, duration_histogram};
 use tokio::{
@@ -7,28 +7,28 @@
     task::LocalSet,
 };
 
-/// The answer to one request, head and body.
+/// Sends one GET request and returns the response, head and body.
 async fn get(address: std::net::SocketAddr, path: &str) -> String {
     let mut stream = TcpStream::connect(address).await.unwrap();
     let request = format!("GET {path} HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
     stream.write_all(request.as_bytes()).await.unwrap();
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).await.unwrap();
-    answer
+    let mut response = String::new();
+    stream.read_to_string(&mut response).await.unwrap();
+    response
 }
 
 #[test]
-fn counters_gauges_and_histograms_are_told_as_of_now() {
+fn a_scrape_returns_current_counters_gauges_and_histograms() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let (turns, requests, times) = (Counter::default(), LabelledCounter::default(), duration_histogram());
-        let counted = (turns.clone(), requests.clone(), times.clone());
+        let shared = (turns.clone(), requests.clone(), times.clone());
         let serving = tokio::task::spawn_local(opalrun_metrics::serve(listener, move |scrape| {
-            scrape.counter("turns", "Turns kept", &counted.0);
-            scrape.counters("requests", "Requests", &counted.1);
-            scrape.histogram("raise_seconds", "Time of raises", &counted.2);
+            scrape.counter("turns", "Turns kept", &shared.0);
+            scrape.counters("requests", "Requests", &shared.1);
+            scrape.histogram("raise_seconds", "Time of raises", &shared.2);
             scrape.gauge("age_seconds", "Age", 0.5);
             for shard in 0..2_u8 {
                 let labels = [("shard", shard.to_string())];
@@ -38,7 +38,7 @@
         turns.inc();
         requests.get_or_create(&vec![("outcome", "503".to_owned())]).inc_by(2);
         times.observe(0.004);
-        let answer = get(address, "/metrics").await;
+        let response = get(address, "/metrics").await;
         for line in [
             "opalrun_turns_total 1",
             "opalrun_requests_total{outcome=\"503\"} 2",
@@ -49,9 +49,9 @@
             "opalrun_raise_seconds_bucket{le=\"0.005\"} 1",
             "# EOF",
         ] {
-            assert!(answer.lines().any(|found| found == line), "{line} is missing from {answer}");
+            assert!(response.lines().any(|found| found == line), "{line} is missing from {response}");
         }
-        assert!(answer.starts_with("HTTP/1.1 200"));
+        assert!(response.starts_with("HTTP/1.1 200"));
         turns.inc();
         assert!(get(address, "/metrics").await.contains("opalrun_turns_total 2"));
         assert!(get(address, "/other").await.starts_with("HTTP/1.1 404"));
