--- a/crates/opalrun/src/check.rs
+++ b/crates/opalrun/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks of files, without starting anything.
+//! `opalrun check`: validates files without starting a role.
 
 use crate::operator::lines_of;
 use opalrun_configuration::{Configuration, Problem};
@@ -11,16 +11,16 @@
     str::FromStr,
 };
 
-/// What a file holds.
+/// The kind of a file to check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CheckedKind {
-    /// The settings of a process.
+    /// The settings of a process, in TOML.
     Settings,
-    /// A configuration as the operator sends it.
+    /// A configuration as sent by the operator, in JSON.
     Configuration,
 }
 
-/// A kind of file that can't be checked.
+/// The error for an unknown kind of file on the command line.
 #[derive(Debug, Snafu)]
 #[snafu(display("{kind:?} is neither settings nor configuration"))]
 pub struct UnknownKind {
@@ -39,24 +39,24 @@
     }
 }
 
-/// What is wrong with a file.
+/// Why a check failed.
 #[derive(Debug, Snafu)]
 pub enum CheckError {
-    /// The settings can't be read, or are wrong.
+    /// The settings can't be read or are invalid.
     #[snafu(display("{source}"))]
     InvalidSettings {
-        /// All that is wrong with them.
+        /// The error, with all problems found.
         source: SettingsError,
     },
-    /// The configuration can't be read from its file.
+    /// The configuration file can't be read.
     #[snafu(display("{}: {}: {source}", ResultCode::CONFIGURATION_INVALID, path.display()))]
     ReadConfiguration {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The failure of the file system.
+        /// The error from the operating system.
         source: io::Error,
     },
-    /// The configuration is wrong. The text has one line a problem.
+    /// The configuration is invalid. The message has one line for each problem.
     #[snafu(display(
         "{}: {}: {} problems{}",
         ResultCode::CONFIGURATION_INVALID,
@@ -65,17 +65,17 @@
         lines_of(problems)
     ))]
     InvalidConfiguration {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// All that is wrong with it.
+        /// All problems found.
         problems: Vec<Problem>,
     },
 }
 
-/// Checks a file.
+/// Checks a file, and prints a confirmation if it is valid.
 ///
 /// # Errors
-/// All that is wrong with it.
+/// The file can't be read, or is invalid.
 pub fn file(kind: CheckedKind, file: &Path) -> Result<(), CheckError> {
     match kind {
         CheckedKind::Settings => settings(file),
@@ -90,7 +90,7 @@
         let source = SettingsError::Invalid { path: file.to_owned(), problems };
         return Err(CheckError::InvalidSettings { source });
     }
-    println!("{}: settings of {} are in order", file.display(), settings.node_name);
+    println!("{}: the settings of {} are valid", file.display(), settings.node_name);
     Ok(())
 }
 
@@ -98,7 +98,7 @@
     let body = std::fs::read(file).context(ReadConfigurationSnafu { path: file })?;
     match Configuration::parse(&body) {
         Ok(configuration) => {
-            println!("{}: generation {} is in order", file.display(), configuration.generation);
+            println!("{}: generation {} is valid", file.display(), configuration.generation);
             Ok(())
         }
         Err(problems) => InvalidConfigurationSnafu { path: file, problems }.fail(),
--- a/crates/opalrun/src/flags.rs
+++ b/crates/opalrun/src/flags.rs
@@ -8,10 +8,10 @@
 use std::{net::SocketAddr, path::PathBuf};
 
 xflags::xflags! {
-    /// Serves agent programs: gatekeepers, control processes and stores, one process a role.
+    /// Serves agent programs: gatekeepers, control processes and stores, with one process for each role.
     ///
-    /// The settings file of a role is named by the variable OPALRUN_CONFIG. Exit statuses and the
-    /// result codes that begin messages are listed in docs/results.md.
+    /// The environment variable OPALRUN_CONFIG has the path of the settings file of a role. Exit
+    /// statuses, and the result codes at the start of messages, are listed in docs/results.md.
     ///
     /// Examples:
     ///   OPALRUN_CONFIG=/etc/opalrun/settings.toml opalrun control
@@ -24,78 +24,78 @@
     ///   opalrun configuration put routes.json --control 10.1.0.42:8144 --if-match 7
     ///   opalrun store retire storage-2 --control 10.1.0.42:8144 --deadline-s 60 --follow
     cmd opalrun {
-        /// Carries requests of clients to workers.
+        /// Runs the proxy role: forwards client requests to workers.
         cmd proxy {}
-        /// Keeps the link to the control processes for the proxy of the same machine.
+        /// Runs the agent role: subscribes to the control processes on behalf of the proxy on the same machine.
         cmd agent {}
-        /// Knows the machines and keeps the configuration.
+        /// Runs the control role: tracks the machines of the tier and stores the configuration.
         cmd control {}
-        /// Keeps what programs have spent and said.
+        /// Runs the store role (stores budgets and turns of programs), or retires a store machine.
         cmd store {
-            /// Runs the role, which is also what happens without a subcommand.
+            /// Runs the role; this is the default subcommand.
             default cmd run {}
-            /// Has a store machine emptied, so that it can be taken away.
+            /// Moves the data of a store machine to other stores, so that the machine can be removed.
             cmd retire {
-                /// The machine's name.
+                /// Name of the machine.
                 required node: String
-                /// The control address of a control machine; given several times: they are asked in turn.
+                /// Control address of a control machine; may be repeated, the addresses are tried in turn.
                 repeated --control control: SocketAddr
-                /// Seconds within which it should be empty; 10 where it is not given.
+                /// Seconds within which the data should be moved; 10 by default.
                 optional --deadline-s deadline_s: u64
-                /// Waits until it is empty, or the time is over.
+                /// Waits until the data is moved or the deadline has passed.
                 optional --follow
             }
         }
-        /// Reads and changes the operator's configuration of a running tier.
+        /// Reads or changes the configuration of a running tier.
         cmd configuration {
-            /// Puts a configuration in force.
+            /// Sets a new configuration.
             cmd put {
-                /// The file, in JSON.
+                /// Configuration file, in JSON.
                 required file: PathBuf
-                /// The control address of a control machine; given several times: they are asked in turn.
+                /// Control address of a control machine; may be repeated, the addresses are tried in turn.
                 repeated --control control: SocketAddr
-                /// The generation that it builds on; 0 for the first.
+                /// Generation of the configuration that is replaced; 0 for the first configuration.
                 required --if-match generation: u64
             }
-            /// Prints the newest configuration.
+            /// Prints the current configuration.
             cmd get {
-                /// The control address of a control machine; given several times: they are asked in turn.
+                /// Control address of a control machine; may be repeated, the addresses are tried in turn.
                 repeated --control control: SocketAddr
             }
         }
-        /// Looks at a running tier.
+        /// Inspects a running tier.
         cmd tier {
-            /// Prints what a control process knows of the whole tier.
+            /// Prints the state of the tier as reported by a control process.
             cmd show {
-                /// The control address of a control machine; given several times: they are asked in turn.
+                /// Control address of a control machine; may be repeated, the addresses are tried in turn.
                 repeated --control control: SocketAddr
-                /// Prints JSON.
+                /// Prints JSON instead of tables.
                 optional --json
             }
         }
-        /// Checks a file without starting anything.
+        /// Checks a file without starting a role.
         cmd check {
-            /// What it holds: settings (TOML) or configuration (JSON, as the operator sends it).
+            /// Kind of the file: settings (TOML) or configuration (JSON, as sent by the operator).
             required kind: CheckedKind
-            /// The file.
+            /// File to check.
             required file: PathBuf
         }
-        /// Looks at what a process has on disk. The process must not run; nothing is changed.
+        /// Inspects the data directory of a process without changing it. The process must not be running.
         cmd state {
-            /// What to do: show (numbers and sizes, never contents) or verify (read everything and tell what is wrong).
+            /// Action: show (prints numbers and sizes, never content) or verify (reads everything and prints problems).
             required action: StateAction
-            /// The role whose folder it is: control or store.
+            /// Role of the process: control or store.
             required role: StatefulRole
-            /// The folder: data_dir in the settings.
+            /// Data directory: data_dir in the settings.
             required folder: PathBuf
-            /// Prints JSON.
+            /// Prints JSON instead of text.
             optional --json
         }
     }
 }
 
 impl Opalrun {
-    /// The command asks control processes, and none is named.
+    /// Returns whether the command calls control processes but has no `--control` address.
     fn lacks_control(&self) -> bool {
         let control = match &self.subcommand {
             OpalrunCmd::Store(store) => match &store.subcommand {
@@ -115,12 +115,12 @@
     }
 }
 
-/// Reads the command line; ends the process after `--help` and where it is wrong.
+/// Parses the command line. Exits the process after `--help`, and if the command line is invalid.
 pub fn parse() -> Opalrun {
     match Opalrun::from_env() {
         Ok(flags) if flags.lacks_control() => {
             eprintln!(
-                "--control ADDRESS is missing: no control process to ask\n\nopalrun --help lists the commands."
+                "--control ADDRESS is required: the address of a control process\n\nopalrun --help lists the commands."
             );
             std::process::exit(exit::USAGE.into())
         }
--- a/crates/opalrun/src/logging.rs
+++ b/crates/opalrun/src/logging.rs
@@ -1,9 +1,9 @@
-//! Logs: few lines, on standard error, with the time since the process's start.
+//! Logging to standard error, with the time since the start of the process.
 
 use tracing::Level;
 use tracing_subscriber::fmt::time::uptime;
 
-/// Starts logging.
+/// Installs the global log subscriber, with maximum level `INFO`.
 pub fn start() {
     tracing_subscriber::fmt()
         .compact()
--- a/crates/opalrun/src/main.rs
+++ b/crates/opalrun/src/main.rs
@@ -1,4 +1,4 @@
-//! The program of the serving tier: one subcommand for each role, and commands for operators.
+//! The `opalrun` program of the serving tier: one subcommand for each role, and commands for operators.
 #![forbid(unsafe_code)]
 
 mod check;
@@ -18,32 +18,32 @@
 use state::StateError;
 use std::{process::ExitCode, time::Duration};
 
-/// Why a subcommand failed. The text is that of the source.
+/// Why a subcommand failed. The message is that of the source.
 #[derive(Debug, Snafu)]
 enum CommandError {
-    /// A role ended.
+    /// A role ended with an error.
     #[snafu(display("{source}"), context(false))]
     Role {
-        /// Why.
+        /// Error of the role.
         source: RoleError,
     },
     /// An operator's command to a running tier failed.
     #[snafu(display("{source}"), context(false))]
     Operator {
-        /// Why.
+        /// Error of the command.
         #[snafu(source(from(OperatorError, Box::new)))]
         source: Box<OperatorError>,
     },
-    /// A file is not in order.
+    /// The check of a file failed.
     #[snafu(display("{source}"), context(false))]
     Check {
-        /// Why.
+        /// Error of the check.
         source: CheckError,
     },
-    /// A folder is not in order.
+    /// The inspection of a data directory failed.
     #[snafu(display("{source}"), context(false))]
     State {
-        /// Why.
+        /// Error of the inspection.
         source: StateError,
     },
 }
--- a/crates/opalrun/src/operator/attempts.rs
+++ b/crates/opalrun/src/operator/attempts.rs
@@ -1,9 +1,9 @@
-//! How often a call was sent, and why one attempt failed.
+//! The number of attempts of a call, and why an attempt failed.
 
 use snafu::Snafu;
 use std::{fmt, io, time::Duration};
 
-/// How often a call was sent. Its text follows a message, and is empty for one attempt.
+/// The number of attempts of a call. It is displayed after a message, and as an empty string for a single attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Attempts(pub u32);
 
@@ -20,25 +20,25 @@
     /// The control process did not answer in time.
     #[snafu(display("silent for {:.1} s", limit.as_secs_f64()))]
     TimedOut {
-        /// The time-out.
+        /// Time-out of the attempt.
         limit: Duration,
     },
-    /// There is no connection to the control process.
+    /// The connection to the control process can't be established.
     #[snafu(display("{source}"))]
     Connect {
-        /// The failure of the connection.
+        /// The error from the operating system.
         source: io::Error,
     },
-    /// The call can't be written as an HTTP request.
+    /// The HTTP request can't be built.
     #[snafu(display("{source}"))]
     BuildRequest {
-        /// What is wrong with it.
+        /// The error from the HTTP library.
         source: hyper::http::Error,
     },
-    /// The connection failed during the exchange.
+    /// The connection failed while the request was sent or the response received.
     #[snafu(display("{source}"))]
     Exchange {
-        /// The failure of the connection, or of the protocol.
+        /// The connection error or protocol error.
         source: hyper::Error,
     },
 }
--- a/crates/opalrun/src/operator/client.rs
+++ b/crates/opalrun/src/operator/client.rs
@@ -1,4 +1,4 @@
-//! Calls of control processes over HTTP.
+//! HTTP calls to control processes.
 
 use super::{
     attempts::{Attempts, BuildRequestSnafu, CallError, ConnectSnafu, ExchangeSnafu, TimedOutSnafu},
@@ -15,63 +15,64 @@
     time::{Instant, sleep, timeout},
 };
 
-/// An attempt without an answer for longer is given up, and another control process is asked.
+/// Time-out of an attempt, after which another control process is tried.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Bytes of a body for which one more such time-out is allowed.
+/// Size in bytes of the part of a request body that prolongs the time-out by another [`ATTEMPT_TIMEOUT`].
 const BODY_BYTES_PER_TIMEOUT: usize = 1 << 20;
-/// Redirections that are followed in one attempt.
+/// Maximum number of redirections followed in one attempt.
 const MAX_REDIRECTIONS: usize = 2;
 
-/// A call of a control process.
+/// A call to a control process.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// The HTTP method.
+    /// HTTP method.
     pub method: &'static str,
-    /// The path.
+    /// Request path.
     pub path: String,
-    /// The generation that a change builds on.
+    /// Value of the `If-Match` header: the generation that the change replaces.
     pub if_match: Option<u64>,
-    /// The body.
+    /// Request body.
     pub body: Bytes,
 }
 
 impl Call {
-    /// A call that changes nothing.
+    /// Creates a GET call.
     pub fn get(path: impl Into<String>) -> Self {
         Self { method: "GET", path: path.into(), if_match: None, body: Bytes::new() }
     }
 }
 
-/// A conclusive answer.
+/// A conclusive response.
 #[derive(Debug, Clone)]
 pub struct Answer {
-    /// The HTTP status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// The body.
+    /// Response body.
     pub body: Bytes,
-    /// How often the call was sent.
+    /// Number of times that the call was sent.
     pub attempts: Attempts,
 }
 
-/// An answer as it came.
+/// The response to one attempt.
 #[derive(Debug)]
 struct Reply {
     status: StatusCode,
     body: Bytes,
+    /// Target of a redirection response that names a usable address.
     redirection: Option<Redirection>,
 }
 
-/// Where an answer sends its caller.
+/// The target of a redirection.
 #[derive(Debug)]
 struct Redirection {
     address: SocketAddr,
     path: String,
 }
 
-/// Sends a call to the control processes in turn until there is a conclusive answer.
+/// Sends a call to the control processes in turn until one gives a conclusive response.
 ///
 /// # Errors
-/// [`OperatorError::Unreachable`] where there is none within `limit`.
+/// [`OperatorError::Unreachable`] if there is no conclusive response within `limit`.
 pub async fn send(addresses: &[SocketAddr], call: &Call, limit: Duration) -> Result<Answer, OperatorError> {
     let began = Instant::now();
     let mut policy = RetryPolicy::new(limit);
@@ -110,7 +111,7 @@
     }
 }
 
-/// One attempt, with redirections followed.
+/// Makes one attempt and follows redirections.
 async fn follow(address: SocketAddr, call: &Call) -> Result<Reply, CallError> {
     let (mut address, mut call) = (address, call.clone());
     for _ in 0..MAX_REDIRECTIONS {
@@ -130,11 +131,11 @@
     }
 }
 
-/// Sends a request and reads its answer, over a connection of its own.
+/// Sends a request over a new connection and reads the response.
 async fn exchange(address: SocketAddr, call: &Call) -> Result<Reply, CallError> {
     let stream = TcpStream::connect(address).await.context(ConnectSnafu)?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.context(ExchangeSnafu)?;
-    // It ends with the connection, which the request closes.
+    // The task ends when the connection is closed, as requested by the `Connection: close` header.
     tokio::task::spawn_local(connection);
     let request = request(address, call)?;
     let response = sender.send_request(request).await.context(ExchangeSnafu)?;
@@ -162,7 +163,7 @@
     Ok(Reply { status, body, redirection })
 }
 
-/// The other control process that the `Location` header names.
+/// Returns the target in the `Location` header, if it is an HTTP URL with an IP address and a port.
 fn redirection(headers: &header::HeaderMap) -> Option<Redirection> {
     let location = headers.get(header::LOCATION)?.to_str().ok()?;
     let (address, path) = location.strip_prefix("http://")?.split_once('/')?;
--- a/crates/opalrun/src/operator/error.rs
+++ b/crates/opalrun/src/operator/error.rs
@@ -1,4 +1,4 @@
-//! Why an operator's command failed. Each text begins with a result code, where there is one.
+//! Errors of operators' commands. Each message begins with a result code if the error has one.
 
 use super::attempts::{Attempts, CallError};
 use opalrun_configuration::Problem;
@@ -13,12 +13,12 @@
     /// The configuration file can't be read.
     #[snafu(display("{}: {}: {source}", ResultCode::CONFIGURATION_INVALID, path.display()))]
     ReadConfiguration {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The failure of the file system.
+        /// The error from the operating system.
         source: io::Error,
     },
-    /// The configuration is invalid, and was not sent.
+    /// The configuration is invalid and was not sent.
     #[snafu(display(
         "{}: not sent: {} problems{}",
         ResultCode::CONFIGURATION_INVALID,
@@ -26,93 +26,93 @@
         lines_of(problems)
     ))]
     InvalidConfiguration {
-        /// All that is wrong with it.
+        /// All problems found.
         problems: Vec<Problem>,
     },
-    /// A control process rejected the call and said why.
+    /// A control process rejected the call with a reason.
     #[snafu(display("{code}: {reason}{attempts}"))]
     Rejected {
-        /// The result code, as the control process wrote it.
+        /// Result code from the response.
         code: String,
-        /// The reason, as the control process wrote it.
+        /// Reason from the response.
         reason: String,
-        /// How often the call was sent.
+        /// Number of times that the call was sent.
         attempts: Attempts,
     },
-    /// A control process rejected the call without a reason that can be read.
+    /// A control process rejected the call, and the response body can't be parsed as a rejection.
     #[snafu(display("{}: answered {status}{attempts}", ResultCode::ORDER_REFUSED))]
     RejectedWithoutReason {
-        /// The HTTP status.
+        /// HTTP status of the response.
         status: u16,
-        /// How often the call was sent.
+        /// Number of times that the call was sent.
         attempts: Attempts,
     },
-    /// The answer to an order is none that this version of the program knows.
+    /// The response to a retirement command does not have the format that this version of the program expects.
     #[snafu(display("{}: the answer can't be read: {source}", ResultCode::PROTOCOL_VERSION))]
     UnreadableAnswer {
-        /// What is wrong with the JSON.
+        /// The error from the JSON parser.
         source: facet_json::DeserializeError,
     },
-    /// The view of the tier is none that this version of the program knows.
+    /// The view of the tier does not have the format that this version of the program expects.
     #[snafu(display(
         "{}: what the control process tells can't be read: {source}",
         ResultCode::PROTOCOL_VERSION
     ))]
     UnreadableTierView {
-        /// What is wrong with the JSON.
+        /// The error from the JSON parser.
         source: facet_json::DeserializeError,
     },
-    /// No control process gave a conclusive answer.
+    /// No control process gave a conclusive response.
     #[snafu(display(
         "{}: no clear answer within {:.1} s; the last: {last}",
         ResultCode::CONTROL_UNREACHABLE,
         limit.as_secs_f64()
     ))]
     Unreachable {
-        /// The time that the call could take.
+        /// Time limit of the call, over all attempts.
         limit: Duration,
-        /// How the last attempt ended.
+        /// Result of the last attempt.
         last: LastAttempt,
     },
-    /// A store machine is not empty within the time that was given for it.
+    /// The data of a store machine was not moved before the deadline.
     #[snafu(display(
-        "{}: {node} is not empty after {} s; the tier goes on",
+        "{}: {node} is not empty after {} s; the tier continues to move its data",
         ResultCode::ORDER_UNFINISHED,
         deadline.as_secs()
     ))]
     RetirementUnfinished {
-        /// The machine's name.
+        /// Name of the machine.
         node: String,
-        /// The time that was given.
+        /// Time within which the data should have been moved.
         deadline: Duration,
     },
-    /// The runtime for the calls can't be started.
+    /// The async runtime for the calls can't be started.
     #[snafu(display("{source}"))]
     StartRuntime {
-        /// The failure of the operating system.
+        /// The error from the operating system.
         source: io::Error,
     },
 }
 
-/// How the last attempt of a call ended.
+/// The result of the last attempt of a call.
 #[derive(Debug)]
 pub enum LastAttempt {
-    /// There was none.
+    /// No attempt was made.
     None,
-    /// A control process answered what is not conclusive.
+    /// A control process gave an inconclusive response.
     Answered {
-        /// The control process.
+        /// Address of the control process.
         address: SocketAddr,
-        /// The HTTP status.
+        /// HTTP status of the response.
         status: u16,
-        /// The body, with what is no UTF-8 replaced.
+        /// Response body; invalid UTF-8 is replaced.
         body: String,
     },
-    /// A control process did not answer.
+    /// A control process did not respond.
     Failed {
-        /// The control process.
+        /// Address of the control process.
         address: SocketAddr,
-        /// Why.
+        /// Error of the attempt.
         error: CallError,
     },
 }
@@ -120,14 +120,14 @@
 impl fmt::Display for LastAttempt {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::None => write!(f, "no control process was asked"),
+            Self::None => write!(f, "no control process was called"),
             Self::Answered { address, status, body } => write!(f, "{address} answered {status} {body}"),
             Self::Failed { address, error } => write!(f, "{address}: {error}"),
         }
     }
 }
 
-/// The problems of a configuration, one line each.
+/// Formats the problems of a configuration, each on a new line.
 pub fn lines_of(problems: &[Problem]) -> String {
     problems.iter().fold(String::new(), |mut lines, problem| {
         lines.push_str("\n  ");
--- a/crates/opalrun/src/operator/mod.rs
+++ b/crates/opalrun/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! Commands of operators to a running tier, sent to its control processes.
+//! Operators' commands to a running tier, sent to its control processes.
 
 mod attempts;
 mod client;
@@ -23,22 +23,22 @@
 use std::{future::Future, net::SocketAddr, path::Path, time::Duration};
 use tokio::{runtime, task::LocalSet};
 
-/// How long a question, or a configuration, may take until a conclusive answer.
+/// Time limit of a call over all attempts, for queries and for sending a configuration.
 const CALL_LIMIT: Duration = Duration::from_secs(10);
 const CONFIGURATION_PATH: &str = "/opalrun/config";
 const TIER_PATH: &str = "/opalrun/tier";
 
-/// A rejection as control processes word it.
+/// The response body of a rejected call.
 #[derive(Facet, Debug)]
 struct Rejection {
     code: String,
     reason: String,
 }
 
-/// Puts a configuration in force.
+/// Sends a new configuration to the control processes.
 ///
 /// # Errors
-/// Where the file is invalid, the call is rejected, or no conclusive answer comes.
+/// The file is invalid, the call is rejected, or there is no conclusive response.
 pub fn put_configuration(file: &Path, addresses: &[SocketAddr], if_match: u64) -> Result<(), OperatorError> {
     let body = std::fs::read(file).context(ReadConfigurationSnafu { path: file })?;
     let generation = checked_generation(&body)?;
@@ -61,10 +61,10 @@
     }
 }
 
-/// Prints the newest configuration as it was sent.
+/// Prints the current configuration as sent by the operator.
 ///
 /// # Errors
-/// Where there is none, or no conclusive answer comes.
+/// There is no configuration, or no conclusive response.
 pub fn get_configuration(addresses: &[SocketAddr]) -> Result<(), OperatorError> {
     let answer = run(client::send(addresses, &Call::get(CONFIGURATION_PATH), CALL_LIMIT))?;
     check_success(&answer)?;
@@ -72,10 +72,10 @@
     Ok(())
 }
 
-/// Prints the tier as a control process sees it.
+/// Prints the state of the tier as reported by a control process.
 ///
 /// # Errors
-/// Where no conclusive answer comes, or one that can't be read.
+/// There is no conclusive response, or it can't be parsed.
 pub fn show_tier(addresses: &[SocketAddr], as_json: bool) -> Result<(), OperatorError> {
     let answer = run(client::send(addresses, &Call::get(TIER_PATH), CALL_LIMIT))?;
     check_success(&answer)?;
@@ -88,7 +88,7 @@
     Ok(())
 }
 
-/// Fails where an answer is no success.
+/// Returns an error if the response does not have status 200.
 fn check_success(answer: &Answer) -> Result<(), OperatorError> {
     if answer.status == StatusCode::OK {
         return Ok(());
@@ -100,7 +100,7 @@
     }
 }
 
-/// Runs a command's calls on this thread.
+/// Runs the calls of a command to completion on the current thread.
 fn run<T>(calls: impl Future<Output = Result<T, OperatorError>>) -> Result<T, OperatorError> {
     let runtime = runtime::Builder::new_current_thread().enable_all().build().context(StartRuntimeSnafu)?;
     LocalSet::new().block_on(&runtime, calls)
--- a/crates/opalrun/src/operator/retirement.rs
+++ b/crates/opalrun/src/operator/retirement.rs
@@ -1,4 +1,4 @@
-//! Retiring a store machine: its data is moved to others, then it can be taken away.
+//! Retires a store machine: its data is moved to other stores, after which the machine can be removed.
 
 use super::{
     CALL_LIMIT, OperatorError, check_success,
@@ -12,25 +12,25 @@
 use std::{fmt, net::SocketAddr, time::Duration};
 use tokio::time::{Instant, sleep};
 
-/// How long the order may be sent again: no longer than an acknowledgement may take.
+/// Time limit for sending the command over all attempts: the maximum time for an acknowledgement.
 const ORDER_LIMIT: Duration = Duration::from_secs(4);
-/// Time between two questions for the progress.
+/// Interval between queries of the progress.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a retirement may take where nothing else is said.
+/// Default deadline of a retirement.
 pub const DEFAULT_DEADLINE: Duration = Duration::from_secs(10);
 
-/// The progress of a retirement, as control processes word it.
+/// The response body of a retirement command or query.
 #[derive(Facet, Debug)]
 struct RetirementBody {
     state: String,
 }
 
-/// The progress of a retirement. Its text is what the operator reads.
+/// The progress of a retirement. Its display text is printed for the operator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum RetirementState {
-    /// The machine's data is being moved.
+    /// The data of the machine is being moved.
     Active,
-    /// Nothing is left on the machine.
+    /// No data is left on the machine.
     Completed,
     /// A state that this version of the program does not know.
     Other(String),
@@ -56,10 +56,10 @@
     }
 }
 
-/// Orders that a store machine be emptied, and may wait until it is.
+/// Requests the retirement of a store machine. With `follow`, waits until its data has been moved.
 ///
 /// # Errors
-/// Where the order is rejected, no conclusive answer comes, or the machine is not empty in time.
+/// The request is rejected, there is no conclusive response, or the data is not moved before the deadline.
 pub fn retire_store(
     node: &str,
     addresses: &[SocketAddr],
@@ -68,7 +68,7 @@
 ) -> Result<(), OperatorError> {
     run(async {
         let began = Instant::now();
-        let state = order(node, addresses, deadline).await?;
+        let state = request_retirement(node, addresses, deadline).await?;
         println!("{node}: {state}");
         if follow && state != RetirementState::Completed {
             wait_until_completed(node, addresses, began, deadline).await?;
@@ -77,7 +77,7 @@
     })
 }
 
-async fn order(
+async fn request_retirement(
     node: &str,
     addresses: &[SocketAddr],
     deadline: Duration,
--- a/crates/opalrun/src/operator/retry.rs
+++ b/crates/opalrun/src/operator/retry.rs
@@ -1,49 +1,52 @@
-//! When a call is sent again, as `PROTOCOL.md` has it: a state machine without a clock or a socket of its own.
+//! The retry policy of calls, as specified in `PROTOCOL.md`: a state machine without a clock or I/O.
 
 use std::time::Duration;
 
-/// The backoff before the second attempt. It doubles with each further one.
+/// Backoff before the second attempt. It doubles with each further attempt.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
-/// The longest backoff.
+/// Maximum backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
-/// A rejection without a meaning of its own is conclusive when it has come this often.
+/// Number of rejections with an unspecific status (such as 404) after which the last one is conclusive.
 const CONCLUSIVE_REJECTIONS: u32 = 3;
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// An answer with this HTTP status.
+    /// A response with this HTTP status.
     Answered(u16),
-    /// No answer in time, or a connection that failed.
+    /// No response in time, or a failed connection.
     NoAnswer,
 }
 
-/// What to do next.
+/// The action that follows an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextStep {
-    /// The answer is conclusive.
+    /// Return the response, which is conclusive.
     Done,
     /// Send the same call to another control process after this backoff.
     RetryAfter(Duration),
-    /// The time is over without a conclusive answer.
+    /// Fail, because the time limit is reached without a conclusive response.
     GiveUp,
 }
 
-/// The attempts of one call.
+/// The retry state of one call.
 #[derive(Debug)]
 pub struct RetryPolicy {
+    /// Time limit of the call, over all attempts.
     limit: Duration,
+    /// Backoff before the next attempt.
     backoff: Duration,
+    /// Number of rejections with an unspecific status so far.
     rejections: u32,
 }
 
 impl RetryPolicy {
-    /// The policy for a call that may take so long.
+    /// Creates the policy for a call with this time limit.
     pub fn new(limit: Duration) -> Self {
         Self { limit, backoff: INITIAL_BACKOFF, rejections: 0 }
     }
 
-    /// What follows from an attempt that ended this long after the call began.
+    /// Returns the action after an attempt; `elapsed` is the time since the start of the call.
     pub fn after(&mut self, outcome: AttemptOutcome, elapsed: Duration) -> NextStep {
         if let AttemptOutcome::Answered(status) = outcome
             && self.is_conclusive(status)
@@ -58,7 +61,7 @@
         NextStep::RetryAfter(backoff)
     }
 
-    /// Whether an answer with this status says what became of the call.
+    /// Returns whether a response with this status settles the result of the call.
     fn is_conclusive(&mut self, status: u16) -> bool {
         match status {
             200..300 | 400 | 409 | 412 | 413 | 422 => true,
--- a/crates/opalrun/src/operator/retry_tests.rs
+++ b/crates/opalrun/src/operator/retry_tests.rs
@@ -1,4 +1,4 @@
-//! When calls are sent again.
+//! Tests of the retry policy.
 
 use super::{AttemptOutcome, NextStep, RetryPolicy};
 use std::time::Duration;
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn conclusive_answers_end_a_call_at_once() {
+fn conclusive_responses_are_not_retried() {
     for status in [200, 204, 400, 409, 412, 413, 422] {
         assert_eq!(
             RetryPolicy::new(LIMIT).after(AttemptOutcome::Answered(status), milliseconds(5)),
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn other_rejections_are_conclusive_at_the_third() {
+fn the_third_unspecific_rejection_is_conclusive() {
     let mut policy = RetryPolicy::new(LIMIT);
     let not_found = AttemptOutcome::Answered(404);
     assert!(matches!(policy.after(not_found, milliseconds(1)), NextStep::RetryAfter(_)));
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn the_backoff_grows_until_the_time_is_over() {
+fn the_backoff_increases_until_the_time_limit() {
     let mut policy = RetryPolicy::new(LIMIT);
     let mut elapsed = Duration::ZERO;
     let mut backoffs = Vec::new();
--- a/crates/opalrun/src/operator/tables.rs
+++ b/crates/opalrun/src/operator/tables.rs
@@ -1,17 +1,17 @@
-//! The tier as text.
+//! Formats the view of a tier as text tables.
 
 use crate::table::{Table, or_dash, yes_no};
 use opalrun_control::tier_view::TierView;
 use opalrun_wire::ids::NodeIdentity;
 use std::collections::BTreeMap;
 
-/// Everything that a control process reports of the tier.
+/// Formats the complete view.
 pub fn tier(view: &TierView) -> String {
     let names = names(view);
     let mut text = format!(
         "reported by {}{}\nconfiguration: generation {}\nstore map: epoch {}\n",
         name(&names, view.reported_by),
-        if view.is_fresh { "" } else { ", which is out of touch: this may be old" },
+        if view.is_fresh { "" } else { ", which has no contact with a majority: this view may be outdated" },
         view.generation,
         view.store_epoch,
     );
@@ -29,13 +29,14 @@
     text
 }
 
-/// Machine names of control processes and stores by identity.
+/// Returns the machine names of control processes and stores, by identity.
 fn names(view: &TierView) -> BTreeMap<NodeIdentity, String> {
     let control = view.control.iter().map(|node| (node.identity, node.node_name.clone()));
     let stores = view.stores.iter().map(|store| (store.identity, store.node_name.clone()));
     control.chain(stores).collect()
 }
 
+/// Returns the machine name of a process, or its identity if the name is unknown.
 fn name(names: &BTreeMap<NodeIdentity, String>, identity: NodeIdentity) -> String {
     names.get(&identity).cloned().unwrap_or_else(|| identity.to_string())
 }
--- a/crates/opalrun/src/roles.rs
+++ b/crates/opalrun/src/roles.rs
@@ -1,4 +1,4 @@
-//! Running a role until it ends.
+//! Runs a role until it ends.
 
 use opalrun_control::ControlError;
 use opalrun_gatekeeper::{agent::AgentError, proxy::ProxyError};
@@ -9,70 +9,70 @@
 use std::io;
 use tokio::{runtime, task::LocalSet};
 
-/// What a process does.
+/// The role of a process.
 #[derive(Debug, Clone, Copy)]
 pub enum Role {
-    /// Carries requests of clients to workers.
+    /// Forwards client requests to workers.
     Proxy,
-    /// Keeps the link to the control processes.
+    /// Subscribes to the control processes on behalf of the local proxy.
     Agent,
-    /// Knows the machines and keeps the configuration.
+    /// Tracks the machines of the tier and stores the configuration.
     Control,
-    /// Keeps what programs have spent and said.
+    /// Stores budgets and turns of programs.
     Store,
 }
 
-/// What ended a role. The text begins with a result code where there is one.
+/// Why a role ended with an error. The message begins with a result code if the error has one.
 #[derive(Debug, Snafu)]
 pub enum RoleError {
-    /// The settings are missing or wrong.
+    /// The settings are missing or invalid.
     #[snafu(display("{source}"))]
     InvalidSettings {
-        /// All that is wrong with them.
+        /// The error, with all problems found.
         source: SettingsError,
     },
-    /// The runtime can't be started.
+    /// The async runtime can't be started.
     #[snafu(display("{source}"))]
     StartRuntime {
-        /// The failure of the operating system.
+        /// The error from the operating system.
         source: io::Error,
     },
-    /// Signals can't be received.
+    /// The signal handlers can't be installed.
     #[snafu(display("{source}"))]
     InstallSignals {
-        /// The failure of the operating system.
+        /// The error from the operating system.
         source: io::Error,
     },
-    /// The proxy ended.
+    /// The proxy failed.
     #[snafu(display("{source}"))]
     Proxy {
-        /// Why.
+        /// Error of the proxy.
         source: ProxyError,
     },
-    /// The agent ended.
+    /// The agent failed.
     #[snafu(display("{source}"))]
     Agent {
-        /// Why.
+        /// Error of the agent.
         source: AgentError,
     },
-    /// The control process ended.
+    /// The control process failed.
     #[snafu(display("{source}"))]
     Control {
-        /// Why.
+        /// Error of the control process.
         source: ControlError,
     },
-    /// The store ended.
+    /// The store failed.
     #[snafu(display("{source}"))]
     Store {
-        /// Why.
+        /// Error of the store.
         source: StoreError,
     },
 }
 
-/// Runs a role with the settings that the environment names.
+/// Runs a role until it ends, with the settings file from the environment.
 ///
 /// # Errors
-/// What ended it.
+/// The role can't be started, or failed.
 pub fn run(role: Role) -> Result<(), RoleError> {
     let settings = Settings::from_environment().context(InvalidSettingsSnafu)?;
     let runtime = runtime::Builder::new_current_thread().enable_all().build().context(StartRuntimeSnafu)?;
@@ -80,7 +80,7 @@
     let ended = tasks.block_on(&runtime, async {
         signals::install().context(InstallSignalsSnafu)?;
         tracing::info!(?role, node = settings.node_name, zone = settings.zone, "starting");
-        // It ends with the `LocalSet`, which goes when the role has ended.
+        // The task is dropped with the `LocalSet`, after the role has ended.
         tokio::task::spawn_local(watch_settings(settings.clone()));
         run_until_ended(role, settings).await
     });
@@ -98,13 +98,13 @@
     }
 }
 
-/// Checks the settings file after each SIGHUP; a wrong one changes nothing.
+/// Validates the settings file after each SIGHUP and logs the result. The running role keeps its settings.
 async fn watch_settings(settings: Settings) {
     loop {
         signals::settings_changed().await;
         match settings.reload() {
-            Ok(_) => tracing::info!("the settings file was read again"),
-            Err(error) => tracing::warn!(%error, "the settings file is wrong: the former settings stay"),
+            Ok(_) => tracing::info!("settings file reloaded"),
+            Err(error) => tracing::warn!(%error, "settings file is invalid; keeping the current settings"),
         }
     }
 }
--- a/crates/opalrun/src/state/mod.rs
+++ b/crates/opalrun/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! What a control process or a store has on disk, inspected offline and without changing it.
+//! `opalrun state`: inspects the data directory of a control process or store offline, without changing it.
 
 mod tables;
 
@@ -9,7 +9,7 @@
 use snafu::{ResultExt, Snafu};
 use std::{error::Error, path::Path, str::FromStr, sync::Arc};
 
-/// A role with a state on disk.
+/// A role that stores state on disk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StatefulRole {
     /// A control process.
@@ -18,7 +18,7 @@
     Store,
 }
 
-/// A role that has no state on disk.
+/// The error for a role on the command line that has no state on disk.
 #[derive(Debug, Snafu)]
 #[snafu(display("{role:?} is neither control nor store"))]
 pub struct UnknownRole {
@@ -37,16 +37,16 @@
     }
 }
 
-/// What to do with a folder.
+/// An action on a data directory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StateAction {
     /// Print numbers and sizes.
     Show,
-    /// Read everything and print what is wrong.
+    /// Read everything and print problems.
     Verify,
 }
 
-/// Nothing that can be done with a folder.
+/// The error for an unknown action on the command line.
 #[derive(Debug, Snafu)]
 #[snafu(display("{action:?} is neither show nor verify"))]
 pub struct UnknownAction {
@@ -65,46 +65,47 @@
     }
 }
 
-/// Why a folder is not in order.
+/// Why an inspection failed.
 #[derive(Debug, Snafu)]
 pub enum StateError {
-    /// The folder can't be opened.
+    /// The data directory can't be opened.
     #[snafu(display("{source}"))]
     Open {
-        /// The failure of the disk.
+        /// Error of the disk operation.
         source: StorageError,
     },
-    /// The report can't be written as JSON.
+    /// The report can't be encoded as JSON.
     #[snafu(display("{source}"))]
     Encode {
-        /// What could not be written.
+        /// Error of the JSON encoder.
         source: Box<dyn Error>,
     },
-    /// What the folder holds is wrong.
+    /// The content of the data directory is missing, damaged or inconsistent.
     #[snafu(display("{}", problems.join("\n")))]
     Problems {
-        /// All that is wrong, each beginning with a result code.
+        /// All problems found; each message begins with a result code.
         problems: Vec<String>,
     },
 }
 
-/// What was found in a folder. The names of its fields are those of the JSON output.
+/// The result of an inspection. Field names are part of the JSON output.
 #[derive(Facet, Debug)]
 struct Report {
-    /// The state, if the folder is a control process's and can be read.
+    /// State of a control process; `None` for a store, or if the state can't be read.
     control: Option<ControlState>,
-    /// The state, if the folder is a store's and can be read.
+    /// State of a store; `None` for a control process, or if the state can't be read.
     store: Option<StoreOnDisk>,
-    /// What is wrong, each beginning with a result code.
+    /// Problems found; each message begins with a result code.
     problems: Vec<String>,
-    /// What the process would repair by itself at its next start.
-    mended_at_start: Vec<String>,
+    /// Repairs that the process would make at its next start.
+    #[facet(rename = "mended_at_start")]
+    repairs_at_start: Vec<String>,
 }
 
-/// Reads a folder and prints what it holds, or only what the process would repair at its next start.
+/// Inspects a data directory. Prints its state, or for [`StateAction::Verify`] only the repairs of the next start.
 ///
 /// # Errors
-/// All that is wrong with it.
+/// The directory can't be opened, or has problems.
 pub fn inspect(
     action: StateAction,
     role: StatefulRole,
@@ -112,16 +113,16 @@
     as_json: bool,
 ) -> Result<(), StateError> {
     let report = read(role, folder)?;
-    let is_in_order = report.problems.is_empty();
+    let is_valid = report.problems.is_empty();
     match action {
         _ if as_json => println!("{}", encode(&report)?),
         StateAction::Show => print!("{}", tables::report(&report)),
         StateAction::Verify => print!("{}", tables::repairs(&report)),
     }
-    if action == StateAction::Verify && is_in_order && !as_json {
-        println!("{}: everything can be read", folder.display());
+    if action == StateAction::Verify && is_valid && !as_json {
+        println!("{}: no problems found", folder.display());
     }
-    if is_in_order { Ok(()) } else { ProblemsSnafu { problems: report.problems }.fail() }
+    if is_valid { Ok(()) } else { ProblemsSnafu { problems: report.problems }.fail() }
 }
 
 fn encode(report: &Report) -> Result<String, StateError> {
@@ -141,5 +142,5 @@
             Err(error) => (None, None, vec![error.to_string()]),
         },
     };
-    Ok(Report { control, store, problems, mended_at_start: disk.skipped_changes() })
+    Ok(Report { control, store, problems, repairs_at_start: disk.skipped_changes() })
 }
--- a/crates/opalrun/src/state/tables.rs
+++ b/crates/opalrun/src/state/tables.rs
@@ -1,20 +1,20 @@
-//! The state on disk as text.
+//! Formats the result of an inspection as text.
 
 use super::Report;
 use crate::table::{Table, or_dash, yes_no};
 use opalrun_control::inspect::{ControlState, ShardState};
 use opalrun_store::inspect::StoreOnDisk;
 
-/// Everything that was found.
+/// Formats the complete report.
 pub fn report(report: &Report) -> String {
     let control = report.control.as_ref().map(control);
     let store = report.store.as_ref().map(store);
     control.into_iter().chain(store).chain([repairs(report)]).collect()
 }
 
-/// What the process would repair by itself at its next start.
+/// Formats the repairs that the process would make at its next start, one per line.
 pub fn repairs(report: &Report) -> String {
-    let lines = report.mended_at_start.iter().flat_map(|repair| ["at the next start: ", repair, "\n"]);
+    let lines = report.repairs_at_start.iter().flat_map(|repair| ["at the next start: ", repair, "\n"]);
     lines.collect()
 }
 
@@ -72,7 +72,7 @@
 
 fn store(state: &StoreOnDisk) -> String {
     let mut text = format!(
-        "store {}\n  there from the first start of the system: {}\n  store map: epoch {}\n  log: {} bytes, records {} \
+        "store {}\n  created at the first start of the system: {}\n  store map: epoch {}\n  log: {} bytes, records {} \
          to before {}\n  live data: about {} bytes\n",
         state.identity,
         yes_no(state.bootstrap),
--- a/crates/opalrun/src/table.rs
+++ b/crates/opalrun/src/table.rs
@@ -1,26 +1,27 @@
-//! Text tables: columns as wide as their widest cell.
+//! Text tables whose columns are as wide as their widest cell.
 
-/// Blanks between columns.
+/// Number of spaces between columns.
 const GAP: usize = 2;
 
-/// A table under a heading; nothing but the heading where there are no rows.
+/// A table with a heading. A table without rows is formatted as its heading only.
 pub struct Table {
     heading: String,
+    /// Rows of cells; the first row has the column names.
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// A table with these columns.
+    /// Creates an empty table with a heading and column names.
     pub fn new(heading: impl Into<String>, columns: &[&str]) -> Self {
         Self { heading: heading.into(), rows: vec![columns.iter().map(ToString::to_string).collect()] }
     }
 
-    /// Adds a row; it has a cell for each column.
+    /// Adds a row with one cell for each column.
     pub fn row<const COLUMNS: usize>(&mut self, cells: [String; COLUMNS]) {
         self.rows.push(Vec::from(cells));
     }
 
-    /// The table as text, with a line feed at its end.
+    /// Formats the table as text that ends with a line feed.
     pub fn text(&self) -> String {
         if self.rows.len() == 1 {
             return format!("{}: none\n", self.heading);
@@ -44,12 +45,12 @@
     }
 }
 
-/// A value or a dash.
+/// Formats a value, or a dash if there is none.
 pub fn or_dash(value: Option<impl ToString>) -> String {
     value.map_or_else(|| "-".to_owned(), |value| value.to_string())
 }
 
-/// Yes or no.
+/// Formats a boolean as `yes` or `no`.
 pub fn yes_no(value: bool) -> String {
     if value { "yes" } else { "no" }.to_owned()
 }
