--- a/crates/control-load/src/configuration.rs
+++ b/crates/control-load/src/configuration.rs
@@ -1,4 +1,4 @@
-//! A configuration of the size of a large deployment.
+//! Generates a configuration as large as that of a large deployment.
 
 use fleetlab::tier::{
     configuration::{Configuration, EngineDescription, Route, Service},
@@ -6,22 +6,22 @@
 };
 use std::time::Duration;
 
-/// Services that the routes and the workers are spread over; one for each model.
+/// Number of services over which routes and workers are distributed, one for each model.
 pub const SERVICES: usize = 25;
-/// Connections that a worker takes.
+/// Maximum number of connections to one worker.
 const MAX_CONNECTIONS: u32 = 630;
-/// How long what was said is kept on every second route.
+/// Retention of turns on every second route.
 const RETENTION: Duration = Duration::from_mins(1);
-/// The engine of all services.
-const ENGINE: EngineDescription = EngineDescription { capacity: 32, kv_capacity: 231_379, chunk_tokens: 3 };
+/// Engine properties of all services.
+const ENGINE: EngineFacts = EngineFacts { capacity: 32, kv_capacity: 231_379, chunk_tokens: 3 };
 
-/// The name of a service.
+/// Returns the name of the service for a route or worker with this number.
 #[must_use]
 pub fn service_name(number: usize) -> String {
     format!("models-{:02}", number % SERVICES)
 }
 
-/// A configuration with so many routes.
+/// Returns a configuration with this number of routes.
 #[must_use]
 pub fn configuration(routes: usize, generation: u64) -> Configuration {
     let services = (0..SERVICES).map(|number| Service {
--- a/crates/control-load/src/error.rs
+++ b/crates/control-load/src/error.rs
@@ -1,51 +1,51 @@
-//! Why a measurement gave no metrics.
+//! Errors of a measurement.
 
 use fleetlab::tier::fleet::TierError;
 use snafu::Snafu;
 use std::{io, path::PathBuf};
 
-/// Why a measurement gave no metrics.
+/// Why a measurement failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum MeasureError {
-    /// No runtime for the simulated gatekeepers and workers.
+    /// The async runtime for the simulated gatekeepers and workers can't be started.
     #[snafu(display("{source}"))]
     Runtime {
-        /// Why not.
+        /// The error from the operating system.
         source: io::Error,
     },
-    /// The processes could not be started, or did not come up.
+    /// The processes of the tier could not be started, or did not become ready.
     #[snafu(display("the tier: {source}"), context(false))]
     Tier {
-        /// What the tier says.
+        /// Error of the tier.
         source: TierError,
     },
-    /// A file of `/proc` can't be read.
+    /// A file in `/proc` can't be read.
     #[snafu(display("{}: {source}", path.display()))]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why not.
+        /// The error from the operating system.
         source: io::Error,
     },
-    /// A file of `/proc` does not hold what it should.
-    #[snafu(display("{} is not as expected", path.display()))]
+    /// A file in `/proc` does not have the expected format.
+    #[snafu(display("{} has an unexpected format", path.display()))]
     Unexpected {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
     },
-    /// A configuration was not taken.
-    #[snafu(display("configuration {generation} was answered {status}"))]
-    Refused {
-        /// Its generation.
+    /// A configuration was not accepted.
+    #[snafu(display("configuration {generation} was rejected with status {status}"))]
+    Rejected {
+        /// Generation of the configuration.
         generation: u64,
-        /// The answer's status; 0: none.
+        /// HTTP status of the response; 0 if there was none.
         status: u16,
     },
-    /// Something took too long.
-    #[snafu(display("too late: {what}"))]
-    Late {
-        /// What it was.
-        what: String,
+    /// A condition was not met within its time limit.
+    #[snafu(display("timed out waiting for {condition}"))]
+    TimedOut {
+        /// Description of the condition, for the message.
+        condition: String,
     },
 }
--- a/crates/control-load/src/gatekeepers.rs
+++ b/crates/control-load/src/gatekeepers.rs
@@ -1,4 +1,4 @@
-//! Simulated gatekeepers: subscribers of the change feed that serve nothing.
+//! Simulated gatekeepers: subscribers of the change feed that serve no requests.
 
 use opalrun_net::feed_client::{FeedClient, FeedOptions};
 use opalrun_wire::{
@@ -14,68 +14,74 @@
 };
 use tokio::{sync::Notify, time::timeout};
 
-/// Heartbeats that a subscriber sends each second.
+/// Heartbeats that a subscriber sends per second.
 pub const HEARTBEATS_A_SECOND: f64 = 2.0;
 
-/// What one simulated gatekeeper has heard.
+/// Counters of the updates that one simulated gatekeeper has received.
 #[derive(Debug, Default)]
-struct Heard {
+struct Received {
+    /// Generation of the newest configuration received.
     generation: Cell<u64>,
+    /// Number of frames received.
     frames: Cell<u64>,
+    /// Size of these frames in bytes, frame headers included.
     bytes: Cell<u64>,
 }
 
-/// What all have heard so far.
+/// Updates received by all simulated gatekeepers since their start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Traffic {
-    /// Frames of the feed.
+    /// Number of frames of the change feed.
     pub frames: u64,
-    /// Their bytes, headers of frames included, those of TCP and IP not.
+    /// Size of these frames in bytes, including frame headers but not TCP and IP headers.
     pub bytes: u64,
 }
 
-/// Simulated gatekeepers, subscribed until this is dropped.
+/// Simulated gatekeepers, which stay subscribed until this is dropped.
 pub struct Gatekeepers {
-    heard: Vec<Rc<Heard>>,
+    /// Counters of each gatekeeper.
+    received: Vec<Rc<Received>>,
+    /// Notified whenever a gatekeeper receives a configuration.
     changed: Rc<Notify>,
     _clients: Vec<Rc<OnceCell<FeedClient>>>,
 }
 
 impl Gatekeepers {
-    /// Subscribes so many, inside a `LocalSet`. `seeds` are addresses of the feed at control processes.
+    /// Starts `count` simulated gatekeepers. Must be called inside a `LocalSet`. `seeds` are the addresses on which control
+    /// processes serve the change feed.
     #[must_use]
     pub fn start(count: usize, seeds: &[SocketAddr], zones: &[String]) -> Self {
         let changed = Rc::new(Notify::new());
-        let heard: Vec<Rc<Heard>> = (0..count).map(|_| Rc::default()).collect();
-        let subscribe = |(number, heard): (usize, &Rc<Heard>)| {
+        let received: Vec<Rc<Received>> = (0..count).map(|_| Rc::default()).collect();
+        let subscribe = |(number, received): (usize, &Rc<Received>)| {
             let options = options(number, seeds, &zones[number % zones.len()]);
-            follow(options, heard.clone(), changed.clone())
+            subscribe_one(options, received.clone(), changed.clone())
         };
-        let clients = heard.iter().enumerate().map(subscribe).collect();
-        Self { heard, changed, _clients: clients }
+        let clients = received.iter().enumerate().map(subscribe).collect();
+        Self { received, changed, _clients: clients }
     }
 
-    /// How many have at least this configuration.
+    /// Returns the number of gatekeepers that have received this generation of the configuration or a later one.
     #[must_use]
-    pub fn having(&self, generation: u64) -> usize {
-        self.heard.iter().filter(|heard| heard.generation.get() >= generation).count()
+    pub fn count_with_generation(&self, generation: u64) -> usize {
+        self.received.iter().filter(|received| received.generation.get() >= generation).count()
     }
 
-    /// Waits until all have at least this configuration; whether they have in time.
-    pub async fn all_have(&self, generation: u64, limit: Duration) -> bool {
+    /// Waits until all gatekeepers have received this generation or a later one. Returns whether they did within `limit`.
+    pub async fn wait_for_generation(&self, generation: u64, limit: Duration) -> bool {
         let all = async {
-            while self.having(generation) < self.heard.len() {
+            while self.count_with_generation(generation) < self.received.len() {
                 self.changed.notified().await;
             }
         };
         timeout(limit, all).await.is_ok()
     }
 
-    /// What all have heard so far.
+    /// Returns the total traffic received so far.
     #[must_use]
     pub fn traffic(&self) -> Traffic {
-        let frames = self.heard.iter().map(|heard| heard.frames.get()).sum();
-        let bytes = self.heard.iter().map(|heard| heard.bytes.get()).sum();
+        let frames = self.received.iter().map(|received| received.frames.get()).sum();
+        let bytes = self.received.iter().map(|received| received.bytes.get()).sum();
         Traffic { frames, bytes }
     }
 }
@@ -96,28 +102,32 @@
     }
 }
 
-/// Subscribes one, which tells control what it has in force as soon as it has it.
-fn follow(options: FeedOptions, heard: Rc<Heard>, changed: Rc<Notify>) -> Rc<OnceCell<FeedClient>> {
+/// Subscribes one gatekeeper, which reports the generation of each configuration to control as soon as it receives it.
+fn subscribe_one(
+    options: FeedOptions,
+    received: Rc<Received>,
+    changed: Rc<Notify>,
+) -> Rc<OnceCell<FeedClient>> {
     let slot = Rc::new(OnceCell::new());
-    let own = Rc::downgrade(&slot);
+    let weak_slot = Rc::downgrade(&slot);
     let client = FeedClient::start(options, move |event| {
-        let generation = heard.take(event);
+        let generation = received.record(event);
         let Some(generation) = generation else { return };
-        heard.generation.set(generation.0);
+        received.generation.set(generation.0);
         changed.notify_one();
-        let slot: Option<Rc<OnceCell<FeedClient>>> = own.upgrade();
+        let slot: Option<Rc<OnceCell<FeedClient>>> = weak_slot.upgrade();
         if let Some(client) = slot.as_ref().and_then(|slot| slot.get()) {
             client.report_generation(generation);
         }
     });
-    // The slot was empty until here.
+    // This can't fail, because the slot is still empty.
     let _ = slot.set(client);
     slot
 }
 
-impl Heard {
-    /// Counts an event; the generation of the configuration that came with it.
-    fn take(&self, event: FeedUpdate) -> Option<Generation> {
+impl Received {
+    /// Counts an update. Returns the generation of the newest configuration in it, if it contains one.
+    fn record(&self, event: FeedUpdate) -> Option<Generation> {
         let update = event;
         self.frames.set(self.frames.get() + 1);
         self.bytes.set(self.bytes.get() + encode_frame(&update).len() as u64);
@@ -131,7 +141,7 @@
     }
 }
 
-/// Bytes of a subscriber's heartbeat.
+/// Returns the size in bytes of a subscriber's heartbeat frame.
 #[must_use]
 pub fn heartbeat_bytes() -> usize {
     let positions =
--- a/crates/control-load/src/lib.rs
+++ b/crates/control-load/src/lib.rs
@@ -1,8 +1,8 @@
-//! Measures control processes at the size of a large deployment on one machine.
+//! Measures control processes under the load of a large deployment, on a single machine.
 //!
-//! The control processes, one agent and one proxy are real. The other gatekeepers are simulated: each keeps a
-//! subscription to the change feed, as an agent does, and serves nothing, so that hundreds fit into one process. The
-//! workers are simulated too: they send heartbeats and take no requests. `docs/CAPACITY.md` has the metrics.
+//! The control processes, one agent and one proxy are real. The other gatekeepers are simulated: each subscribes to the
+//! change feed like an agent but serves no requests, so that hundreds fit into one process. The workers are simulated, too:
+//! they send heartbeats but accept no requests. `docs/CAPACITY.md` has the results.
 #![forbid(unsafe_code)]
 
 pub mod configuration;
--- a/crates/control-load/src/main.rs
+++ b/crates/control-load/src/main.rs
@@ -1,4 +1,5 @@
-//! `opalrun-control-load`: measures control processes under simulated gatekeepers and workers; prints one line of JSON.
+//! `opalrun-control-load`: measures control processes under the load of simulated gatekeepers and workers, and prints the
+//! metrics as one line of JSON.
 #![forbid(unsafe_code)]
 
 use opalrun_control_load::{
@@ -13,27 +14,27 @@
     use std::path::PathBuf;
 
     xflags::xflags! {
-        /// Measures control processes under simulated gatekeepers and workers.
+        /// Measures control processes under the load of simulated gatekeepers and workers.
         cmd opalrun-control-load {
-            /// The program of all roles: target/tier/opalrun.
+            /// Path of the opalrun program; target/tier/opalrun by default.
             optional --build path: PathBuf
-            /// Simulated gatekeepers: 100.
+            /// Number of simulated gatekeepers; 100 by default.
             optional --gatekeepers count: usize
-            /// Simulated workers: 150.
+            /// Number of simulated workers; 150 by default.
             optional --workers count: usize
-            /// Routes of the configuration: 350.
+            /// Number of routes in the configuration; 350 by default.
             optional --routes count: usize
-            /// Seconds for which nothing changes: 10.
+            /// Duration in seconds of the phase without changes; 10 by default.
             optional --steady-s seconds: u64
-            /// Changes of the configuration after that: 10.
+            /// Number of configuration changes after that phase; 10 by default.
             optional --changes count: u64
-            /// Milliseconds from one change to the next: 1000.
+            /// Milliseconds from one change to the next; 1000 by default.
             optional --change-period-ms milliseconds: u64
         }
     }
 }
 
-/// The pause between heartbeats that the deployments set.
+/// Period of worker heartbeats, as set in the deployments.
 const HEARTBEAT: Duration = Duration::from_millis(1200);
 
 fn main() -> ExitCode {
@@ -50,7 +51,7 @@
     }
 }
 
-/// Measures and returns one line of JSON.
+/// Runs the measurement and returns the metrics as one line of JSON.
 fn run(flags: &flags::OpalrunControlLoad) -> Result<String, MeasureError> {
     let size = Size {
         gatekeepers: flags.gatekeepers.unwrap_or(100),
--- a/crates/control-load/src/measure.rs
+++ b/crates/control-load/src/measure.rs
@@ -1,4 +1,5 @@
-//! One measurement: a size is started, watched while nothing changes, and watched while the configuration changes.
+//! Runs one measurement: starts the processes, measures a steady phase without changes and then a phase of configuration
+//! changes.
 
 use crate::{
     configuration::configuration,
@@ -16,71 +17,80 @@
 use std::{net::SocketAddr, path::Path, sync::Arc, time::Duration};
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// How long the processes, the workers and the gatekeepers may take to be there.
+/// Time limit for the start of the processes, the workers and the gatekeepers, each.
 const START_LIMIT: Duration = Duration::from_secs(20);
-/// How long a change may take to be acknowledged, and to be everywhere.
+/// Time limit for a change to be acknowledged, and for it to reach all gatekeepers.
 const CHANGE_LIMIT: Duration = Duration::from_secs(14);
-/// Time after the start until the use is steady.
-const SETTLE: Duration = Duration::from_secs(2);
+/// Delay between the start and the first reading, so that the load of the start does not count.
+const WARM_UP: Duration = Duration::from_secs(2);
 
-/// What is measured.
+/// Parameters of a measurement.
 #[derive(Debug, Clone)]
 pub struct Size {
-    /// Simulated gatekeepers; a real one is added.
+    /// Number of simulated gatekeepers, in addition to a real one.
     pub gatekeepers: usize,
-    /// Simulated workers.
+    /// Number of simulated workers.
     pub workers: usize,
-    /// Routes of the configuration.
+    /// Number of routes in the configuration.
     pub routes: usize,
-    /// Pause between two heartbeats of a worker.
+    /// Period of worker heartbeats.
     pub heartbeat: Duration,
-    /// How long it is watched while nothing changes.
+    /// Duration of the steady phase, without changes.
     pub steady: Duration,
-    /// Changes of the configuration after that.
+    /// Number of configuration changes after the steady phase.
     pub changes: u64,
-    /// Time from one change to the next; a change is also not sent before the last one is everywhere.
+    /// Minimum time from one change to the next. A change is sent only after the previous one has reached all gatekeepers.
     pub change_period: Duration,
 }
 
-/// The processes that are measured.
-struct Watched(Vec<(String, u32)>);
+/// Names and ids of the measured processes.
+struct MeasuredProcesses(Vec<(String, u32)>);
 
-impl Watched {
+impl MeasuredProcesses {
     fn usages(&self) -> Result<Vec<Usage>, MeasureError> {
         self.0.iter().map(|(_, process)| Usage::of(*process)).collect()
     }
 }
 
-/// What was counted at one moment.
+/// Cumulative counters at one point in time.
 struct Reading {
     at: Instant,
+    /// Resource usage of each measured process.
     usages: Vec<Usage>,
+    /// Updates received by the simulated gatekeepers.
     traffic: Traffic,
+    /// Number of acknowledged worker heartbeats.
     heartbeats: u64,
 }
 
 impl Reading {
-    fn take(watched: &Watched, gatekeepers: &Gatekeepers, workers: &Workers) -> Result<Self, MeasureError> {
+    fn take(
+        processes: &MeasuredProcesses,
+        gatekeepers: &Gatekeepers,
+        workers: &Workers,
+    ) -> Result<Self, MeasureError> {
         Ok(Self {
             at: Instant::now(),
-            usages: watched.usages()?,
+            usages: processes.usages()?,
             traffic: gatekeepers.traffic(),
             heartbeats: workers.acknowledged(),
         })
     }
 }
 
-/// How long changes took.
+/// Latencies of the configuration changes.
 #[derive(Default)]
 struct Changes {
+    /// Time from sending each change until its acknowledgement.
     acknowledged_in: Vec<Duration>,
+    /// Time from sending each change until all gatekeepers have received it.
     everywhere_in: Vec<Duration>,
 }
 
-/// Measures one size with a build of the program, inside a `LocalSet`.
+/// Runs one measurement with the given program. Must be called inside a `LocalSet`.
 ///
 /// # Errors
-/// The processes do not come up, or a change is not taken or not everywhere in time.
+/// The processes do not become ready, a change is rejected, or it does not reach all gatekeepers in time.
 pub async fn measure(program: &Path, size: &Size) -> Result<Metrics, MeasureError> {
     let (spec, zones) = spec(size);
     let tier = Tier::start(program, spec)?;
@@ -90,14 +100,14 @@
     let workers = Workers::start(size.workers, &tier.controls, &zones, size.heartbeat);
     let gatekeepers = Gatekeepers::start(size.gatekeepers, &feed_addresses(&tier), &zones);
     await_start(&workers, &gatekeepers).await?;
-    let watched = Watched(tier.process_ids());
-    sleep(SETTLE).await;
-    let begun = Reading::take(&watched, &gatekeepers, &workers)?;
+    let processes = MeasuredProcesses(tier.process_ids());
+    sleep(WARM_UP).await;
+    let begun = Reading::take(&processes, &gatekeepers, &workers)?;
     sleep(size.steady).await;
-    let steady = Reading::take(&watched, &gatekeepers, &workers)?;
+    let steady = Reading::take(&processes, &gatekeepers, &workers)?;
     let changes = change_repeatedly(&operator, size, &gatekeepers).await?;
-    let ended = Reading::take(&watched, &gatekeepers, &workers)?;
-    Ok(metrics(size, &watched, [&begun, &steady, &ended], changes, workers.failed()))
+    let ended = Reading::take(&processes, &gatekeepers, &workers)?;
+    Ok(metrics(size, &processes, [&begun, &steady, &ended], changes, workers.failed()))
 }
 
 fn spec(size: &Size) -> (TierSpec, Vec<String>) {
@@ -106,7 +116,7 @@
     (spec, zones)
 }
 
-/// Where the control processes serve the change feed.
+/// Returns the addresses on which the control processes serve the change feed.
 fn feed_addresses(tier: &Tier) -> Vec<SocketAddr> {
     let port = tier.ports.inner.0 + 1;
     let cores = tier.names().into_iter().filter(|name| tier.class(name).is_ok_and(|c| c == Class::Core));
@@ -114,23 +124,27 @@
 }
 
 async fn await_start(workers: &Workers, gatekeepers: &Gatekeepers) -> Result<(), MeasureError> {
-    if !workers.all_known(START_LIMIT).await {
-        return Err(MeasureError::Late { what: "the first heartbeats of all workers".to_owned() });
+    if !workers.wait_until_registered(START_LIMIT).await {
+        return Err(MeasureError::TimedOut { condition: "the first heartbeats of all workers".to_owned() });
     }
-    if !gatekeepers.all_have(1, START_LIMIT).await {
-        let what = format!("the first configuration: only {} have it", gatekeepers.having(1));
-        return Err(MeasureError::Late { what });
+    if !gatekeepers.wait_for_generation(1, START_LIMIT).await {
+        let condition = format!(
+            "the first configuration: only {} gatekeepers have received it",
+            gatekeepers.count_with_generation(1)
+        );
+        return Err(MeasureError::TimedOut { condition });
     }
     Ok(())
 }
 
-/// Has a generation taken that builds on the one before it.
+/// Sends a configuration that replaces the previous generation, and waits for its acknowledgement.
 async fn change(operator: &Operator, size: &Size, generation: u64) -> Result<(), MeasureError> {
     let body = Arc::new(configuration(size.routes, generation).body());
     let status = operator.configure(&body, generation - 1, true, CHANGE_LIMIT).await;
-    if status == 200 { Ok(()) } else { Err(MeasureError::Refused { generation, status }) }
+    if status == 200 { Ok(()) } else { Err(MeasureError::Rejected { generation, status }) }
 }
 
+/// Sends the configuration changes one after another and measures their latencies.
 async fn change_repeatedly(
     operator: &Operator,
     size: &Size,
@@ -140,17 +154,19 @@
     for generation in 2..2 + size.changes {
         let sent = Instant::now();
         let acknowledged = async {
-            let taken = change(operator, size, generation).await;
-            taken.map(|()| sent.elapsed())
+            let accepted = change(operator, size, generation).await;
+            accepted.map(|()| sent.elapsed())
         };
         let everywhere = async {
-            let has = gatekeepers.all_have(generation, CHANGE_LIMIT).await;
-            has.then(|| sent.elapsed())
+            let is_everywhere = gatekeepers.wait_for_generation(generation, CHANGE_LIMIT).await;
+            is_everywhere.then(|| sent.elapsed())
         };
         let (acknowledged, everywhere) = tokio::join!(acknowledged, everywhere);
         changes.acknowledged_in.push(acknowledged?);
         let Some(everywhere) = everywhere else {
-            return Err(MeasureError::Late { what: format!("configuration {generation} everywhere") });
+            return Err(MeasureError::TimedOut {
+                condition: format!("configuration {generation} everywhere"),
+            });
         };
         changes.everywhere_in.push(everywhere);
         sleep_until(sent + size.change_period).await;
@@ -158,9 +174,10 @@
     Ok(changes)
 }
 
+/// Computes the metrics from the readings at the start and end of the steady phase and after the changes.
 fn metrics(
     size: &Size,
-    watched: &Watched,
+    processes: &MeasuredProcesses,
     [begun, steady, ended]: [&Reading; 3],
     changes: Changes,
     heartbeats_failed: u64,
@@ -171,8 +188,8 @@
     let bytes = (steady.traffic.bytes - begun.traffic.bytes) as f64;
     let later_bytes = (ended.traffic.bytes - steady.traffic.bytes) as f64;
     let beyond_steady = (later_bytes - bytes / seconds * later_seconds).max(0.0);
-    let loads = watched.0.iter().enumerate().map(|(place, (name, _))| {
-        let [first, second, third] = [begun, steady, ended].map(|reading| reading.usages[place]);
+    let loads = processes.0.iter().enumerate().map(|(index, (name, _))| {
+        let [first, second, third] = [begun, steady, ended].map(|reading| reading.usages[index]);
         let steady_cores = second.processor.saturating_sub(first.processor).as_secs_f64() / seconds;
         let later =
             third.processor.saturating_sub(second.processor).as_secs_f64() - steady_cores * later_seconds;
--- a/crates/control-load/src/metrics.rs
+++ b/crates/control-load/src/metrics.rs
@@ -1,54 +1,54 @@
-//! What a measurement gave.
+//! The metrics of a measurement.
 
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// What one process used in a span of time.
+/// Resource usage of one process during a measurement.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Load {
-    /// The process's role and machine.
+    /// Role and machine of the process.
     pub name: String,
-    /// Share of a core in the steady span.
+    /// Mean processor usage in the steady phase, in cores.
     pub steady_cores: f64,
-    /// Processor time beyond the steady use, for each change of the configuration.
+    /// Processor time per configuration change, in addition to the steady usage.
     pub per_change: Duration,
-    /// Memory at the end of the steady span, in bytes.
+    /// Resident memory at the end of the steady phase, in bytes.
     pub steady_bytes: u64,
-    /// The most memory over the whole measurement, in bytes.
+    /// Peak resident memory since the start of the process, in bytes.
     pub peak_bytes: u64,
 }
 
-/// What a measurement at one size gave.
+/// Metrics of one measurement.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Metrics {
-    /// Simulated gatekeepers.
+    /// Number of simulated gatekeepers.
     pub gatekeepers: usize,
-    /// Simulated workers.
+    /// Number of simulated workers.
     pub workers: usize,
-    /// Bytes of the configuration as the operator sends it.
+    /// Size of the configuration body, in bytes.
     pub configuration_bytes: usize,
-    /// Heartbeats of workers acknowledged each second.
+    /// Acknowledged worker heartbeats per second in the steady phase.
     pub heartbeats_a_second: f64,
-    /// Heartbeats that no control process acknowledged.
+    /// Number of heartbeats over the whole measurement that no control process acknowledged.
     pub heartbeats_failed: u64,
-    /// Frames that each gatekeeper got from control each second while nothing changed.
+    /// Frames per second that each gatekeeper received from control in the steady phase.
     pub frames_a_second: f64,
-    /// Their bytes, without the headers of TCP and IP.
+    /// Bytes per second that each gatekeeper received in the steady phase, without TCP and IP headers.
     pub bytes_down_a_second: f64,
-    /// Bytes that each gatekeeper sent to control each second.
+    /// Bytes per second that each gatekeeper sends to control as heartbeats, without TCP and IP headers.
     pub bytes_up_a_second: f64,
-    /// Bytes that each gatekeeper got for one change.
+    /// Bytes that each gatekeeper received for one change, in addition to the steady traffic.
     pub bytes_a_change: f64,
-    /// From sending each change until the operator had its acknowledgement.
+    /// Time from sending each change until the operator received its acknowledgement.
     pub acknowledged_in: Vec<Duration>,
-    /// From sending each change until the last gatekeeper had it.
+    /// Time from sending each change until all gatekeepers had received it.
     pub everywhere_in: Vec<Duration>,
-    /// What each process used.
+    /// Resource usage of each measured process.
     pub loads: Vec<Load>,
 }
 
 impl Metrics {
-    /// As one JSON value.
+    /// Returns the metrics as a JSON object.
     #[must_use]
     pub fn to_json(&self) -> Value {
         let loads = self.loads.iter().map(|load| {
@@ -67,15 +67,15 @@
             "bytes_down_a_second": rounded(self.bytes_down_a_second),
             "bytes_up_a_second": rounded(self.bytes_up_a_second),
             "bytes_a_change": rounded(self.bytes_a_change),
-            "acknowledged_ms": longest_ms(&self.acknowledged_in),
-            "everywhere_ms": longest_ms(&self.everywhere_in),
+            "acknowledged_ms": median_and_longest_ms(&self.acknowledged_in),
+            "everywhere_ms": median_and_longest_ms(&self.everywhere_in),
             "loads": loads.collect::<Vec<_>>(),
         })
     }
 }
 
-/// The median and the longest of several times, in milliseconds.
-fn longest_ms(times: &[Duration]) -> Value {
+/// Returns the median and the longest of the durations, in milliseconds.
+fn median_and_longest_ms(times: &[Duration]) -> Value {
     let mut sorted = times.to_vec();
     sorted.sort_unstable();
     let ms = |time: Option<&Duration>| time.map(|time| time.as_millis() as u64);
@@ -86,7 +86,7 @@
     rounded(bytes as f64 / 1e6)
 }
 
-/// To four decimals: more says nothing.
+/// Rounds to four decimal places, beyond the precision of the measurement.
 fn rounded(value: f64) -> f64 {
     (value * 1e4).round() / 1e4
 }
--- a/crates/control-load/src/usage.rs
+++ b/crates/control-load/src/usage.rs
@@ -1,4 +1,4 @@
-//! What a process has used, as `/proc` tells it.
+//! Resource usage of a process, from `/proc`.
 
 use crate::error::{MeasureError, ReadSnafu};
 use snafu::ResultExt;
@@ -8,31 +8,31 @@
     time::Duration,
 };
 
-/// Length of a clock tick of `/proc/PID/stat`; fixed by the kernel's interface.
+/// Length of a clock tick in `/proc/PID/stat`, which is fixed by the kernel's interface.
 const TICK: Duration = Duration::from_millis(10);
-/// Place of the user time among the fields that follow the command's name.
+/// Index of the user time among the fields that follow the command name.
 const USER_TIME_FIELD: usize = 11;
-/// Place of the system time among them.
+/// Index of the system time among the fields that follow the command name.
 const SYSTEM_TIME_FIELD: usize = 12;
-/// Bytes of the unit in which `/proc/PID/status` gives memory.
+/// Size in bytes of the unit of memory in `/proc/PID/status`.
 const KIB: u64 = 1024;
 
-/// What a process has used so far.
+/// Resource usage of a process since its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Usage {
-    /// Processor time of all its threads.
+    /// Processor time of all threads.
     pub processor: Duration,
-    /// Memory that it holds now, in bytes.
+    /// Current resident memory, in bytes.
     pub resident_bytes: u64,
-    /// The most memory that it has held, in bytes.
+    /// Peak resident memory, in bytes.
     pub peak_bytes: u64,
 }
 
 impl Usage {
-    /// The usage of a process that runs.
+    /// Reads the usage of a running process.
     ///
     /// # Errors
-    /// It has ended, or `/proc` is not as expected.
+    /// The process has ended, or a file in `/proc` has an unexpected format.
     pub fn of(process: u32) -> Result<Self, MeasureError> {
         let folder = PathBuf::from(format!("/proc/{process}"));
         let (stat, status) = (folder.join("stat"), folder.join("status"));
@@ -51,16 +51,17 @@
     fs::read_to_string(path).context(ReadSnafu { path })
 }
 
-/// The processor time that a `stat` file tells. The command's name stands in brackets and may hold spaces and brackets.
+/// Parses the processor time from a `stat` file. The command name is in parentheses and may itself contain spaces and
+/// parentheses.
 #[must_use]
 pub fn processor_time(stat: &str) -> Option<Duration> {
     let (_, after_name) = stat.rsplit_once(')')?;
     let fields: Vec<&str> = after_name.split_whitespace().collect();
-    let ticks = |place: usize| fields.get(place)?.parse::<u32>().ok();
+    let ticks = |index: usize| fields.get(index)?.parse::<u32>().ok();
     Some(TICK * (ticks(USER_TIME_FIELD)? + ticks(SYSTEM_TIME_FIELD)?))
 }
 
-/// A quantity of memory that a `status` file tells, in bytes.
+/// Parses the value of a memory key, such as `VmRSS`, from a `status` file. Returns bytes.
 #[must_use]
 pub fn memory_bytes(status: &str, key: &str) -> Option<u64> {
     let line = status.lines().find_map(|line| line.strip_prefix(key)?.strip_prefix(':'))?;
--- a/crates/control-load/src/workers.rs
+++ b/crates/control-load/src/workers.rs
@@ -1,4 +1,4 @@
-//! Simulated workers: they send heartbeats and take no requests.
+//! Simulated workers, which send heartbeats but accept no requests.
 
 use crate::configuration::service_name;
 use fleetlab::tier::worker::registration::{ControlAddresses, Registration, WorkerDescription};
@@ -9,19 +9,23 @@
     time::{Instant, MissedTickBehavior, interval_at, timeout},
 };
 
-/// Requests that a worker takes at a time.
+/// Number of concurrent requests that each worker announces.
 const CAPACITY: usize = 32;
-/// The port that they name; nobody calls them there.
+/// Port that the workers announce; nothing connects to it.
 const PORT: u16 = 9000;
-/// Addresses in one network of those that they name.
+/// Number of announced addresses in one /24 network.
 const HOSTS: usize = 250;
 
-/// What became of heartbeats so far.
+/// Counts of heartbeats since the start.
 #[derive(Debug, Default)]
 struct Counts {
+    /// Number of acknowledged heartbeats.
     acknowledged: Cell<u64>,
+    /// Number of heartbeats that no control process acknowledged.
     failed: Cell<u64>,
-    known: Cell<usize>,
+    /// Number of workers with at least one acknowledged heartbeat.
+    registered: Cell<usize>,
+    /// Notified when `registered` changes.
     changed: Notify,
 }
 
@@ -32,35 +36,35 @@
 }
 
 impl Workers {
-    /// Starts so many, inside a `LocalSet`. Their first heartbeats are spread over one period.
+    /// Starts `count` simulated workers. Must be called inside a `LocalSet`. The first heartbeats are spread over one period.
     #[must_use]
     pub fn start(count: usize, controls: &ControlAddresses, zones: &[String], period: Duration) -> Self {
         let counts = Rc::<Counts>::default();
         let tasks = (0..count).map(|number| {
             let first = period.mul_f64(number as f64 / count as f64);
             let registration = Registration::new(facts(number, zones), controls.clone());
-            tokio::task::spawn_local(beat(registration, first, period, counts.clone()))
+            tokio::task::spawn_local(send_heartbeats(registration, first, period, counts.clone()))
         });
         Self { tasks: tasks.collect(), counts }
     }
 
-    /// Waits until each was acknowledged once; whether all were in time.
-    pub async fn all_known(&self, limit: Duration) -> bool {
+    /// Waits until a heartbeat of each worker was acknowledged. Returns whether this happened within `limit`.
+    pub async fn wait_until_registered(&self, limit: Duration) -> bool {
         let all = async {
-            while self.counts.known.get() < self.tasks.len() {
+            while self.counts.registered.get() < self.tasks.len() {
                 self.counts.changed.notified().await;
             }
         };
         timeout(limit, all).await.is_ok()
     }
 
-    /// Heartbeats acknowledged so far.
+    /// Returns the number of heartbeats acknowledged so far.
     #[must_use]
     pub fn acknowledged(&self) -> u64 {
         self.counts.acknowledged.get()
     }
 
-    /// Heartbeats that no control process acknowledged.
+    /// Returns the number of heartbeats so far that no control process acknowledged.
     #[must_use]
     pub fn failed(&self) -> u64 {
         self.counts.failed.get()
@@ -85,10 +89,15 @@
     }
 }
 
-async fn beat(mut registration: Registration, first: Duration, period: Duration, counts: Rc<Counts>) {
+async fn send_heartbeats(
+    mut registration: Registration,
+    first: Duration,
+    period: Duration,
+    counts: Rc<Counts>,
+) {
     let mut ticks = interval_at(Instant::now() + first, period);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut is_known = false;
+    let mut is_registered = false;
     loop {
         ticks.tick().await;
         if !registration.heartbeat(false).await {
@@ -96,9 +105,9 @@
             continue;
         }
         counts.acknowledged.set(counts.acknowledged.get() + 1);
-        if !is_known {
-            is_known = true;
-            counts.known.set(counts.known.get() + 1);
+        if !is_registered {
+            is_registered = true;
+            counts.registered.set(counts.registered.get() + 1);
             counts.changed.notify_one();
         }
     }
