--- a/crates/storage/src/data_directory.rs
+++ b/crates/storage/src/data_directory.rs
@@ -35,7 +35,7 @@
         directory
             .disk
             .create_directory(&directory.path)
-            .map_err(from_io("create folder", &directory.path))?;
+            .map_err(from_io("create directory", &directory.path))?;
         directory.remove_temporary_files()?;
         Ok(directory)
     }
@@ -65,7 +65,7 @@
     }
 
     pub(crate) fn sync(&self) -> Result<(), StorageError> {
-        self.disk.sync_directory(&self.path).map_err(from_io("sync folder", &self.path))
+        self.disk.sync_directory(&self.path).map_err(from_io("sync directory", &self.path))
     }
 
     /// Removes a file and syncs the directory, so that the removal is durable.
