--- a/crates/opalrun/tests/names.rs
+++ b/crates/opalrun/tests/names.rs
@@ -1,6 +1,6 @@
-//! Names and numbers that operators, workers and clients rely on. None of them may change.
+//! Names and numbers that operators, workers and clients depend on. None of them may change.
 //!
-//! Each is written out here as the pages give it, and none is taken from the sources.
+//! Each is written here literally, as in the documentation, and not taken from the source code.
 
 #[path = "names/command_line.rs"]
 mod command_line;
--- a/crates/opalrun/tests/names/headers.rs
+++ b/crates/opalrun/tests/names/headers.rs
@@ -1,4 +1,4 @@
-//! Headers of requests and answers that the tier gives a meaning to.
+//! Headers of requests and responses that the tier interprets.
 
 use crate::support::repository;
 use std::{collections::BTreeSet, path::Path};
@@ -24,7 +24,7 @@
 ];
 const DEFINED_BY: &str = "HeaderName::from_static(\"";
 
-/// Collects the headers that the sources of a folder define; tests don't count.
+/// Collects the headers defined in the source files of a directory, except test files.
 fn collect(folder: &Path, found: &mut BTreeSet<String>) {
     for entry in std::fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
--- a/crates/opalrun/tests/tier.rs
+++ b/crates/opalrun/tests/tier.rs
@@ -1,4 +1,5 @@
-//! The whole tier as real processes over loopback, among the lab's stand-ins. Every test is judged by all rules.
+//! Tests of a complete tier of real processes over loopback, with the lab's simulated clients, workers and operator. At the
+//! end of every test, all guarantees of the tier are checked.
 
 #[path = "tier/support.rs"]
 mod support;
