--- a/lab/src/baseline.rs
+++ b/lab/src/baseline.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     bucket::Bucket,
-    record::{Ending, Event, FORM, Header, Meter, Outcome, Recording, Seen},
+    record::{Ending, Event, FORMAT_VERSION, Header, Meter, Outcome, Recording, Seen},
     scenario::{Requirements, Scenario},
     world::plan::{Plan, mix},
 };
@@ -75,7 +75,7 @@
     let Model { plan, mut seen, .. } = model;
     seen.sort_by_key(|s| s.at);
     let header = Header {
-        form: FORM,
+        form: FORMAT_VERSION,
         seed,
         build: format!("{policy:?}"),
         gate_zones: plan.gate_zones.clone(),
@@ -89,7 +89,7 @@
 }
 
 impl Model {
-    fn note(&mut self, at: f64, event: Event) {
+    fn record(&mut self, at: f64, event: Event) {
         self.seen.push(Seen { at: micros(at), event });
     }
 
@@ -123,7 +123,7 @@
         let [least, most] = clients.try_share;
         let remaining = (class.deadline_ms / 1e3 * (least + (most - least) * rng.random::<f64>())).min(left);
         let (plan, of) = (customer.plan, arrival.customer);
-        self.note(
+        self.record(
             now,
             Event::Try { txn, first, again, gate, customer: of, plan, class: arrival.class, remaining },
         );
@@ -136,7 +136,7 @@
                 // It was not sent on: its unit is still there.
                 self.give_back(of, gate);
             }
-            self.note(decided, Event::Answer { txn, outcome: Outcome::Refused { after: 0.5 } });
+            self.record(decided, Event::Answer { txn, outcome: Outcome::Refused { after: 0.5 } });
             let backoff =
                 clients.backoff_ms / 1e3 * f64::from(1 << again.min(8)) * (0.5 + rng.random::<f64>());
             let honours = rng.random::<f64>() < clients.honour;
@@ -148,10 +148,10 @@
         self.cores.pop();
         self.cores.push(Reverse(micros(ends)));
         self.out.entry(of).or_default().push(ends);
-        self.note(decided, Event::Attempt { txn, gate, worker: 0, intact: true, link_delay: 0 });
+        self.record(decided, Event::Attempt { txn, gate, worker: 0, intact: true, link_delay: 0 });
         let (queued, worked) = (begins - decided, ends - begins);
-        self.note(ends, Event::Ended { txn, worker: 0, how: Ending::Served, queued, worked });
-        self.note(ends, Event::Answer { txn, outcome: Outcome::Served { genuine: true } });
+        self.record(ends, Event::Ended { txn, worker: 0, how: Ending::Served, queued, worked });
+        self.record(ends, Event::Answer { txn, outcome: Outcome::Served { genuine: true } });
         None
     }
 
--- a/lab/src/experiment.rs
+++ b/lab/src/experiment.rs
@@ -71,7 +71,7 @@
 ///
 /// # Errors
 /// The path names no key.
-pub fn set(table: &mut Table, path: &str, value: Value) -> Result<(), UnknownKey> {
+pub fn set_key(table: &mut Table, path: &str, value: Value) -> Result<(), UnknownKey> {
     let wrong = || UnknownKey { path: path.to_owned() };
     let mut at = table;
     let mut steps = path.split('.').peekable();
@@ -102,7 +102,7 @@
 
 /// Reads a value as TOML would; what is no TOML value is text.
 #[must_use]
-pub fn value(text: &str) -> Value {
+pub fn parse_value(text: &str) -> Value {
     let parsed = format!("v = {text}").parse::<Table>().ok().and_then(|mut t| t.remove("v"));
     parsed.unwrap_or_else(|| Value::String(text.to_owned()))
 }
@@ -124,14 +124,14 @@
     #[test]
     fn any_key_can_be_set() {
         let mut table: Table = "length_s = 1\n[[fault]]\nat_s = 1".parse().expect("TOML");
-        set(&mut table, "load.use", value("0.85")).expect("a key");
-        set(&mut table, "fault[0].for_s", value("3")).expect("a key");
-        set(&mut table, "name", value("a b")).expect("a key");
+        set_key(&mut table, "load.use", parse_value("0.85")).expect("a key");
+        set_key(&mut table, "fault[0].for_s", parse_value("3")).expect("a key");
+        set_key(&mut table, "name", parse_value("a b")).expect("a key");
         assert_eq!(table["load"]["use"].as_float(), Some(0.85));
         assert_eq!(table["fault"][0]["for_s"].as_integer(), Some(3));
         assert_eq!(table["name"].as_str(), Some("a b"));
         for path in ["", "fault[1].at_s", "fault[x].at_s", "length_s.x", "fault[0]"] {
-            assert!(set(&mut table, path, value("1")).is_err(), "{path}");
+            assert!(set_key(&mut table, path, parse_value("1")).is_err(), "{path}");
         }
     }
 }
--- a/lab/src/http.rs
+++ b/lab/src/http.rs
@@ -46,16 +46,16 @@
     /// The head alone, and how many bytes it took; `None`: it is not whole yet.
     pub(crate) fn parse_head(bytes: &[u8]) -> Result<Option<(Self, usize)>, io::Error> {
         let Some(end) = bytes.windows(4).position(|w| w == b"\r\n\r\n") else {
-            return if bytes.len() > MAX_HEAD_BYTES { Err(unreadable()) } else { Ok(None) };
+            return if bytes.len() > MAX_HEAD_BYTES { Err(invalid_message()) } else { Ok(None) };
         };
-        let head = std::str::from_utf8(&bytes[..end]).map_err(|_| unreadable())?;
+        let head = std::str::from_utf8(&bytes[..end]).map_err(|_| invalid_message())?;
         let mut lines = head.split("\r\n");
         let line = lines.next().unwrap_or("").to_owned();
         let header = |l: &str| {
             let (name, value) = l.split_once(':')?;
             Some((name.to_ascii_lowercase(), value.trim().to_owned()))
         };
-        let headers = lines.map(header).collect::<Option<Vec<_>>>().ok_or_else(unreadable)?;
+        let headers = lines.map(header).collect::<Option<Vec<_>>>().ok_or_else(invalid_message)?;
         Ok(Some((Self { line, headers, body: Vec::new() }, end + 4)))
     }
 
@@ -67,11 +67,11 @@
             return Ok(Some((message, head + used)));
         }
         let length = match message.header("content-length") {
-            Some(text) => text.parse::<usize>().map_err(|_| unreadable())?,
+            Some(text) => text.parse::<usize>().map_err(|_| invalid_message())?,
             None => 0,
         };
         if length > MAX_BODY_BYTES {
-            return Err(unreadable());
+            return Err(invalid_message());
         }
         let whole = head + length;
         if bytes.len() < whole {
@@ -87,18 +87,18 @@
     let (mut body, mut at) = (Vec::new(), 0);
     loop {
         let Some(line) = bytes[at..].windows(2).position(|w| w == b"\r\n") else {
-            return if bytes.len() - at > MAX_HEAD_BYTES { Err(unreadable()) } else { Ok(None) };
+            return if bytes.len() - at > MAX_HEAD_BYTES { Err(invalid_message()) } else { Ok(None) };
         };
-        let size = std::str::from_utf8(&bytes[at..at + line]).map_err(|_| unreadable())?;
-        let size = usize::from_str_radix(size.trim(), 16).map_err(|_| unreadable())?;
+        let size = std::str::from_utf8(&bytes[at..at + line]).map_err(|_| invalid_message())?;
+        let size = usize::from_str_radix(size.trim(), 16).map_err(|_| invalid_message())?;
         if size > MAX_BODY_BYTES || body.len() + size > MAX_BODY_BYTES {
-            return Err(unreadable());
+            return Err(invalid_message());
         }
         let (from, to) = (at + line + 2, at + line + 2 + size);
         match bytes.get(to..to + 2) {
             None => return Ok(None),
             Some(b"\r\n") => body.extend_from_slice(&bytes[from..to]),
-            Some(_) => return Err(unreadable()),
+            Some(_) => return Err(invalid_message()),
         }
         at = to + 2;
         if size == 0 {
@@ -109,7 +109,7 @@
 
 /// The beginning of a good answer in chunks: its head and one of them.
 #[must_use]
-pub fn beginning(part: &[u8]) -> Vec<u8> {
+pub fn first_chunk(part: &[u8]) -> Vec<u8> {
     let mut bytes =
         format!("HTTP/1.1 200 -\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n", part.len()).into_bytes();
     bytes.extend_from_slice(part);
@@ -119,13 +119,13 @@
 
 /// The first half of a good answer of stated length.
 #[must_use]
-pub fn half(body: &str) -> Vec<u8> {
+pub fn first_half(body: &str) -> Vec<u8> {
     let mut bytes = answer(200, "", body.as_bytes());
     bytes.truncate(bytes.len() - body.len().div_ceil(2));
     bytes
 }
 
-pub(crate) fn unreadable() -> io::Error {
+pub(crate) fn invalid_message() -> io::Error {
     io::ErrorKind::InvalidData.into()
 }
 
@@ -168,12 +168,12 @@
         let (message, used) = Message::parse(&bytes).expect("readable").expect("whole");
         assert_eq!((message.status(), message.header("x-a"), used), (200, Some("b"), bytes.len()));
         assert_eq!(message.body, b"body");
-        let mut bytes = beginning(b"bo");
+        let mut bytes = first_chunk(b"bo");
         assert!(Message::parse(&bytes).is_ok_and(|m| m.is_none()), "no end yet");
         bytes.extend_from_slice(b"2\r\ndy\r\n0\r\n\r\nHTTP");
         let (message, used) = Message::parse(&bytes).expect("readable").expect("whole");
         assert_eq!((message.body.as_slice(), &bytes[used..]), (b"body".as_slice(), b"HTTP".as_slice()));
-        assert!(half("body").ends_with(b"\r\n\r\nbo"));
+        assert!(first_half("body").ends_with(b"\r\n\r\nbo"));
         let bad: [&[u8]; 5] = [
             b"HTTP/1.1 200 -\r\nTransfer-Encoding: chunked\r\n\r\nx\r\n",
             b"HTTP/1.1 200 -\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc",
--- a/lab/src/judge/answers.rs
+++ b/lab/src/judge/answers.rs
@@ -5,8 +5,8 @@
 
 impl Judge<'_> {
     /// Finds requests whose answer was missing, late or made up.
-    pub(super) fn answers(&mut self) {
-        let excused_spans = self.excuses();
+    pub(super) fn check_answers(&mut self) {
+        let excused_spans = self.excused_spans();
         let mut found = Vec::new();
         for (txn, tried) in &self.tries {
             let by = tried.at + tried.remaining + SLACK_S;
@@ -36,6 +36,6 @@
                 found.push((Rule::Genuine, at, what));
             }
         }
-        self.report(found);
+        self.add_violations(found);
     }
 }
--- a/lab/src/judge/departures.rs
+++ b/lab/src/judge/departures.rs
@@ -4,14 +4,14 @@
 use crate::record::Outcome;
 
 /// What waited when its client left may be sent on for so long after.
-const GONE_S: f64 = 0.3;
+const CANCELLATION_ALLOWANCE_S: f64 = 0.3;
 /// Share of those that may be sent on later, where there are so many of them at least.
 const MAX_SENT_AFTER_DEPARTURE: (f64, usize) = (0.25, 5);
 
 impl Judge<'_> {
     /// Sends for clients that have left.
-    pub(super) fn departures(&mut self) {
-        let spans = self.excuses();
+    pub(super) fn check_departures(&mut self) {
+        let spans = self.excused_spans();
         let (mut waited, mut sent) = (0, Vec::new());
         for (txn, tried) in &self.tries {
             let Some((left, Outcome::Left)) = tried.answer else { continue };
@@ -24,7 +24,9 @@
                 continue;
             }
             waited += 1;
-            if first.is_finite() && first > left + GONE_S + self.machine_delay(tried.gate, left, first) {
+            if first.is_finite()
+                && first > left + CANCELLATION_ALLOWANCE_S + self.machine_delay(tried.gate, left, first)
+            {
                 sent.push((first, *txn));
             }
         }
@@ -33,7 +35,7 @@
         if waited >= least && sent.len() as f64 > share * waited as f64 {
             let found =
                 |(at, txn)| (Rule::Gone, at, format!("{txn:016x} was sent on after its client had left"));
-            self.report(sent.into_iter().map(found).collect());
+            self.add_violations(sent.into_iter().map(found).collect());
         }
     }
 }
--- a/lab/src/judge/excuses.rs
+++ b/lab/src/judge/excuses.rs
@@ -8,12 +8,12 @@
 use std::collections::HashMap;
 
 /// A gateway that came back may owe its clients nothing for so long: their connections were reset.
-const EXCUSED_S: f64 = 0.3;
+const RECONNECT_ALLOWANCE_S: f64 = 0.3;
 
 impl Judge<'_> {
     /// By gateway, the times for which it owes nothing: killed, paused, or cut off from the front by the lab.
-    pub(super) fn excuses(&self) -> HashMap<usize, Vec<(f64, f64)>> {
-        let mut excuses: HashMap<usize, Vec<(f64, f64)>> = HashMap::new();
+    pub(super) fn excused_spans(&self) -> HashMap<usize, Vec<(f64, f64)>> {
+        let mut spans: HashMap<usize, Vec<(f64, f64)>> = HashMap::new();
         let mut since: HashMap<usize, f64> = HashMap::new();
         let zones = &self.scenario.world.zones;
         for Seen { at, event } in &self.recording.seen {
@@ -25,7 +25,7 @@
                     }
                     GateState::Ready | GateState::Continued => {
                         if let Some(from) = since.remove(gate) {
-                            excuses.entry(*gate).or_default().push((from, at + EXCUSED_S));
+                            spans.entry(*gate).or_default().push((from, at + RECONNECT_ALLOWANCE_S));
                         }
                     }
                     GateState::Terminated => {}
@@ -39,7 +39,7 @@
                         let lasts = if once { 0.0 } else { fault.for_s.unwrap_or(f64::INFINITY) };
                         let until = at + lasts + 1.0;
                         for gate in gates {
-                            excuses.entry(*gate).or_default().push((at, until));
+                            spans.entry(*gate).or_default().push((at, until));
                         }
                     }
                 }
@@ -47,9 +47,9 @@
             }
         }
         for (gate, from) in since {
-            excuses.entry(gate).or_default().push((from, f64::INFINITY));
+            spans.entry(gate).or_default().push((from, f64::INFINITY));
         }
-        excuses
+        spans
     }
 }
 
--- a/lab/src/judge/gather.rs
+++ b/lab/src/judge/gather.rs
@@ -12,7 +12,7 @@
 
 impl Judge<'_> {
     /// Sorts what was seen by request, and counts it by second.
-    pub(super) fn gather(&mut self) {
+    pub(super) fn index_events(&mut self) {
         let recording = self.recording;
         let mut attempts = AttemptCounts::new();
         for Seen { at, event } in &recording.seen {
@@ -33,7 +33,7 @@
                 }
                 Event::Stranger { gate, worker } => {
                     let what = format!("gateway {gate} sent worker {worker} what no client sent");
-                    self.broken(Rule::Strangers, at, what);
+                    self.add_violation(Rule::Strangers, at, what);
                 }
                 Event::Probe { .. } => self.second(at).probes += 1,
                 Event::Handshake { .. } => self.second(at).handshakes += 1,
@@ -43,7 +43,7 @@
                     second.busy_calls += u64::from(total.is_none());
                 }
                 Event::Gate { gate, state: GateState::Exited { wanted: false, status } } => {
-                    self.broken(Rule::Crash, at, format!("gateway {gate} ended: {status}"));
+                    self.add_violation(Rule::Crash, at, format!("gateway {gate} ended: {status}"));
                 }
                 Event::Reason { txn, why, .. } => {
                     self.reasons.insert(*txn, why);
@@ -77,7 +77,7 @@
         }
         let Some(request) = self.tries.get_mut(&txn) else { return };
         if request.answer.is_some() {
-            self.broken(Rule::Answers, at, format!("{txn:016x} has a second answer"));
+            self.add_violation(Rule::Answers, at, format!("{txn:016x} has a second answer"));
         } else {
             request.answer = Some((at, outcome.clone()));
         }
@@ -89,10 +89,10 @@
             *n += 1;
         }
         if !intact {
-            self.broken(Rule::Strangers, at, format!("{txn:016x} came to worker {worker} changed"));
+            self.add_violation(Rule::Strangers, at, format!("{txn:016x} came to worker {worker} changed"));
         }
         let Some(request) = self.tries.get_mut(&txn) else {
-            self.broken(Rule::Strangers, at, format!("{txn:016x} was never sent"));
+            self.add_violation(Rule::Strangers, at, format!("{txn:016x} was never sent"));
             return;
         };
         request.sent.push(Attempt { at, left_gateway, worker, ended: None });
--- a/lab/src/judge/mod.rs
+++ b/lab/src/judge/mod.rs
@@ -14,7 +14,7 @@
 mod workers;
 mod worth;
 
-pub use rule::{Broken, Rule};
+pub use rule::{Rule, Violation};
 pub use verdict::{Causes, Recovery, Second, Totals, Verdict};
 
 use crate::{
@@ -57,31 +57,31 @@
         order: Vec::new(),
         reasons: HashMap::new(),
     };
-    judge.gather();
-    judge.answers();
-    judge.repeats();
-    judge.departures();
-    judge.workers();
-    judge.quotas();
-    judge.worth();
-    judge.recovery();
+    judge.index_events();
+    judge.check_answers();
+    judge.check_repeats();
+    judge.check_departures();
+    judge.check_workers();
+    judge.check_quotas();
+    judge.compute_value();
+    judge.measure_recovery();
     judge.conclude()
 }
 
 impl Judge<'_> {
     /// Takes down one broken rule.
-    fn broken(&mut self, rule: Rule, at_s: f64, what: String) {
+    fn add_violation(&mut self, rule: Rule, at_s: f64, what: String) {
         *self.verdict.broken_by.entry(rule).or_default() += 1;
         if self.verdict.broken.len() < MAX_LISTED {
-            self.verdict.broken.push(Broken { rule, at_s, what });
+            self.verdict.broken.push(Violation { rule, at_s, what });
         }
     }
 
     /// Takes down what was found, in the order that it happened.
-    fn report(&mut self, mut found: Vec<(Rule, f64, String)>) {
+    fn add_violations(&mut self, mut found: Vec<(Rule, f64, String)>) {
         found.sort_by(|a, b| a.1.total_cmp(&b.1));
         for (rule, at, what) in found {
-            self.broken(rule, at, what);
+            self.add_violation(rule, at, what);
         }
     }
 
--- a/lab/src/judge/quotas.rs
+++ b/lab/src/judge/quotas.rs
@@ -71,7 +71,7 @@
 
 impl Judge<'_> {
     /// Quotas and ceilings against exact buckets, with a cause for each unit that went astray.
-    pub(super) fn quotas(&mut self) {
+    pub(super) fn check_quotas(&mut self) {
         let mut accounts: HashMap<usize, Account> = HashMap::new();
         let mut counts = Counts::default();
         for TimedStep { at, step, txn } in self.quota_steps() {
@@ -88,7 +88,7 @@
                         account.quota.level -= 1.0;
                     } else {
                         account.beyond += 1;
-                        self.count_beyond(&mut counts, at, level, txn);
+                        self.count_over_quota(&mut counts, at, level, txn);
                     }
                     if let Some(units) = account.rate_limit_exceeded(at, plan) {
                         counts.rate_limit_exceeded.push((
@@ -134,7 +134,7 @@
     }
 
     /// Counts a unit beyond its quota, unless that was in the lead-in.
-    fn count_beyond(&self, counts: &mut Counts, at: f64, level: f64, txn: u64) {
+    fn count_over_quota(&self, counts: &mut Counts, at: f64, level: f64, txn: u64) {
         if at < self.scenario.lead_s {
             return;
         }
@@ -145,7 +145,7 @@
 
     /// Takes the counts into the verdict.
     fn take_quota_counts(&mut self, counts: Counts, worst_beyond: u64) {
-        self.report(counts.rate_limit_exceeded);
+        self.add_violations(counts.rate_limit_exceeded);
         let lead = self.scenario.lead_s;
         let tries = self.tries.values().filter(|t| t.at >= lead).count().max(1) as f64;
         let verdict = &mut self.verdict;
--- a/lab/src/judge/recovery.rs
+++ b/lab/src/judge/recovery.rs
@@ -3,13 +3,13 @@
 use super::{Judge, Recovery};
 
 /// Seconds over which goodput is compared.
-const SPAN_S: f64 = 2.0;
+const WINDOW_S: f64 = 2.0;
 /// Share of the goodput before at which a fleet has recovered.
-const RECOVERED: f64 = 0.95;
+const RECOVERED_SHARE: f64 = 0.95;
 
 impl Judge<'_> {
     /// Compares goodput after the faults with that before them.
-    pub(super) fn recovery(&mut self) {
+    pub(super) fn measure_recovery(&mut self) {
         let Some((from, to)) = self.scenario.fault_span() else { return };
         let (seconds, end) = (&self.verdict.seconds, self.scenario.length_s);
         let share = |from: f64, to: f64| {
@@ -20,8 +20,8 @@
         let Some(before) = share(self.scenario.lead_s.min(from - 1.0).max(0.0), from) else { return };
         let mut at = to.ceil();
         let mut after_s = None;
-        while at + SPAN_S <= end {
-            if share(at, at + SPAN_S).is_some_and(|s| s >= RECOVERED * before) {
+        while at + WINDOW_S <= end {
+            if share(at, at + WINDOW_S).is_some_and(|s| s >= RECOVERED_SHARE * before) {
                 after_s = Some(at - to);
                 break;
             }
--- a/lab/src/judge/repeats.rs
+++ b/lab/src/judge/repeats.rs
@@ -5,7 +5,7 @@
 
 impl Judge<'_> {
     /// Sends and refusals after one that may have run.
-    pub(super) fn repeats(&mut self) {
+    pub(super) fn check_repeats(&mut self) {
         let mut found = Vec::new();
         let zones = &self.recording.header.worker_zones;
         for (txn, tried) in &self.tries {
@@ -34,6 +34,6 @@
                 found.push((rule, *at, format!("{txn:016x} was refused though it may have run")));
             }
         }
-        self.report(found);
+        self.add_violations(found);
     }
 }
--- a/lab/src/judge/rule.rs
+++ b/lab/src/judge/rule.rs
@@ -5,7 +5,7 @@
 
 /// A rule that was broken.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Broken {
+pub struct Violation {
     /// Which one.
     pub rule: Rule,
     /// When, in seconds since the load began.
--- a/lab/src/judge/tests.rs
+++ b/lab/src/judge/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::record::{Ending, Event, FORM, GateState, Header, Meter, Outcome, Seen, WorkerState};
+use crate::record::{Ending, Event, FORMAT_VERSION, GateState, Header, Meter, Outcome, Seen, WorkerState};
 use crate::run_delay::DelaySeries;
 
 const SERVED: Outcome = Outcome::Served { genuine: true };
@@ -19,26 +19,26 @@
         Self { rest: String::new(), seen: Vec::new() }
     }
 
-    fn note(&mut self, at_s: f64, event: Event) {
+    fn record(&mut self, at_s: f64, event: Event) {
         self.seen.push(Seen { at: at(at_s), event });
     }
 
     /// A try of `class` by `customer` of `plan` at gateway 0.
     fn tries(&mut self, at_s: f64, txn: u64, class: usize, plan: usize, customer: usize) {
         let event = Event::Try { txn, first: txn, again: 0, gate: 0, customer, plan, class, remaining: 1.0 };
-        self.note(at_s, event);
+        self.record(at_s, event);
     }
 
     fn sends(&mut self, at_s: f64, txn: u64, worker: usize) {
-        self.note(at_s, Event::Attempt { txn, gate: 0, worker, intact: true, link_delay: 0 });
+        self.record(at_s, Event::Attempt { txn, gate: 0, worker, intact: true, link_delay: 0 });
     }
 
     fn ends(&mut self, at_s: f64, txn: u64, worker: usize, how: Ending) {
-        self.note(at_s, Event::Ended { txn, worker, how, queued: 0.0, worked: 0.04 });
+        self.record(at_s, Event::Ended { txn, worker, how, queued: 0.0, worked: 0.04 });
     }
 
     fn answers(&mut self, at_s: f64, txn: u64, outcome: Outcome) {
-        self.note(at_s, Event::Answer { txn, outcome });
+        self.record(at_s, Event::Answer { txn, outcome });
     }
 
     /// A whole good exchange with worker 0.
@@ -54,7 +54,7 @@
         let scenario = Scenario::parse(&text).expect("a scenario");
         self.seen.sort_by_key(|s| s.at);
         let header = Header {
-            form: FORM,
+            form: FORMAT_VERSION,
             seed: 1,
             build: String::new(),
             gate_zones: vec![0; scenario.world.gatekeepers],
@@ -109,7 +109,7 @@
         tape.answers(1.1, 1, Outcome::Left);
         // A link that was cut gives it to its worker at 3 s.
         let link_delay = at(link_delay_s);
-        tape.note(3.0, Event::Attempt { txn: 1, gate: 0, worker: 0, intact: true, link_delay });
+        tape.record(3.0, Event::Attempt { txn: 1, gate: 0, worker: 0, intact: true, link_delay });
         tape.judged().gone
     };
     assert_eq!(sent_on(0.0), [1, 1], "it left at 3 s");
@@ -133,7 +133,7 @@
             }
         }
         if let Some(state) = state {
-            tape.note(1.0, Event::Gate { gate: 0, state });
+            tape.record(1.0, Event::Gate { gate: 0, state });
         }
         let verdict = tape.judged();
         (verdict.gone, verdict.broken_by.contains_key(&Rule::Gone))
@@ -155,12 +155,12 @@
         assert_eq!(tape.breaks(), [Rule::Answers], "{outcome:?}");
         let mut tape = Tape::new();
         tape.tries(1.0, 1, READ, 0, 0);
-        tape.note(1.1, Event::Gate { gate: 0, state: GateState::Killed });
+        tape.record(1.1, Event::Gate { gate: 0, state: GateState::Killed });
         tape.answers(2.5, 1, outcome.clone());
         assert_eq!(tape.breaks(), [], "killed by the lab");
         let mut tape = Tape::new();
         tape.tries(1.0, 1, READ, 0, 0);
-        tape.note(1.1, Event::Gate { gate: 1, state: GateState::Killed });
+        tape.record(1.1, Event::Gate { gate: 1, state: GateState::Killed });
         tape.answers(2.5, 1, outcome);
         assert_eq!(tape.breaks(), [Rule::Answers], "another gateway's death is no excuse");
     }
@@ -207,15 +207,15 @@
 fn what_no_client_sent_is_found_at_a_worker() {
     let mut tape = Tape::new();
     tape.good(1.0, 1, 0, 0);
-    tape.note(2.0, Event::Stranger { gate: 0, worker: 0 });
+    tape.record(2.0, Event::Stranger { gate: 0, worker: 0 });
     assert_eq!(tape.breaks(), [Rule::Strangers]);
     let mut tape = Tape::new();
     tape.good(1.0, 1, 0, 0);
-    tape.note(2.0, Event::Attempt { txn: 9, gate: 0, worker: 0, intact: true, link_delay: 0 });
+    tape.record(2.0, Event::Attempt { txn: 9, gate: 0, worker: 0, intact: true, link_delay: 0 });
     assert_eq!(tape.breaks(), [Rule::Strangers]);
     let mut tape = Tape::new();
     tape.tries(1.0, 1, READ, 0, 0);
-    tape.note(1.1, Event::Attempt { txn: 1, gate: 0, worker: 0, intact: false, link_delay: 0 });
+    tape.record(1.1, Event::Attempt { txn: 1, gate: 0, worker: 0, intact: false, link_delay: 0 });
     tape.answers(1.2, 1, SERVED);
     assert_eq!(tape.breaks(), [Rule::Strangers]);
 }
@@ -274,15 +274,15 @@
 fn a_send_to_a_draining_worker_is_found_after_the_grace() {
     let tape = |later| {
         let mut tape = Tape::new();
-        tape.note(1.0, Event::Told { gate: 0, worker: 0, wanted: false });
+        tape.record(1.0, Event::Told { gate: 0, worker: 0, wanted: false });
         tape.good(1.0 + later, 1, 0, 0);
         tape.breaks()
     };
     assert_eq!(tape(0.3), []);
     assert_eq!(tape(1.0), [Rule::Drain]);
     let mut tape = Tape::new();
-    tape.note(1.0, Event::Told { gate: 0, worker: 0, wanted: false });
-    tape.note(1.5, Event::Told { gate: 0, worker: 0, wanted: true });
+    tape.record(1.0, Event::Told { gate: 0, worker: 0, wanted: false });
+    tape.record(1.5, Event::Told { gate: 0, worker: 0, wanted: true });
     tape.good(3.0, 1, 0, 0);
     assert_eq!(tape.breaks(), [], "it is back");
 }
@@ -291,12 +291,12 @@
 fn a_cold_workers_fall_is_the_fault_of_those_that_knew() {
     let tape = |told: bool| {
         let mut tape = Tape::new();
-        tape.note(1.0, Event::Worker { worker: 0, state: WorkerState::Started });
+        tape.record(1.0, Event::Worker { worker: 0, state: WorkerState::Started });
         if told {
-            tape.note(1.1, Event::Told { gate: 0, worker: 0, wanted: true });
+            tape.record(1.1, Event::Told { gate: 0, worker: 0, wanted: true });
         }
         (0..20).for_each(|i| tape.good(1.2 + 0.01 * i as f64, i, 0, i as usize));
-        tape.note(1.5, Event::Worker { worker: 0, state: WorkerState::Fell });
+        tape.record(1.5, Event::Worker { worker: 0, state: WorkerState::Fell });
         tape.breaks()
     };
     assert_eq!(tape(true), [Rule::Cold]);
@@ -320,7 +320,7 @@
     let tape = |wanted| {
         let mut tape = Tape::new();
         tape.good(1.0, 1, 0, 0);
-        tape.note(2.0, Event::Gate { gate: 0, state: GateState::Exited { wanted, status: "1".into() } });
+        tape.record(2.0, Event::Gate { gate: 0, state: GateState::Exited { wanted, status: "1".into() } });
         tape.breaks()
     };
     assert_eq!(tape(false), [Rule::Crash]);
@@ -334,7 +334,7 @@
     (0..6).for_each(|i| tape.good(1.0 + 1e-3 * i as f64, i, 0, 7));
     (3..6).for_each(|i| {
         let why = if i < 5 { "even share" } else { "late answer" };
-        tape.note(1.0, Event::Reason { gate: 0, txn: i, what: "sent".into(), why: why.into() });
+        tape.record(1.0, Event::Reason { gate: 0, txn: i, what: "sent".into(), why: why.into() });
     });
     // Refused with an empty store, and with a full one.
     for (txn, at_s, customer) in [(10, 1.1, 7), (11, 1.1, 8)] {
--- a/lab/src/judge/verdict.rs
+++ b/lab/src/judge/verdict.rs
@@ -1,6 +1,6 @@
 //! What is judged of a play: the figures, and whether it passed.
 
-use super::rule::{Broken, Rule};
+use super::rule::{Rule, Violation};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -60,7 +60,7 @@
     pub failed: Vec<String>,
     /// Why it counts for nothing, if so.
     pub void: Option<String>,
-    pub broken: Vec<Broken>,
+    pub broken: Vec<Violation>,
     /// By rule, how often it was broken.
     pub broken_by: BTreeMap<Rule, u64>,
     /// First tries after the lead, and all tries.
--- a/lab/src/judge/workers.rs
+++ b/lab/src/judge/workers.rs
@@ -5,11 +5,11 @@
 use std::collections::HashMap;
 
 /// A send may have been under way so long before its last byte came.
-const UNDER_WAY_S: f64 = 0.1;
+const TRANSIT_ALLOWANCE_S: f64 = 0.1;
 
 /// What gateways have been told of workers, and what they sent them.
 #[derive(Default)]
-struct Knowledge {
+struct GatewayViews {
     /// By gateway and worker, since when it knows that nothing new is wanted.
     unwanted: HashMap<(usize, usize), f64>,
     /// By gateway and worker, since when it knows that the worker has started.
@@ -18,8 +18,8 @@
     attempts: HashMap<usize, Vec<(f64, usize)>>,
 }
 
-impl Knowledge {
-    fn told(&mut self, at: f64, gate: usize, worker: usize, wanted: bool) {
+impl GatewayViews {
+    fn listed(&mut self, at: f64, gate: usize, worker: usize, wanted: bool) {
         if wanted {
             self.unwanted.remove(&(gate, worker));
             self.started.insert((gate, worker), at);
@@ -48,18 +48,18 @@
 
 impl Judge<'_> {
     /// Finds sends to draining workers, and cold workers that fell.
-    pub(super) fn workers(&mut self) {
+    pub(super) fn check_workers(&mut self) {
         let world = &self.scenario.world;
-        let mut knowledge = Knowledge::default();
+        let mut views = GatewayViews::default();
         let mut found = Vec::new();
         for Seen { at, event } in &self.recording.seen {
             let at = seconds(*at);
             match event {
-                Event::Told { gate, worker, wanted } => knowledge.told(at, *gate, *worker, *wanted),
+                Event::Told { gate, worker, wanted } => views.listed(at, *gate, *worker, *wanted),
                 Event::Attempt { txn, gate, worker, .. } => {
-                    knowledge.attempts.entry(*worker).or_default().push((at, *gate));
-                    let told = knowledge.unwanted.get(&(*gate, *worker)).copied().unwrap_or(f64::INFINITY);
-                    let late = at - told - world.drain_grace_s - SLACK_S - UNDER_WAY_S;
+                    views.attempts.entry(*worker).or_default().push((at, *gate));
+                    let told = views.unwanted.get(&(*gate, *worker)).copied().unwrap_or(f64::INFINITY);
+                    let late = at - told - world.drain_grace_s - SLACK_S - TRANSIT_ALLOWANCE_S;
                     if late > 0.0 {
                         let what = format!(
                             "gateway {gate} sent {txn:016x} to worker {worker} {late:.2} s after it had to stop"
@@ -67,9 +67,9 @@
                         found.push((Rule::Drain, at, what));
                     }
                 }
-                Event::Worker { worker, state: WorkerState::Started } => knowledge.worker_started(*worker),
+                Event::Worker { worker, state: WorkerState::Started } => views.worker_started(*worker),
                 Event::Worker { worker, state: WorkerState::Fell } => {
-                    let (told, of) = knowledge.attempts_within(*worker, at, world.fall_s);
+                    let (told, of) = views.attempts_within(*worker, at, world.fall_s);
                     // Those that were not told could not know better.
                     if 3 * told >= 2 * of {
                         let what = format!(
@@ -81,6 +81,6 @@
                 _ => {}
             }
         }
-        self.report(found);
+        self.add_violations(found);
     }
 }
--- a/lab/src/judge/worth.rs
+++ b/lab/src/judge/worth.rs
@@ -10,7 +10,7 @@
 /// A second with fewer tries sent on says nothing of amplification.
 const MIN_TRIES: u64 = 20;
 /// What a unit sent on beyond its quota costs, of its worth.
-const OVERRUN: f64 = 0.8;
+const EXCESS_UNIT_COST: f64 = 0.8;
 
 /// What one try asked for, earned and cost.
 struct TryValue {
@@ -74,7 +74,7 @@
 
 impl Judge<'_> {
     /// Worth, totals, latencies and waste.
-    pub(super) fn worth(&mut self) {
+    pub(super) fn compute_value(&mut self) {
         let scenario = self.scenario;
         let firsts: HashMap<u64, f64> =
             self.tries.values().filter(|t| t.again == 0).map(|t| (t.first, t.at)).collect();
@@ -114,7 +114,7 @@
             Some((at, Outcome::Served { genuine: true })) => Some(at - first),
             _ => None,
         };
-        let earned = took.map_or(0.0, |took| worth * share_earned(class, took));
+        let earned = took.map_or(0.0, |took| worth * value_share(class, took));
         let ended = || request.sent.iter().filter_map(|s| s.ended.as_ref());
         let worked: f64 = ended().map(|e| e.2).sum();
         let best = ended().filter(|e| e.1 == Ending::Served).map(|e| e.2).fold(0.0, f64::max);
@@ -146,7 +146,7 @@
         verdict.by_class = scenario.classes.iter().map(|c| c.name.clone()).zip(totals.classes).collect();
         // Each unit beyond costs a share of a mean request's worth.
         let mean = asked / requests.max(1) as f64;
-        verdict.score = (earned - OVERRUN * mean * verdict.beyond as f64) / asked.max(1e-9);
+        verdict.score = (earned - EXCESS_UNIT_COST * mean * verdict.beyond as f64) / asked.max(1e-9);
         verdict.requests = requests as u64;
     }
 
@@ -168,7 +168,7 @@
 }
 
 /// The share of a request's worth that an answer after so many seconds earns.
-fn share_earned(class: &ClassSpec, took: f64) -> f64 {
+fn value_share(class: &ClassSpec, took: f64) -> f64 {
     if took <= class.aim_ms / 1e3 {
         1.0
     } else if took <= class.deadline_ms / 1e3 {
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -3,7 +3,7 @@
 use clap::{Args, Parser, Subcommand};
 use fleetlab::{
     baseline::{self, POLICIES},
-    experiment::{Difference, FIGURES, set, value},
+    experiment::{Difference, FIGURES, parse_value, set_key},
     judge::{Verdict, judge},
     record::Recording,
     report::{Baseline, Report},
@@ -158,7 +158,7 @@
             .map(|s| s.split_once('=').ok_or_else(|| LabError::Use(format!("{s:?} is no KEY=VALUE"))));
         let sets = sets.collect::<Result<Vec<_>, _>>()?;
         for (key, text) in sets.iter().chain(more) {
-            set(&mut table, key, value(text)).map_err(|error| LabError::Use(error.to_string()))?;
+            set_key(&mut table, key, parse_value(text)).map_err(|error| LabError::Use(error.to_string()))?;
         }
         Ok(Scenario::from_table(table)?.scaled(self.scale))
     }
--- a/lab/src/record.rs
+++ b/lab/src/record.rs
@@ -212,7 +212,7 @@
 }
 
 /// The form of a recording that this build writes and reads.
-pub const FORM: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
 
 impl Recording {
     /// Writes it as lines of JSON.
@@ -238,8 +238,8 @@
         let file = io::BufReader::new(std::fs::File::open(path)?);
         let mut lines = file.lines().enumerate();
         let header: Header = read(lines.next())?;
-        if header.form != FORM {
-            let why = format!("its form is {}, this build reads {FORM}", header.form);
+        if header.form != FORMAT_VERSION {
+            let why = format!("its form is {}, this build reads {FORMAT_VERSION}", header.form);
             return Err(io::Error::new(io::ErrorKind::InvalidData, why));
         }
         let meter = read(lines.next())?;
@@ -287,7 +287,7 @@
         *self.start.get_or_init(Instant::now)
     }
 
-    pub fn note(&self, event: Event) {
+    pub fn record(&self, event: Event) {
         let mut seen = self.seen();
         // Within the lock, so that the list is in order.
         let at = self.now();
--- a/lab/src/scenario/check.rs
+++ b/lab/src/scenario/check.rs
@@ -121,7 +121,7 @@
         if !(c.aim_ms > 0.0 && c.aim_ms <= c.deadline_ms && c.deadline_ms <= 60_000.0) {
             problems.add(&key("aim_ms"), "must be above 0 and at most deadline_ms, which is at most 60000");
         }
-        if self.classes.iter().take(i).any(|other| other.name == c.name) || !usable(&c.name) {
+        if self.classes.iter().take(i).any(|other| other.name == c.name) || !is_valid_name(&c.name) {
             problems.add(&key("name"), "must be letters, digits and dashes, and stand once");
         }
     }
@@ -146,7 +146,7 @@
         if p.ceiling_rate > 0.0 && p.ceiling_burst < 1.0 {
             problems.add(&key("ceiling_burst"), "must be 1 or more where there is a ceiling");
         }
-        if self.plans.iter().take(i).any(|other| other.name == p.name) || !usable(&p.name) {
+        if self.plans.iter().take(i).any(|other| other.name == p.name) || !is_valid_name(&p.name) {
             problems.add(&key("name"), "must be letters, digits and dashes, and stand once");
         }
     }
@@ -223,7 +223,7 @@
 }
 
 /// Whether a class or plan may have this name.
-fn usable(name: &str) -> bool {
+fn is_valid_name(name: &str) -> bool {
     !name.is_empty()
         && name.len() <= LONGEST_NAME
         && name.chars().all(|c| c.is_ascii_alphanumeric() || c == '-')
--- a/lab/src/scenario/defaults.rs
+++ b/lab/src/scenario/defaults.rs
@@ -1,7 +1,7 @@
 //! Values of keys that a scenario file may leave out.
 
 /// The seeds that a scenario is played on where its file names none.
-pub(super) fn two_seeds() -> Vec<u64> {
+pub(super) fn default_seeds() -> Vec<u64> {
     vec![1, 2]
 }
 
@@ -26,7 +26,7 @@
 }
 
 /// The number 0.1, where a key is missing.
-pub(super) fn tenth() -> f64 {
+pub(super) fn one_tenth() -> f64 {
     0.1
 }
 
--- a/lab/src/scenario/fault.rs
+++ b/lab/src/scenario/fault.rs
@@ -1,6 +1,6 @@
 //! Faults: what goes wrong, when, and where.
 
-use super::defaults::{all, one, tenth, two};
+use super::defaults::{all, one, one_tenth, two};
 use serde::{Deserialize, Serialize};
 
 /// The kind of a fault.
@@ -118,7 +118,7 @@
     /// What becomes of the gateway's folder.
     #[serde(default)]
     pub disk: Disk,
-    #[serde(default = "tenth")]
+    #[serde(default = "one_tenth")]
     pub step: f64,
 }
 
--- a/lab/src/scenario/mod.rs
+++ b/lab/src/scenario/mod.rs
@@ -23,7 +23,7 @@
 pub use target::{Peers, Selection};
 pub use world::{CounterSpec, DiscoverySpec, World};
 
-use defaults::{default_lead, two_seeds};
+use defaults::{default_lead, default_seeds};
 use serde::{Deserialize, Serialize};
 
 /// Gateways that a play may have.
@@ -42,7 +42,7 @@
     /// Load lasts so long.
     pub length_s: f64,
     /// The seeds it is played on by default.
-    #[serde(default = "two_seeds")]
+    #[serde(default = "default_seeds")]
     pub seeds: Vec<u64>,
     /// Length of the first part that counts for nothing: connections and leases come up.
     #[serde(default = "default_lead")]
--- a/lab/src/tier/peer.rs
+++ b/lab/src/tier/peer.rs
@@ -1,6 +1,6 @@
 //! One TCP connection of a stand-in, read as HTTP/1.1, whole or piece by piece.
 
-use crate::http::{Message, unreadable};
+use crate::http::{Message, invalid_message};
 use std::{fmt::Write as _, io, net::SocketAddr, time::Duration};
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
@@ -34,7 +34,7 @@
         match head.header("content-length").map(str::parse) {
             None | Some(Ok(0)) => Ok(Self::Ended),
             Some(Ok(length)) => Ok(Self::Length(length)),
-            Some(Err(_)) => Err(unreadable()),
+            Some(Err(_)) => Err(invalid_message()),
         }
     }
 }
@@ -123,17 +123,17 @@
                 break self.buffer.drain(..end + 2).collect::<Vec<u8>>();
             }
             if self.buffer.len() > MAX_CHUNK_LINE_BYTES {
-                return Err(unreadable());
+                return Err(invalid_message());
             }
             self.need(self.buffer.len() + 1).await?;
         };
-        let size = std::str::from_utf8(&line).map_err(|_| unreadable())?;
-        let size = usize::from_str_radix(size.trim(), 16).map_err(|_| unreadable())?;
+        let size = std::str::from_utf8(&line).map_err(|_| invalid_message())?;
+        let size = usize::from_str_radix(size.trim(), 16).map_err(|_| invalid_message())?;
         self.need(size + 2).await?;
         let chunk: Vec<u8> = self.buffer.drain(..size).collect();
         let end: Vec<u8> = self.buffer.drain(..2).collect();
         if end != b"\r\n" {
-            return Err(unreadable());
+            return Err(invalid_message());
         }
         if size == 0 {
             *framing = Framing::Ended;
--- a/lab/src/world/counter.rs
+++ b/lab/src/world/counter.rs
@@ -42,7 +42,7 @@
 
 struct Count {
     total: f64,
-    dies: Instant,
+    expires_at: Instant,
 }
 
 pub struct Counter {
@@ -96,12 +96,12 @@
         let mut counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
         if counts.len() > SWEEP_FROM {
-            counts.retain(|_, c| c.dies > now);
+            counts.retain(|_, c| c.expires_at > now);
         }
-        let dies = now + Duration::from_millis(life_ms.min(MAX_EXPIRY_MS));
-        let count = counts.entry(name.to_owned()).or_insert(Count { total: 0.0, dies });
-        if count.dies <= now {
-            *count = Count { total: 0.0, dies };
+        let expires_at = now + Duration::from_millis(life_ms.min(MAX_EXPIRY_MS));
+        let count = counts.entry(name.to_owned()).or_insert(Count { total: 0.0, expires_at });
+        if count.expires_at <= now {
+            *count = Count { total: 0.0, expires_at };
         }
         count.total += amount;
         count.total
@@ -146,13 +146,13 @@
 
     /// Serves one connection of a gateway to its end.
     pub async fn serve(self: Arc<Self>, gate: usize, mut conn: Connection) {
-        let taken = {
+        let open_on_gateway = {
             let mut open_connections = self.open_connections.lock().unwrap_or_else(PoisonError::into_inner);
             open_connections[gate] += 1;
             open_connections[gate]
         };
         let mut up = self.up.subscribe();
-        if taken <= MAX_CONNECTIONS_OF_GATEWAY {
+        if open_on_gateway <= MAX_CONNECTIONS_OF_GATEWAY {
             tokio::select! {
                 () = self.exchange(gate, &mut conn) => {}
                 _ = up.wait_for(|up| !up) => conn.reset(),
@@ -195,7 +195,7 @@
                     _ => std::future::pending().await,
                 }
             };
-            let is_held_up =
+            let is_delayed =
                 matches!(incoming.front(), Some((None, _))) || matches!(outgoing.front(), Some((None, _)));
             tokio::select! {
                 n = conn.fill() => if !matches!(n, Ok(1..)) { return },
@@ -205,19 +205,19 @@
                 }
                 () = next(scheduled.front().map(|t| Some(t.at))) => {
                     let Some(turn) = scheduled.pop_front() else { continue };
-                    let Some(said) = self.take(gate, turn) else {
+                    let Some(response) = self.take(gate, turn) else {
                         // Answers come in order: with one lost, none after it could be told from another.
                         return conn.reset();
                     };
-                    outgoing.push_back((link.arrival(FlowDirection::In, said.len()), said));
+                    outgoing.push_back((link.arrival(FlowDirection::In, response.len()), response));
                 }
                 () = next(outgoing.front().map(|(at, _)| *at)) => {
-                    let said: Option<(Option<Instant>, String)> = outgoing.pop_front();
-                    if let Some((_, said)) = said && conn.write_without_delay(said.as_bytes()).await.is_err() {
+                    let response: Option<(Option<Instant>, String)> = outgoing.pop_front();
+                    if let Some((_, response)) = response && conn.write_without_delay(response.as_bytes()).await.is_err() {
                         return;
                     }
                 }
-                () = poll, if is_held_up => {}
+                () = poll, if is_delayed => {}
             }
         }
     }
@@ -225,20 +225,20 @@
     /// A call has had its turn; its answer, if that goes out.
     fn take(&self, gate: usize, turn: ScheduledCall) -> Option<String> {
         let ScheduledCall { call, answer, lost, .. } = turn;
-        let said = match (call, answer) {
+        let response = match (call, answer) {
             (Some((name, amount, expiry_ms)), _) => {
                 let total = self.add(&name, amount, expiry_ms);
-                self.log.note(Event::Call { gate, name, amount, total: Some(total) });
+                self.log.record(Event::Call { gate, name, amount, total: Some(total) });
                 format!("ok {total}")
             }
             (None, Some(answer)) => {
                 if answer == "busy" {
-                    self.log.note(Event::Call { gate, name: String::new(), amount: 0.0, total: None });
+                    self.log.record(Event::Call { gate, name: String::new(), amount: 0.0, total: None });
                 }
                 answer
             }
             (None, None) => String::new(),
         };
-        (!lost).then_some(said + "\r\n")
+        (!lost).then_some(response + "\r\n")
     }
 }
--- a/lab/src/world/discovery.rs
+++ b/lab/src/world/discovery.rs
@@ -161,11 +161,11 @@
         loop {
             let Ok(Some(message)) = http::read(&mut conn).await else { return };
             conn.link.wait_for_transit(FlowDirection::Out, 100).await;
-            let said = tokio::select! {
-                said = self.answer(&agent, &message) => said,
+            let response = tokio::select! {
+                response = self.answer(&agent, &message) => response,
                 _ = conn.fill() => return,
             };
-            if conn.write(FlowDirection::In, &said).await.is_err() {
+            if conn.write(FlowDirection::In, &response).await.is_err() {
                 return;
             }
         }
@@ -204,7 +204,7 @@
     fn log_published(&self, agent: &Agent, known: &Known, from: Option<u64>) {
         for entry in known.entries.iter().filter(|e| e.version > from.unwrap_or(0) && e.version > 1) {
             let wanted = entry.state == "SERVING";
-            self.log.note(Event::Told { gate: agent.gate, worker: entry.worker, wanted });
+            self.log.record(Event::Told { gate: agent.gate, worker: entry.worker, wanted });
         }
     }
 }
--- a/lab/src/world/faults.rs
+++ b/lab/src/world/faults.rs
@@ -24,9 +24,9 @@
 /// A worker that is replaced is listed as draining so long, and turns requests away from halfway on.
 const DRAIN: Duration = Duration::from_secs(4);
 /// The address that an agent moves from takes calls so long after the move.
-const MOVING: Duration = Duration::from_millis(500);
+const OLD_AGENT_GRACE: Duration = Duration::from_millis(500);
 /// What was written so long before the kill is what a disk that loses writes has kept.
-const UNWRITTEN: Duration = Duration::from_millis(1500);
+const LOST_WRITE_WINDOW: Duration = Duration::from_millis(1500);
 
 /// Milliseconds of a second, the unit of times in scenarios whose keys say so.
 const MILLISECONDS_PER_SECOND: f64 = 1e3;
@@ -43,7 +43,7 @@
 }
 
 /// Brings a worker that fell back, each time.
-pub async fn raise(worker: Arc<Worker>, discovery: Arc<discovery::Discovery>) {
+pub async fn restart_after_overload(worker: Arc<Worker>, discovery: Arc<discovery::Discovery>) {
     loop {
         worker.fell.notified().await;
         sleep(Duration::from_secs_f64(discovery.back_s())).await;
@@ -78,8 +78,8 @@
         };
         let at = start + Duration::from_secs_f64(fault.at_s);
         if fault.disk == Disk::Stale {
-            sleep_until(at.checked_sub(UNWRITTEN).unwrap_or(at)).await;
-            targets.gates.iter().for_each(|gate| self.gates[*gate].remember());
+            sleep_until(at.checked_sub(LOST_WRITE_WINDOW).unwrap_or(at)).await;
+            targets.gates.iter().for_each(|gate| self.gates[*gate].snapshot_disk());
         }
         sleep_until(at).await;
         self.log_fault(index, true, &targets);
@@ -90,7 +90,7 @@
 
     fn log_fault(&self, index: usize, on: bool, targets: &Targets) {
         let Targets { gates, workers } = targets.clone();
-        self.log.note(Event::Fault { index, on, gates, workers });
+        self.log.record(Event::Fault { index, on, gates, workers });
     }
 
     async fn carry_out(
@@ -148,7 +148,7 @@
         }
         wait(until).await;
         for gate in gates {
-            self.gates[*gate].go_on();
+            self.gates[*gate].resume();
         }
     }
 
@@ -219,7 +219,7 @@
             // A disk of the lab's own that fails shows as a gateway that hears nothing any more.
             let _ = self.gates[*gate].move_agent(second);
         }
-        sleep(MOVING).await;
+        sleep(OLD_AGENT_GRACE).await;
         for gate in gates {
             self.agents[*gate][from].send_replace(false);
         }
@@ -270,7 +270,7 @@
         }
         while kills.join_next().await.is_some() {}
         let Some(until) = until else { return };
-        for (at, gate) in returns(fault, gates, until, rng) {
+        for (at, gate) in restart_times(fault, gates, until, rng) {
             sleep_until(at).await;
             self.restart(gate);
         }
@@ -280,7 +280,7 @@
         let known = self.discovery.known(gate);
         if self.gates[gate].start(&known).is_err() {
             // It was there at the start of the play; a gateway that is not back shows in what follows.
-            self.log.note(Event::Gate {
+            self.log.record(Event::Gate {
                 gate,
                 state: GateState::Exited { wanted: false, status: "can't be started".into() },
             });
@@ -313,7 +313,7 @@
         }
         let Some(for_s) = fault.for_s else { return };
         let until = Instant::now() + Duration::from_secs_f64(for_s);
-        for (at, worker) in returns(fault, workers, until, rng) {
+        for (at, worker) in restart_times(fault, workers, until, rng) {
             sleep_until(at).await;
             self.workers[worker].start();
             self.discovery.publish(worker, "SERVING", unix_ms());
@@ -358,7 +358,12 @@
 }
 
 /// Who of those struck comes back when, in that order: spread over `over_s` from `until` on, some never.
-fn returns(fault: &Fault, struck: &[usize], until: Instant, rng: &mut ChaCha8Rng) -> Vec<(Instant, usize)> {
+fn restart_times(
+    fault: &Fault,
+    struck: &[usize],
+    until: Instant,
+    rng: &mut ChaCha8Rng,
+) -> Vec<(Instant, usize)> {
     let mut back = Vec::new();
     for one in struck {
         let (never, later): (f64, f64) = (rng.random(), rng.random());
--- a/lab/src/world/front.rs
+++ b/lab/src/world/front.rs
@@ -136,7 +136,7 @@
         let customer = &self.plan.customers[arrival.customer];
         let gate = self.choose(arrival.customer, draw);
         let (plan, class) = (customer.plan, arrival.class);
-        let facts = self.plan.send(txn, arrival, first);
+        let expected = self.plan.send(txn, arrival, first);
         let spec = &self.plan.scenario;
         let headers = format!(
             "X-Lane: {}\r\nX-Plan: {}\r\nX-Customer: {:016x}\r\nX-Remaining: {remaining:.3}\r\nX-Quota: units=1,spread={},first={}\r\n{}",
@@ -147,8 +147,8 @@
             customer.first,
             if again > 0 { "X-Resent: 1\r\n" } else { "" },
         );
-        let message = facts.message(txn, &headers);
-        self.log.note(Event::Try {
+        let message = expected.message(txn, &headers);
+        self.log.record(Event::Try {
             txn,
             first,
             again,
@@ -162,7 +162,7 @@
         let until = Instant::now() + Duration::from_secs_f64(timeout);
         let exchange = async {
             match gate {
-                Some(gate) => self.exchange(gate, &message, &facts.answer(txn), until).await,
+                Some(gate) => self.exchange(gate, &message, &expected.answer(txn), until).await,
                 None => Outcome::Nobody,
             }
         };
@@ -177,14 +177,14 @@
             biased;
             outcome = exchange => outcome,
             () = departure => Outcome::Left,
-            () = self.leaves_with_others(gate, txn) => Outcome::Left,
+            () = self.leaves_in_burst(gate, txn) => Outcome::Left,
         };
-        self.log.note(Event::Answer { txn, outcome: outcome.clone() });
+        self.log.record(Event::Answer { txn, outcome: outcome.clone() });
         outcome
     }
 
     /// Waits until a burst of clients that leave takes this one along.
-    async fn leaves_with_others(&self, gate: Option<usize>, txn: u64) {
+    async fn leaves_in_burst(&self, gate: Option<usize>, txn: u64) {
         let Some(gate) = gate else { return std::future::pending().await };
         let mut bursts = self.gates[gate].leave.subscribe();
         while bursts.changed().await.is_ok() {
@@ -228,23 +228,23 @@
                 None => return Outcome::Nobody,
             },
         };
-        let said = self.ask(&mut conn, message, until).await;
-        let said = match said {
+        let response = self.ask(&mut conn, message, until).await;
+        let response = match response {
             // A kept connection's end crossed the request: it is sent once more on a new one.
-            Said::Ended if was_kept => match self.connect(gate).await {
+            Response::Ended if was_kept => match self.connect(gate).await {
                 Some(new) => {
                     conn = new;
                     self.ask(&mut conn, message, until).await
                 }
                 None => return Outcome::Nobody,
             },
-            said => said,
+            response => response,
         };
-        let answer = match said {
-            Said::Answer(answer) => answer,
-            Said::Ended => return Outcome::Broken,
-            Said::CutOff => return Outcome::CutOff,
-            Said::Nothing => return Outcome::Never,
+        let answer = match response {
+            Response::Answer(answer) => answer,
+            Response::Ended => return Outcome::Broken,
+            Response::CutOff => return Outcome::CutOff,
+            Response::Nothing => return Outcome::Never,
         };
         if !answer.closes() {
             self.pools[gate].lock().unwrap_or_else(PoisonError::into_inner).push(conn);
@@ -257,25 +257,25 @@
         }
     }
 
-    async fn ask(&self, conn: &mut Connection, message: &[u8], until: Instant) -> Said {
+    async fn ask(&self, conn: &mut Connection, message: &[u8], until: Instant) -> Response {
         let exchange = async {
             if conn.write(FlowDirection::In, message).await.is_err() {
-                return Said::Ended;
+                return Response::Ended;
             }
             match http::read(conn).await {
                 Ok(Some(answer)) => {
                     conn.link.wait_for_transit(FlowDirection::Out, answer.body.len()).await;
-                    Said::Answer(answer)
+                    Response::Answer(answer)
                 }
-                _ if conn.buffer().starts_with(b"HTTP/1.1 200") => Said::CutOff,
-                _ => Said::Ended,
+                _ if conn.buffer().starts_with(b"HTTP/1.1 200") => Response::CutOff,
+                _ => Response::Ended,
             }
         };
-        timeout_at(until, exchange).await.unwrap_or(Said::Nothing)
+        timeout_at(until, exchange).await.unwrap_or(Response::Nothing)
     }
 }
 
-enum Said {
+enum Response {
     Answer(http::Message),
     /// The connection ended without a whole one.
     Ended,
--- a/lab/src/world/gates.rs
+++ b/lab/src/world/gates.rs
@@ -36,23 +36,23 @@
 const STOP_TIMEOUT: Duration = Duration::from_millis(4500);
 
 /// Where a gateway is, and its neighbours.
-pub struct Around {
+pub struct Endpoints {
     pub listen: SocketAddr,
     pub front: Arc<Link>,
     /// Its agent's address, and the one it may move to.
     pub discovery: [SocketAddr; 2],
     pub counter: Option<SocketAddr>,
-    pub fleet: Option<Member>,
+    pub fleet: Option<FleetAddresses>,
 }
 
 /// Where a gateway's datagrams come in, and by which addresses gateways know each other.
-pub struct Member {
+pub struct FleetAddresses {
     pub listen: SocketAddr,
     pub relay: Vec<SocketAddr>,
 }
 
 /// Members that a gateway asks first.
-const SEEDS: usize = 3;
+const SEED_MEMBERS: usize = 3;
 
 pub struct Gate {
     pub index: usize,
@@ -61,7 +61,7 @@
     log: Arc<Log>,
     program: PathBuf,
     folder: PathBuf,
-    around: Around,
+    endpoints: Endpoints,
     pub front: Arc<Link>,
     /// The front sends it requests.
     pub admitted: AtomicBool,
@@ -81,7 +81,7 @@
     /// Which burst of clients that leave is the last one, and the share that leaves.
     pub leave: watch::Sender<(u64, f64)>,
     /// What its folder held at the last look, for a disk that loses writes.
-    earlier: Mutex<Vec<(PathBuf, Vec<u8>)>>,
+    disk_snapshot: Mutex<Vec<(PathBuf, Vec<u8>)>>,
 }
 
 impl Gate {
@@ -95,19 +95,19 @@
         log: Arc<Log>,
         program: &Path,
         root: &Path,
-        around: Around,
+        endpoints: Endpoints,
     ) -> io::Result<Arc<Self>> {
         let folder = root.join(format!("n{index}"));
         fs::create_dir_all(folder.join("state"))?;
         Ok(Arc::new(Self {
             index,
-            addr: around.listen,
+            addr: endpoints.listen,
             plan,
             log,
             program: program.to_owned(),
             folder,
-            front: around.front.clone(),
-            around,
+            front: endpoints.front.clone(),
+            endpoints,
             admitted: AtomicBool::new(false),
             running: Mutex::default(),
             wanted: AtomicBool::new(false),
@@ -119,7 +119,7 @@
             config: Mutex::default(),
             moved: AtomicBool::new(false),
             leave: watch::channel((0, 0.0)).0,
-            earlier: Mutex::default(),
+            disk_snapshot: Mutex::default(),
         }))
     }
 
@@ -137,12 +137,12 @@
         self.tail.lock().unwrap_or_else(PoisonError::into_inner).iter().cloned().collect()
     }
 
-    fn note(&self, state: GateState) {
-        self.log.note(Event::Gate { gate: self.index, state });
+    fn record(&self, state: GateState) {
+        self.log.record(Event::Gate { gate: self.index, state });
     }
 
     fn agent(&self) -> SocketAddr {
-        self.around.discovery[usize::from(self.moved.load(Ordering::Relaxed))]
+        self.endpoints.discovery[usize::from(self.moved.load(Ordering::Relaxed))]
     }
 
     fn write_config(&self, config: &Value) -> io::Result<PathBuf> {
@@ -169,11 +169,12 @@
             "limits": {"cores": 1.0, "memory_mb": world.memory_mb, "sockets": world.sockets},
             "known": known, "settings": settings(&self.plan, self.index),
         });
-        if let Some(counter) = self.around.counter {
+        if let Some(counter) = self.endpoints.counter {
             config["counter"] = json!(counter.to_string());
         }
-        if let Some(member) = &self.around.fleet {
-            let seeds: Vec<String> = member.relay.iter().take(SEEDS).map(SocketAddr::to_string).collect();
+        if let Some(member) = &self.endpoints.fleet {
+            let seeds: Vec<String> =
+                member.relay.iter().take(SEED_MEMBERS).map(SocketAddr::to_string).collect();
             config["fleet"] = json!({"listen": member.listen.to_string(), "name": "lab", "seeds": seeds,
                 "advertise": member.relay[self.index].to_string()});
         }
@@ -203,19 +204,19 @@
             tokio::spawn(async move {
                 let mut lines = BufReader::new(stderr).lines();
                 while let Ok(Some(line)) = lines.next_line().await {
-                    gate.heard(line);
+                    gate.handle_log_line(line);
                 }
             });
         }
-        tokio::spawn(self.clone().mind(child));
+        tokio::spawn(self.clone().wait_for_exit(child));
         tokio::spawn(self.clone().admit(start + 1));
         Ok(())
     }
 
     /// Takes in a line of its log.
-    fn heard(&self, line: String) {
+    fn handle_log_line(&self, line: String) {
         if let Some(event) = reason(self.index, &line) {
-            return self.log.note(event);
+            return self.log.record(event);
         }
         let mut tail = self.tail.lock().unwrap_or_else(PoisonError::into_inner);
         if tail.len() == LOG_TAIL_LINES {
@@ -225,18 +226,18 @@
     }
 
     /// Waits for its process to end, and says so.
-    async fn mind(self: Arc<Self>, mut child: Child) {
+    async fn wait_for_exit(self: Arc<Self>, mut child: Child) {
         let pid = child.id();
         let status = loop {
             tokio::select! {
                 status = child.wait() => break status,
-                () = sleep(Duration::from_millis(200)) => self.look(pid),
+                () = sleep(Duration::from_millis(200)) => self.sample_usage(pid),
             }
         };
         self.running.lock().unwrap_or_else(PoisonError::into_inner).take();
         let wanted = self.wanted.load(Ordering::Relaxed);
         let status = status.map_or_else(|e| e.to_string(), |s| s.to_string());
-        self.note(GateState::Exited { wanted, status });
+        self.record(GateState::Exited { wanted, status });
         self.ended.send_modify(|n| *n += 1);
         // The front notices a while later.
         let (starts, notice) = (self.starts.load(Ordering::Relaxed), self.plan.scenario.clients.notice_s);
@@ -247,7 +248,7 @@
     }
 
     /// Takes note of what its process uses.
-    fn look(&self, pid: Option<u32>) {
+    fn sample_usage(&self, pid: Option<u32>) {
         let Some(pid) = pid else { return };
         let read = |what: &str| fs::read_to_string(format!("/proc/{pid}/{what}")).unwrap_or_default();
         let field = |text: &str, name: &str| {
@@ -264,7 +265,7 @@
 
     /// Processor seconds and the most memory, in MB.
     pub fn used(&self) -> (f64, f64) {
-        self.look(self.process_id());
+        self.sample_usage(self.process_id());
         *self.used.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -273,7 +274,7 @@
         while self.starts.load(Ordering::Relaxed) == start && self.pid().is_some() {
             if self.up().await {
                 self.admitted.store(true, Ordering::Relaxed);
-                self.note(GateState::Ready);
+                self.record(GateState::Ready);
                 self.ready.notify_waiters();
                 return;
             }
@@ -309,7 +310,7 @@
             return;
         }
         self.wanted.store(true, Ordering::Relaxed);
-        self.note(GateState::Killed);
+        self.record(GateState::Killed);
         let mut ended = self.ended.subscribe();
         ended.borrow_and_update();
         self.signal(Signal::KILL);
@@ -333,10 +334,10 @@
     }
 
     /// Remembers what is on its disk: what it writes from now on is what may be lost.
-    pub fn remember(&self) {
+    pub fn snapshot_disk(&self) {
         let files = self.files().unwrap_or_default();
         let read = |path: PathBuf| Some((path.clone(), fs::read(path).ok()?));
-        *self.earlier.lock().unwrap_or_else(PoisonError::into_inner) =
+        *self.disk_snapshot.lock().unwrap_or_else(PoisonError::into_inner) =
             files.into_iter().filter_map(read).collect();
     }
 
@@ -352,7 +353,8 @@
                 for path in self.files()? {
                     fs::remove_file(path)?;
                 }
-                for (path, bytes) in self.earlier.lock().unwrap_or_else(PoisonError::into_inner).iter() {
+                for (path, bytes) in self.disk_snapshot.lock().unwrap_or_else(PoisonError::into_inner).iter()
+                {
                     fs::write(path, bytes)?;
                 }
             }
@@ -368,13 +370,13 @@
     }
 
     pub fn pause(&self) {
-        self.note(GateState::Paused);
+        self.record(GateState::Paused);
         self.signal(Signal::STOP);
     }
 
-    pub fn go_on(&self) {
+    pub fn resume(&self) {
         self.signal(Signal::CONT);
-        self.note(GateState::Continued);
+        self.record(GateState::Continued);
     }
 
     /// Has it end in good order; kills it where it does not. Returns once it has ended.
@@ -383,7 +385,7 @@
             return;
         }
         self.wanted.store(true, Ordering::Relaxed);
-        self.note(GateState::Terminated);
+        self.record(GateState::Terminated);
         let mut ended = self.ended.subscribe();
         ended.borrow_and_update();
         self.signal(Signal::CONT);
@@ -398,7 +400,7 @@
     }
 
     /// Kills it at once, at the end of a play or of the lab.
-    pub fn end(&self) {
+    pub fn kill_now(&self) {
         self.wanted.store(true, Ordering::Relaxed);
         self.signal(Signal::KILL);
     }
--- a/lab/src/world/mod.rs
+++ b/lab/src/world/mod.rs
@@ -11,13 +11,13 @@
 
 use crate::{
     link::{Link, LinkListener, Relay},
-    record::{FORM, Header, Log, Meter, Recording},
+    record::{FORMAT_VERSION, Header, Log, Meter, Recording},
     scenario::{Direction, Peers, Scenario},
 };
 use counter::Counter;
 use discovery::Discovery;
 use front::Front;
-use gates::{Around, Gate, Member};
+use gates::{Endpoints, FleetAddresses, Gate};
 use plan::{Plan, mix};
 use run_delay_monitor::RunDelayMonitor;
 use socket2::{Domain, Socket, Type};
@@ -39,9 +39,9 @@
 use worker::Worker;
 
 /// All gateways have to be ready by then.
-const READY_BY: Duration = Duration::from_secs(30);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// A play whose requests went out so late, at the 99th percentile, says nothing of the gateways.
-const LATE_MS: f64 = 20.0;
+const MAX_P99_LATENESS_MS: f64 = 20.0;
 
 /// Why there was no play.
 #[derive(Debug, thiserror::Error)]
@@ -158,7 +158,7 @@
 const RUN_ADDRESSES: u8 = 254;
 
 /// An address of this run's own in the loopback range, so that runs side by side do not meet.
-fn own_ip() -> IpAddr {
+fn run_address() -> IpAddr {
     static RUNS: AtomicU8 = AtomicU8::new(0);
     let (pid, run) = (std::process::id(), RUNS.fetch_add(1, Ordering::Relaxed));
     let host = 1 + run % RUN_ADDRESSES;
@@ -228,11 +228,11 @@
 }
 
 /// Ends all gateways however a play ends.
-struct Ending(Vec<Arc<Gate>>);
+struct KillOnDrop(Vec<Arc<Gate>>);
 
-impl Drop for Ending {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
-        self.0.iter().for_each(|gate| gate.end());
+        self.0.iter().for_each(|gate| gate.kill_now());
     }
 }
 
@@ -247,12 +247,12 @@
         mut stop: watch::Receiver<bool>,
     ) -> Result<Recording, WorldError> {
         tokio::select! {
-            recording = self.through(progress) => recording,
+            recording = self.run_to_end(progress) => recording,
             _ = stop.wait_for(|stop| *stop) => Err(WorldError::Stopped),
         }
     }
 
-    async fn through(self, progress: watch::Sender<Progress>) -> Result<Recording, WorldError> {
+    async fn run_to_end(self, progress: watch::Sender<Progress>) -> Result<Recording, WorldError> {
         let plan = Arc::new(Plan::new(self.scenario, self.seed));
         let log = Arc::new(Log::new());
         // Dropped last, once the gateways have ended.
@@ -261,7 +261,7 @@
         let world = Arc::new(
             World::build(plan.clone(), log.clone(), &self.program, folder.path(), &mut tasks).await?,
         );
-        let ending = Ending(world.gates.clone());
+        let kill_on_drop = KillOnDrop(world.gates.clone());
         world.start_gates(&self.program).await?;
         let start = Instant::from_std(log.start());
         let run_delays = RunDelayMonitor::start(world.gates.clone(), log.start());
@@ -284,10 +284,13 @@
         // As the platform would end them: what they have in hand is theirs to answer.
         world.stop_gates().await;
         let run_delays = run_delays.finish();
-        drop(ending);
+        drop(kill_on_drop);
         tasks.shutdown().await;
-        let void = (late_ms[1] > LATE_MS).then(|| {
-            format!("the lab ran late by {:.1} ms at the 99th percentile, {LATE_MS} ms at most", late_ms[1])
+        let void = (late_ms[1] > MAX_P99_LATENESS_MS).then(|| {
+            format!(
+                "the lab ran late by {:.1} ms at the 99th percentile, {MAX_P99_LATENESS_MS} ms at most",
+                late_ms[1]
+            )
         });
         let meter = Meter {
             late_ms,
@@ -297,7 +300,7 @@
             run_delays,
         };
         let header = Header {
-            form: FORM,
+            form: FORMAT_VERSION,
             scenario: (*plan.scenario).clone(),
             seed: self.seed,
             build: self.program.display().to_string(),
@@ -319,7 +322,7 @@
         root: &Path,
         tasks: &mut JoinSet<()>,
     ) -> io::Result<Self> {
-        let (ip, spec) = (own_ip(), &plan.scenario.world);
+        let (ip, spec) = (run_address(), &plan.scenario.world);
         let links = Links::new(&plan);
         let worker = |(i, speed): (usize, &f64)| Worker::new(i, *speed, plan.clone(), log.clone());
         let workers: Vec<Arc<Worker>> = plan.speeds.iter().enumerate().map(worker).collect();
@@ -341,9 +344,9 @@
             members.push(gate_ports.next()?);
         }
         let relay = Arc::new(Relay::new(ip, members.clone(), links.gates.clone()).await?);
-        let mut carried = relay.clone().run();
+        let mut relay_tasks = relay.clone().run();
         // It goes with the world's other tasks.
-        tasks.spawn(async move { while carried.join_next().await.is_some() {} });
+        tasks.spawn(async move { while relay_tasks.join_next().await.is_some() {} });
         let mut agents = Vec::new();
         for gate in 0..spec.gatekeepers {
             let up = [watch::channel(true).0, watch::channel(false).0];
@@ -363,18 +366,19 @@
             serve(tasks, port, &counter.up, move |conn| of.clone().serve(gate, conn));
             let listen = gate_ports.next()?;
             let front = links.front[gate].clone();
-            let fleet = members.get(gate).map(|own| Member { listen: *own, relay: relay.addrs.clone() });
-            let around = Around { listen, front, discovery: agent, counter: counter_at, fleet };
-            gates.push(Gate::new(gate, plan.clone(), log.clone(), program, root, around)?);
+            let fleet =
+                members.get(gate).map(|own| FleetAddresses { listen: *own, relay: relay.addrs.clone() });
+            let endpoints = Endpoints { listen, front, discovery: agent, counter: counter_at, fleet };
+            gates.push(Gate::new(gate, plan.clone(), log.clone(), program, root, endpoints)?);
         }
         for worker in &workers {
-            tasks.spawn(faults::raise(worker.clone(), discovery.clone()));
+            tasks.spawn(faults::restart_after_overload(worker.clone(), discovery.clone()));
         }
         Ok(Self { plan, log, links, workers, counter, discovery, agents, gates })
     }
 
     async fn start_gates(&self, program: &Path) -> Result<(), WorldError> {
-        let by = Instant::now() + READY_BY;
+        let by = Instant::now() + READY_TIMEOUT;
         for gate in &self.gates {
             gate.start(&self.discovery.known(gate.index))
                 .map_err(|error| WorldError::Program { program: program.to_owned(), error })?;
@@ -390,7 +394,7 @@
             let why = tokio::select! {
                 up = timeout_at(by, up) => match up {
                     Ok(()) => continue,
-                    Err(_) => format!("no answer on /up within {} s", READY_BY.as_secs()),
+                    Err(_) => format!("no answer on /up within {} s", READY_TIMEOUT.as_secs()),
                 },
                 _ = ended.wait_for(|n| *n > 0) => "it has ended".to_owned(),
             };
--- a/lab/src/world/plan.rs
+++ b/lab/src/world/plan.rs
@@ -37,7 +37,7 @@
 
 /// What a try must look like at a worker, and how long it takes there.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Facts {
+pub struct ExpectedRequest {
     pub class: usize,
     pub work: f64,
     pub key: u64,
@@ -47,10 +47,10 @@
     answer_bytes: usize,
 }
 
-impl Facts {
+impl ExpectedRequest {
     /// Whether a message is what the client sent.
     #[must_use]
-    pub fn fits(&self, message: &Message) -> bool {
+    pub fn matches(&self, message: &Message) -> bool {
         let (method, path) = message.target();
         let key = message.header("idempotency-key");
         let keyed = self.key > 0;
@@ -68,9 +68,9 @@
     /// The one answer that a worker makes for it.
     #[must_use]
     pub fn answer(&self, txn: u64) -> String {
-        let mark = format!("served {:016x}", mix(txn ^ self.work.to_bits()));
+        let marker = format!("served {:016x}", mix(txn ^ self.work.to_bits()));
         // The mark over and over, so that no part of it can be missing unseen.
-        mark.repeat(self.answer_bytes.div_ceil(mark.len()).max(1))
+        marker.repeat(self.answer_bytes.div_ceil(marker.len()).max(1))
     }
 
     /// The message that a client sends.
@@ -116,7 +116,7 @@
     pub rate: f64,
     /// Seconds on a nominal core.
     pub mean_work: f64,
-    sent: Mutex<HashMap<u64, Facts>>,
+    sent: Mutex<HashMap<u64, ExpectedRequest>>,
 }
 
 /// Requests that a play may have: more than this machine carries in an hour.
@@ -150,11 +150,11 @@
             .map(|_| world.speed[0] + (world.speed[1] - world.speed[0]) * rng.random::<f64>())
             .collect();
         plan.gate_weights =
-            (0..world.gatekeepers).map(|_| unlike(scenario.load.gate_skew, &mut rng)).collect();
+            (0..world.gatekeepers).map(|_| log_normal_factor(scenario.load.gate_skew, &mut rng)).collect();
         let capacity: f64 = plan.speeds.iter().sum::<f64>() * world.cores as f64;
         plan.rate = scenario.load.utilisation * capacity / mean_work;
-        plan.people();
-        plan.arrive();
+        plan.create_customers();
+        plan.schedule_arrivals();
         plan
     }
 
@@ -167,7 +167,7 @@
         ChaCha8Rng::seed_from_u64(self.stream(purpose))
     }
 
-    fn people(&mut self) {
+    fn create_customers(&mut self) {
         let mut rng = self.rng("customers");
         let (gates, shares) =
             (self.scenario.world.gatekeepers, self.scenario.plans.iter().map(|p| p.share).sum::<f64>());
@@ -199,7 +199,7 @@
             .iter()
             .map(|_| {
                 let heavy = rng.random::<f64>() < load.heavy;
-                unlike(load.skew, rng) * if heavy { load.heavy_x } else { 1.0 }
+                log_normal_factor(load.skew, rng) * if heavy { load.heavy_x } else { 1.0 }
             })
             .collect();
         for (i, plan) in self.scenario.plans.iter().enumerate() {
@@ -218,14 +218,14 @@
         weights
     }
 
-    fn arrive(&mut self) {
+    fn schedule_arrivals(&mut self) {
         let scenario = self.scenario.clone();
         let (mut times, mut who) = (self.rng("arrivals"), self.rng("askers"));
         let mut steps = scenario.load.step.clone();
         steps.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
         let mut steps = steps.into_iter().peekable();
-        let class_shares: Vec<f64> = running(scenario.classes.iter().map(|c| c.share));
-        let mut weights = running(self.weights(&mut who).into_iter());
+        let class_shares: Vec<f64> = cumulative_shares(scenario.classes.iter().map(|c| c.share));
+        let mut weights = cumulative_shares(self.weights(&mut who).into_iter());
         // The deviation of the logarithm of a request's work: its mean is its class's.
         let work = LogNormal::new(-0.18, 0.6).ok();
         let (mut now, mut rate) = (0.0, self.rate);
@@ -239,7 +239,7 @@
             if let Some(step) = steps.next_if(|s| s.at_s <= next) {
                 (now, rate) = (step.at_s.max(now), self.rate * step.times);
                 if step.shift {
-                    weights = running(self.weights(&mut who).into_iter());
+                    weights = cumulative_shares(self.weights(&mut who).into_iter());
                 }
                 continue;
             }
@@ -247,11 +247,11 @@
                 break;
             }
             now = next;
-            let class = pick(&class_shares, who.random());
+            let class = index_at(&class_shares, who.random());
             let times = work.map_or(1.0, |w| w.sample(&mut who));
             self.arrivals.push(Arrival {
                 at: now,
-                customer: pick(&weights, who.random()),
+                customer: index_at(&weights, who.random()),
                 class,
                 work: scenario.classes[class].work_ms / 1e3 * times,
                 seed: who.random(),
@@ -260,30 +260,30 @@
     }
 
     /// What a request's try looks like; workers know it from now on.
-    pub fn send(&self, txn: u64, arrival: &Arrival, key: u64) -> Facts {
+    pub fn send(&self, txn: u64, arrival: &Arrival, key: u64) -> ExpectedRequest {
         let class = &self.scenario.classes[arrival.class];
         let method = if class.effect == Effect::Safe { "GET" } else { "POST" };
         let path = format!("/{}?n={:08x}", class.name, arrival.seed as u32);
         let key = if class.effect == Effect::Keyed { key.max(1) } else { 0 };
         let (class, work, answer_bytes) = (arrival.class, arrival.work, self.scenario.world.answer_bytes);
-        let facts = Facts { class, work, key, method, path, answer_bytes };
-        self.sent.lock().unwrap_or_else(PoisonError::into_inner).insert(txn, facts.clone());
-        facts
+        let expected = ExpectedRequest { class, work, key, method, path, answer_bytes };
+        self.sent.lock().unwrap_or_else(PoisonError::into_inner).insert(txn, expected.clone());
+        expected
     }
 
     /// What a client sent under this number.
-    pub fn sent(&self, txn: u64) -> Option<Facts> {
+    pub fn sent(&self, txn: u64) -> Option<ExpectedRequest> {
         self.sent.lock().unwrap_or_else(PoisonError::into_inner).get(&txn).cloned()
     }
 }
 
 /// A factor of mean 1 whose logarithm deviates by `skew`.
-fn unlike(skew: f64, rng: &mut ChaCha8Rng) -> f64 {
+fn log_normal_factor(skew: f64, rng: &mut ChaCha8Rng) -> f64 {
     LogNormal::new(-skew * skew / 2.0, skew).map_or(1.0, |d| d.sample(rng))
 }
 
 /// Running sums, scaled to end at 1.
-fn running(weights: impl Iterator<Item = f64>) -> Vec<f64> {
+fn cumulative_shares(weights: impl Iterator<Item = f64>) -> Vec<f64> {
     let mut sums: Vec<f64> = weights
         .scan(0.0, |sum, w| {
             *sum += w;
@@ -298,7 +298,7 @@
 }
 
 /// The place where a draw from 0 to 1 falls.
-fn pick(sums: &[f64], draw: f64) -> usize {
+fn index_at(sums: &[f64], draw: f64) -> usize {
     sums.partition_point(|s| *s <= draw).min(sums.len().saturating_sub(1))
 }
 
@@ -350,9 +350,9 @@
         let plan = Plan::new(scenario(""), 5);
         let keyed = plan.arrivals.iter().find(|a| a.class == 1).expect("one of each class");
         assert!(plan.sent(7).is_none());
-        let facts = plan.send(7, keyed, 99);
-        assert_eq!(plan.sent(7).as_ref(), Some(&facts));
-        let text = String::from_utf8(facts.message(7, "X-Lane: a\r\n")).expect("text");
+        let expected = plan.send(7, keyed, 99);
+        assert_eq!(plan.sent(7).as_ref(), Some(&expected));
+        let text = String::from_utf8(expected.message(7, "X-Lane: a\r\n")).expect("text");
         assert!(text.contains("Idempotency-Key: 00000000000000000000000000000063"), "{text}");
     }
 }
--- a/lab/src/world/worker.rs
+++ b/lab/src/world/worker.rs
@@ -5,7 +5,7 @@
     link::{Connection, FlowDirection},
     record::{Ending, Event, Log, Micros, WorkerState},
     scenario::Scenario,
-    world::plan::{Facts, Plan},
+    world::plan::{ExpectedRequest, Plan},
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -41,7 +41,7 @@
 }
 
 /// What is known of the worker since its last start.
-struct Incarnation {
+struct Startup {
     /// `None`: warm since long ago.
     started: Option<Instant>,
     /// Work that came of late while it was cold: when, and seconds of it.
@@ -59,7 +59,7 @@
     waiting: AtomicUsize,
     connections: AtomicUsize,
     served: AtomicU64,
-    incarnation: Mutex<Incarnation>,
+    incarnation: Mutex<Startup>,
     disturbance: Mutex<Disturbance>,
     /// False while it is dead.
     pub up: watch::Sender<bool>,
@@ -84,7 +84,7 @@
             waiting: AtomicUsize::new(0),
             connections: AtomicUsize::new(0),
             served: AtomicU64::new(0),
-            incarnation: Mutex::new(Incarnation { started: None, received: VecDeque::new() }),
+            incarnation: Mutex::new(Startup { started: None, received: VecDeque::new() }),
             disturbance: Mutex::default(),
             up: watch::channel(true).0,
             incarnations: watch::channel(0).0,
@@ -109,22 +109,22 @@
     pub fn die(&self, state: WorkerState) {
         if self.up.send_replace(false) {
             self.incarnations.send_modify(|n| *n += 1);
-            self.log.note(Event::Worker { worker: self.index, state });
+            self.log.record(Event::Worker { worker: self.index, state });
         }
     }
 
     /// Starts again, without warm caches.
     pub fn start(&self) {
         let mut incarnation = self.incarnation.lock().unwrap_or_else(PoisonError::into_inner);
-        *incarnation = Incarnation { started: Some(Instant::now()), received: VecDeque::new() };
+        *incarnation = Startup { started: Some(Instant::now()), received: VecDeque::new() };
         drop(incarnation);
         self.set(|t| t.draining = false);
-        self.log.note(Event::Worker { worker: self.index, state: WorkerState::Started });
+        self.log.record(Event::Worker { worker: self.index, state: WorkerState::Started });
         self.up.send_replace(true);
     }
 
     /// Share of its capacity that it has.
-    fn warmth(&self, started: Option<Instant>, now: Instant) -> f64 {
+    fn capacity_share(&self, started: Option<Instant>, now: Instant) -> f64 {
         let world = &self.scenario.world;
         let Some(started) = started else { return 1.0 };
         let age = now.saturating_duration_since(started).as_secs_f64();
@@ -132,11 +132,11 @@
     }
 
     /// Takes note of work that came; `true`: it falls, as a cold worker that was sent too much.
-    fn falls(&self, work: f64) -> (f64, bool) {
+    fn is_overloaded(&self, work: f64) -> (f64, bool) {
         let (world, now) = (&self.scenario.world, Instant::now());
         let mut incarnation = self.incarnation.lock().unwrap_or_else(PoisonError::into_inner);
-        let warmth = self.warmth(incarnation.started, now);
-        if warmth >= 1.0 {
+        let capacity_share = self.capacity_share(incarnation.started, now);
+        if capacity_share >= 1.0 {
             incarnation.received.clear();
             return (1.0, false);
         }
@@ -146,10 +146,11 @@
         }
         incarnation.received.push_back((now, work));
         let sent: f64 = incarnation.received.iter().map(|(_, w)| w).sum();
-        let bears = world.fall_multiple * warmth * world.cores as f64 * self.speed * world.fall_s;
+        let overload_limit =
+            world.fall_multiple * capacity_share * world.cores as f64 * self.speed * world.fall_s;
         // A little for chance, as a few long requests in a row are nobody's fault.
         let slack = 4.0 * self.plan.mean_work;
-        (warmth, sent > bears + slack)
+        (capacity_share, sent > overload_limit + slack)
     }
 
     fn report(&self) -> String {
@@ -178,7 +179,7 @@
         if open_connections >= world.connections {
             return conn.reset();
         }
-        self.log.note(Event::Handshake { gate, worker: self.index });
+        self.log.record(Event::Handshake { gate, worker: self.index });
         let mut first = true;
         loop {
             // Whatever can't be read, or breaks, ends the connection.
@@ -192,8 +193,8 @@
             tokio::time::sleep(trip).await;
             let link_delay = left_gateway.elapsed().as_micros() as Micros;
             let closes = message.closes();
-            let Some(said) = self.request(gate, conn, &message, link_delay).await else { return };
-            if conn.write(FlowDirection::In, &said).await.is_err() || closes {
+            let Some(response) = self.request(gate, conn, &message, link_delay).await else { return };
+            if conn.write(FlowDirection::In, &response).await.is_err() || closes {
                 return;
             }
         }
@@ -209,29 +210,35 @@
     ) -> Option<Vec<u8>> {
         let (method, path) = message.target();
         if method == "GET" && (path == "/alive" || path == "/metrics/load") {
-            self.log.note(Event::Probe { gate, worker: self.index });
+            self.log.record(Event::Probe { gate, worker: self.index });
             return Some(http::answer(200, &self.report(), b""));
         }
         let txn = message.header("x-txn").and_then(|t| u64::from_str_radix(t, 16).ok());
-        let Some((txn, facts)) = txn.and_then(|t| Some((t, self.plan.sent(t)?))) else {
-            self.log.note(Event::Stranger { gate, worker: self.index });
+        let Some((txn, expected)) = txn.and_then(|t| Some((t, self.plan.sent(t)?))) else {
+            self.log.record(Event::Stranger { gate, worker: self.index });
             return Some(http::answer(400, "", b""));
         };
-        let intact = facts.fits(message);
-        self.log.note(Event::Attempt { txn, gate, worker: self.index, intact, link_delay });
-        let work = Work { worker: self, txn, queued: 0.0, worked: 0.0, begun: false, is_logged: false };
-        self.attempt(conn, &facts, work).await
+        let intact = expected.matches(message);
+        self.log.record(Event::Attempt { txn, gate, worker: self.index, intact, link_delay });
+        let work =
+            AttemptRecord { worker: self, txn, queued: 0.0, worked: 0.0, begun: false, is_logged: false };
+        self.attempt(conn, &expected, work).await
     }
 
     /// Does the work of one attempt and answers it, unless something is wrong with this worker.
-    async fn attempt(&self, conn: &mut Connection, facts: &Facts, mut work: Work<'_>) -> Option<Vec<u8>> {
+    async fn attempt(
+        &self,
+        conn: &mut Connection,
+        expected: &ExpectedRequest,
+        mut work: AttemptRecord<'_>,
+    ) -> Option<Vec<u8>> {
         let disturbance = self.disturbance();
         if disturbance.draining {
             return Some(self.reject(work));
         }
         if disturbance.is_unresponsive {
             // Nobody hears of it again: the gateway gives it up, or the worker dies.
-            closed(conn).await;
+            wait_for_close(conn).await;
             work.end(Ending::Silent);
             return None;
         }
@@ -239,8 +246,8 @@
             work.end(Ending::Error);
             return Some(http::answer(500, &self.report(), b"failed"));
         }
-        let (warmth, falls) = self.falls(facts.work);
-        if falls {
+        let (capacity_share, is_overloaded) = self.is_overloaded(expected.work);
+        if is_overloaded {
             self.die(WorkerState::Fell);
             self.fell.notify_one();
             return None;
@@ -249,9 +256,9 @@
             return Some(self.reject(work));
         }
         let _core = self.wait_for_core(conn, &mut work).await?;
-        let takes = facts.work * disturbance.slower / (self.speed * warmth);
+        let takes = expected.work * disturbance.slower / (self.speed * capacity_share);
         self.work_for(conn, &mut work, takes).await?;
-        self.answer(conn, &facts.answer(work.txn), &disturbance, work).await
+        self.answer(conn, &expected.answer(work.txn), &disturbance, work).await
     }
 
     fn fails_at_once(&self, errors: f64) -> bool {
@@ -264,18 +271,22 @@
     }
 
     /// Rejects a request without having begun it.
-    fn reject(&self, mut work: Work<'_>) -> Vec<u8> {
+    fn reject(&self, mut work: AttemptRecord<'_>) -> Vec<u8> {
         work.end(Ending::TurnedAway);
         http::answer(503, &format!("X-Turned-Away: 1\r\n{}", self.report()), b"")
     }
 
     /// Waits for a free core; `None` where the gateway gives the attempt up before.
-    async fn wait_for_core(&self, conn: &mut Connection, work: &mut Work<'_>) -> Option<SemaphorePermit<'_>> {
+    async fn wait_for_core(
+        &self,
+        conn: &mut Connection,
+        work: &mut AttemptRecord<'_>,
+    ) -> Option<SemaphorePermit<'_>> {
         let since = Instant::now();
         self.waiting.fetch_add(1, Ordering::Relaxed);
         let core = tokio::select! {
             core = self.cores.acquire() => Some(core),
-            () = closed(conn) => None,
+            () = wait_for_close(conn) => None,
         };
         self.waiting.fetch_sub(1, Ordering::Relaxed);
         let Some(core) = core else {
@@ -289,11 +300,16 @@
     }
 
     /// Works for so many seconds; `None` where the gateway gives the attempt up before.
-    async fn work_for(&self, conn: &mut Connection, work: &mut Work<'_>, seconds: f64) -> Option<()> {
+    async fn work_for(
+        &self,
+        conn: &mut Connection,
+        work: &mut AttemptRecord<'_>,
+        seconds: f64,
+    ) -> Option<()> {
         let begun = Instant::now();
         tokio::select! {
             () = tokio::time::sleep(Duration::from_secs_f64(seconds)) => {}
-            () = closed(conn) => {
+            () = wait_for_close(conn) => {
                 work.worked = begun.elapsed().as_secs_f64();
                 work.end(Ending::Cancelled { begun: true });
                 return None;
@@ -309,7 +325,7 @@
         conn: &mut Connection,
         body: &str,
         disturbance: &Disturbance,
-        mut work: Work<'_>,
+        mut work: AttemptRecord<'_>,
     ) -> Option<Vec<u8>> {
         let draw = self.draw();
         if draw < disturbance.stall + disturbance.break_off {
@@ -328,15 +344,16 @@
 
 /// Sends the first half of an answer and resets the connection: at once, or once the gateway has given it up.
 async fn answer_half(conn: &mut Connection, body: &str, stalls: bool) {
-    let half = if stalls { http::beginning(&body.as_bytes()[..body.len() / 2]) } else { http::half(body) };
+    let half =
+        if stalls { http::first_chunk(&body.as_bytes()[..body.len() / 2]) } else { http::first_half(body) };
     if conn.write(FlowDirection::In, &half).await.is_ok() && stalls {
-        closed(conn).await;
+        wait_for_close(conn).await;
     }
     conn.reset();
 }
 
 /// An attempt's stay; however it ends, that is written down once.
-struct Work<'a> {
+struct AttemptRecord<'a> {
     worker: &'a Worker,
     txn: u64,
     queued: f64,
@@ -345,15 +362,15 @@
     is_logged: bool,
 }
 
-impl Work<'_> {
+impl AttemptRecord<'_> {
     fn end(&mut self, how: Ending) {
         self.is_logged = true;
         let (txn, worker) = (self.txn, self.worker.index);
-        self.worker.log.note(Event::Ended { txn, worker, how, queued: self.queued, worked: self.worked });
+        self.worker.log.record(Event::Ended { txn, worker, how, queued: self.queued, worked: self.worked });
     }
 }
 
-impl Drop for Work<'_> {
+impl Drop for AttemptRecord<'_> {
     fn drop(&mut self) {
         // Dropped under way: the worker has died.
         if !self.is_logged {
@@ -363,7 +380,7 @@
 }
 
 /// Waits until the gateway ends the connection or its sending: it gives the attempt up.
-async fn closed(conn: &mut Connection) {
+async fn wait_for_close(conn: &mut Connection) {
     // Bytes before the end are no protocol of ours; they wait for their turn.
     while let Ok(1..) = conn.fill().await {}
     let link = conn.link.clone();
