--- a/lab/src/judge/excuses.rs
+++ b/lab/src/judge/excuses.rs
@@ -1,4 +1,4 @@
-//! The times for which a gateway owes its clients nothing, because of what the lab did to it.
+//! Spans in which the lab itself made a gateway unable to answer, so that missing answers are no violations.
 
 use super::{Judge, seconds};
 use crate::{
@@ -7,11 +7,12 @@
 };
 use std::collections::HashMap;
 
-/// A gateway that came back may owe its clients nothing for so long: their connections were reset.
+/// Seconds after a gateway's return that are excused too, as its clients' connections were reset.
 const RECONNECT_ALLOWANCE_S: f64 = 0.3;
 
 impl Judge<'_> {
-    /// By gateway, the times for which it owes nothing: killed, paused, or cut off from the front by the lab.
+    /// Returns, by gateway, the excused spans in seconds: while it was killed, paused, or partitioned from the clients
+    /// by the lab.
     pub(super) fn excused_spans(&self) -> HashMap<usize, Vec<(f64, f64)>> {
         let mut spans: HashMap<usize, Vec<(f64, f64)>> = HashMap::new();
         let mut since: HashMap<usize, f64> = HashMap::new();
@@ -34,7 +35,7 @@
                     let Some(fault) = self.scenario.faults.get(*index) else { continue };
                     let front = matches!(Peers::parse(&fault.peers, zones), Ok(Peers::Front | Peers::All));
                     if delays_answers(fault.what) && front {
-                        // What the cut held back comes after it has healed.
+                        // Data held back by the fault arrives up to a second after the link has healed.
                         let once = fault.what == FaultKind::Reset;
                         let lasts = if once { 0.0 } else { fault.for_s.unwrap_or(f64::INFINITY) };
                         let until = at + lasts + 1.0;
@@ -53,7 +54,7 @@
     }
 }
 
-/// Whether a fault of this kind strikes links so that answers are late or lost.
+/// Whether a fault of this kind on a link delays or loses answers.
 fn delays_answers(kind: FaultKind) -> bool {
     matches!(
         kind,
--- a/lab/src/judge/gather.rs
+++ b/lab/src/judge/gather.rs
@@ -1,4 +1,4 @@
-//! Sorts a recording by request, and counts it by second.
+//! Groups recorded events by client try, and counts them per second.
 
 use super::{
     Judge, Rule, seconds,
@@ -7,11 +7,12 @@
 use crate::record::{Event, GateState, Outcome, Seen};
 use std::collections::HashMap;
 
-/// Attempts by second and worker.
+/// Number of attempts by second of the run and worker.
 type AttemptCounts = HashMap<(usize, usize), u64>;
 
 impl Judge<'_> {
-    /// Sorts what was seen by request, and counts it by second.
+    /// Groups the recorded events by client try, counts them per second, and reports violations that a single event
+    /// shows: unknown or changed requests, second answers, and gateways that exited on their own.
     pub(super) fn index_events(&mut self) {
         let recording = self.recording;
         let mut attempts = AttemptCounts::new();
@@ -32,7 +33,7 @@
                     }
                 }
                 Event::Stranger { gate, worker } => {
-                    let what = format!("gateway {gate} sent worker {worker} what no client sent");
+                    let what = format!("gateway {gate} sent worker {worker} a request that no client sent");
                     self.add_violation(Rule::Strangers, at, what);
                 }
                 Event::Probe { .. } => self.second(at).probes += 1,
@@ -43,7 +44,11 @@
                     second.busy_calls += u64::from(total.is_none());
                 }
                 Event::Gate { gate, state: GateState::Exited { wanted: false, status } } => {
-                    self.add_violation(Rule::Crash, at, format!("gateway {gate} ended: {status}"));
+                    self.add_violation(
+                        Rule::Crash,
+                        at,
+                        format!("gateway {gate} exited on its own: {status}"),
+                    );
                 }
                 Event::Reason { txn, why, .. } => {
                     self.reasons.insert(*txn, why);
@@ -77,7 +82,7 @@
         }
         let Some(request) = self.tries.get_mut(&txn) else { return };
         if request.answer.is_some() {
-            self.add_violation(Rule::Answers, at, format!("{txn:016x} has a second answer"));
+            self.add_violation(Rule::Answers, at, format!("{txn:016x} got a second answer"));
         } else {
             request.answer = Some((at, outcome.clone()));
         }
@@ -89,10 +94,14 @@
             *n += 1;
         }
         if !intact {
-            self.add_violation(Rule::Strangers, at, format!("{txn:016x} came to worker {worker} changed"));
+            self.add_violation(
+                Rule::Strangers,
+                at,
+                format!("{txn:016x} reached worker {worker} with changed content"),
+            );
         }
         let Some(request) = self.tries.get_mut(&txn) else {
-            self.add_violation(Rule::Strangers, at, format!("{txn:016x} was never sent"));
+            self.add_violation(Rule::Strangers, at, format!("{txn:016x} was not sent by any client"));
             return;
         };
         request.sent.push(Attempt { at, left_gateway, worker, ended: None });
@@ -101,7 +110,7 @@
         }
     }
 
-    /// Finds the attempts at the worker that got most, second by second.
+    /// Stores, for each second, the number of attempts at the worker that received the most.
     fn count_worst_workers(&mut self, attempts: AttemptCounts) {
         for ((second, _), n) in attempts {
             let worst = &mut self.verdict.seconds[second].worst_worker;
--- a/lab/src/judge/mod.rs
+++ b/lab/src/judge/mod.rs
@@ -1,4 +1,5 @@
-//! What a play was worth, from what the stand-ins saw: rules, quotas, recovery, and why units went astray.
+//! Evaluates the recording of a run: rule violations, quota accuracy, goodput and latency, recovery after faults, and
+//! the causes of units admitted beyond a quota or refused within one.
 
 mod answers;
 mod conclusion;
@@ -24,29 +25,29 @@
 use std::collections::HashMap;
 use tries::Try;
 
-/// What sockets and this machine may add to a time limit.
+/// Allowance on every time limit, in seconds, for delays of sockets and scheduling on the test machine.
 const SLACK_S: f64 = 0.05;
-/// Broken rules that are listed one by one; the others are only counted.
+/// Violations that are listed individually; further ones are only counted.
 const MAX_LISTED: usize = 20;
 
-/// A recording's time in seconds.
+/// Converts a recorded time to seconds since the load began.
 fn seconds(at: Micros) -> f64 {
     at as f64 / 1e6
 }
 
-/// A recording that is being judged, and what has been found so far.
+/// Evaluation of one recording: the indexed events and the results so far.
 struct Judge<'a> {
     recording: &'a Recording,
     scenario: &'a Scenario,
     verdict: Verdict,
     tries: HashMap<u64, Try>,
-    /// In the order that they went out.
+    /// Transaction numbers of the tries, in the order in which clients sent them.
     order: Vec<u64>,
-    /// What a gateway said last of a try.
+    /// By transaction number, the last cause that a gateway logged for the try.
     reasons: HashMap<u64, &'a str>,
 }
 
-/// Judges a play.
+/// Evaluates a recorded run.
 #[must_use]
 pub fn judge(recording: &Recording) -> Verdict {
     let mut judge = Judge {
@@ -69,7 +70,7 @@
 }
 
 impl Judge<'_> {
-    /// Takes down one broken rule.
+    /// Counts one violation, and lists it unless [`MAX_LISTED`] are listed already.
     fn add_violation(&mut self, rule: Rule, at_s: f64, what: String) {
         *self.verdict.broken_by.entry(rule).or_default() += 1;
         if self.verdict.broken.len() < MAX_LISTED {
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Takes down what was found, in the order that it happened.
+    /// Adds violations, given as rule, time in seconds and description, in order of time.
     fn add_violations(&mut self, mut found: Vec<(Rule, f64, String)>) {
         found.sort_by(|a, b| a.1.total_cmp(&b.1));
         for (rule, at, what) in found {
@@ -85,13 +86,14 @@
         }
     }
 
-    /// Seconds by which the machine, and not the gateway, may have delayed something in a span: what the lab itself ran
-    /// late at most, and what the processes waited for processors in that span.
+    /// Returns the seconds by which the test machine, rather than the gateway, may have delayed an event in a span: the
+    /// lab's greatest send delay in the run plus the time that processes waited for processors in that span.
     fn machine_delay(&self, gate: usize, from_s: f64, until_s: f64) -> f64 {
         let meter = &self.recording.meter;
         meter.late_ms[2] / 1e3 + meter.run_delays.between(gate, from_s, until_s)
     }
 
+    /// Returns the statistics of the second that holds the time `at`, in seconds, adding empty seconds up to it.
     fn second(&mut self, at: f64) -> &mut Second {
         let zones = self.scenario.world.zones.len();
         let index = at.max(0.0) as usize;
--- a/lab/src/judge/quotas.rs
+++ b/lab/src/judge/quotas.rs
@@ -1,37 +1,37 @@
-//! Quotas and ceilings against exact buckets.
+//! Compares admissions and refusals with exact token buckets for each customer's quota and rate limit.
 
 use super::{Causes, Judge, Rule, tries::Try};
 use crate::{bucket::Bucket, record::Outcome, scenario::PlanSpec};
 use std::collections::HashMap;
 
-/// Seconds of a ceiling's rate by which a customer may be past it, besides the plan's slack.
+/// Units by which a customer may exceed its rate limit beyond the plan's slack, as seconds of the limit's rate.
 const RATE_LIMIT_SLACK_S: f64 = 0.15;
 
-/// What happens to a customer's accounts.
+/// An event that changes a customer's account.
 #[derive(Clone, Copy, PartialEq)]
 enum Step {
-    /// A try is sent on.
+    /// The first attempt of a try reached a worker.
     Sent,
-    /// The last attempt of a try has ended.
+    /// The last attempt of a try ended.
     Finished,
-    /// A try is refused.
+    /// A try was refused without any attempt.
     Refused,
 }
 
-/// A step of one try, at a time in seconds.
+/// A step of the try `txn`, at a time in seconds.
 struct TimedStep {
     at: f64,
     step: Step,
     txn: u64,
 }
 
-/// What one customer has used.
+/// Exact account of one customer.
 struct Account {
     quota: Bucket,
     ceiling: Bucket,
-    /// Tries that are sent on and not finished.
+    /// Tries in flight at workers.
     open: u32,
-    /// Units beyond the quota.
+    /// Units admitted beyond the quota.
     beyond: u64,
 }
 
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Takes a unit from the ceiling; the units past it, where that is more than the plan allows.
+    /// Takes a unit from the rate limit's bucket; returns the units beyond the limit if they exceed the slack.
     fn rate_limit_exceeded(&mut self, at: f64, plan: &PlanSpec) -> Option<f64> {
         if plan.ceiling_rate <= 0.0 {
             return None;
@@ -70,7 +70,8 @@
 }
 
 impl Judge<'_> {
-    /// Quotas and ceilings against exact buckets, with a cause for each unit that went astray.
+    /// Replays all tries against exact buckets: counts units admitted beyond quotas and refusals within quotas, each
+    /// with its cause, and reports exceeded rate limits.
     pub(super) fn check_quotas(&mut self) {
         let mut accounts: HashMap<usize, Account> = HashMap::new();
         let mut counts = Counts::default();
@@ -111,7 +112,7 @@
         self.take_quota_counts(counts, worst_beyond);
     }
 
-    /// All steps of all tries, in the order that they happened.
+    /// Returns all steps of all tries, in order of time.
     fn quota_steps(&self) -> Vec<TimedStep> {
         let mut steps = Vec::new();
         for (&txn, request) in &self.tries {
@@ -128,12 +129,12 @@
         steps
     }
 
-    /// What its gateway said last of a try.
+    /// Returns the last cause that a gateway logged for a try.
     fn cause(&self, txn: u64) -> String {
         self.reasons.get(&txn).copied().unwrap_or("not told").to_owned()
     }
 
-    /// Counts a unit beyond its quota, unless that was in the lead-in.
+    /// Counts a unit admitted beyond its quota, unless that happened in the lead-in.
     fn count_over_quota(&self, counts: &mut Counts, at: f64, level: f64, txn: u64) {
         if at < self.scenario.lead_s {
             return;
@@ -143,7 +144,7 @@
         *counts.beyond_causes.entry(format!("{open}{}", self.cause(txn))).or_default() += 1;
     }
 
-    /// Takes the counts into the verdict.
+    /// Transfers the counts to the verdict.
     fn take_quota_counts(&mut self, counts: Counts, worst_beyond: u64) {
         self.add_violations(counts.rate_limit_exceeded);
         let lead = self.scenario.lead_s;
@@ -162,5 +163,5 @@
 }
 
 fn rate_limit_exceeded_text(request: &Try, units: f64) -> String {
-    format!("customer {} is {units:.1} units past its ceiling", request.customer)
+    format!("customer {} exceeds its rate limit by {units:.1} units", request.customer)
 }
--- a/lab/src/judge/recovery.rs
+++ b/lab/src/judge/recovery.rs
@@ -1,14 +1,14 @@
-//! How long the fleet took to recover after the last fault.
+//! Measures how long the fleet took to recover after the last fault.
 
 use super::{Judge, Recovery};
 
-/// Seconds over which goodput is compared.
+/// Length of the window over which goodput after the faults is averaged, in seconds.
 const WINDOW_S: f64 = 2.0;
-/// Share of the goodput before at which a fleet has recovered.
+/// Share of the goodput before the faults from which on the fleet counts as recovered.
 const RECOVERED_SHARE: f64 = 0.95;
 
 impl Judge<'_> {
-    /// Compares goodput after the faults with that before them.
+    /// Finds the first window after the faults whose goodput has recovered to that before them.
     pub(super) fn measure_recovery(&mut self) {
         let Some((from, to)) = self.scenario.fault_span() else { return };
         let (seconds, end) = (&self.verdict.seconds, self.scenario.length_s);
--- a/lab/src/judge/rule.rs
+++ b/lab/src/judge/rule.rs
@@ -1,42 +1,44 @@
-//! The rules that must hold in every play, and reports of broken ones.
+//! The rules that must hold in every run, and their violations.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A rule that was broken.
+/// One violation of a rule.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Violation {
-    /// Which one.
+    /// Rule that was violated.
     pub rule: Rule,
-    /// When, in seconds since the load began.
+    /// Time of the violation, in seconds since the load began.
     pub at_s: f64,
-    /// What was seen, in words.
+    /// Description of the observed event, for people.
     pub what: String,
 }
 
-/// What must hold in every play.
+/// A rule that must hold in every run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// Every request taken gets one final answer in time.
+    /// Every request that a gateway accepts gets exactly one final response within its time limit.
     Answers,
-    /// What is served is what a worker made for it.
+    /// A successful response carries the body that a worker produced for that request.
     Genuine,
-    /// Workers get only what a client sent.
+    /// Workers receive only requests that a client sent, unchanged.
     Strangers,
-    /// An unsafe request that may have run is never sent again, nor called harmless to repeat.
+    /// An unsafe request that may have been executed is neither sent to a worker again nor refused in a way that tells
+    /// its client that a retry is harmless.
     Unsafe,
-    /// Nor a keyed one, but to those that remember it.
+    /// A keyed request that may have been executed is sent again only to workers that detect the duplicate: those of
+    /// the same zone, within the class's deduplication window.
     Keyed,
-    /// Nothing new to a worker that drains.
+    /// A gateway sends no new attempts to a worker that it knows to be draining.
     Drain,
-    /// No cold worker falls.
+    /// Gateways that know of a worker's start do not overload it during its warm-up.
     Cold,
-    /// No customer gets past its ceiling.
+    /// No customer exceeds its rate limit, the hard ceiling of its plan.
     Ceiling,
-    /// No gateway ends by itself.
+    /// No gateway process exits unless the lab ended it.
     Crash,
-    /// What waited for its first attempt when its client left is not sent on.
+    /// A request that still waits for its first attempt when its client disconnects is not sent to a worker.
     Gone,
 }
 
--- a/lab/src/judge/tests.rs
+++ b/lab/src/judge/tests.rs
@@ -8,13 +8,14 @@
     (seconds * 1e6) as Micros
 }
 
-/// A recording that breaks nothing, made up by hand.
-struct Tape {
+/// Builds a recording by hand, one event at a time.
+struct RecordingBuilder {
+    /// TOML text appended to the scenario.
     rest: String,
     seen: Vec<Seen>,
 }
 
-impl Tape {
+impl RecordingBuilder {
     fn new() -> Self {
         Self { rest: String::new(), seen: Vec::new() }
     }
@@ -23,7 +24,7 @@
         self.seen.push(Seen { at: at(at_s), event });
     }
 
-    /// A try of `class` by `customer` of `plan` at gateway 0.
+    /// Adds a try of `class` by `customer` of `plan` at gateway 0, with a time limit of 1 s.
     fn tries(&mut self, at_s: f64, txn: u64, class: usize, plan: usize, customer: usize) {
         let event = Event::Try { txn, first: txn, again: 0, gate: 0, customer, plan, class, remaining: 1.0 };
         self.record(at_s, event);
@@ -41,7 +42,7 @@
         self.record(at_s, Event::Answer { txn, outcome });
     }
 
-    /// A whole good exchange with worker 0.
+    /// Adds a complete successful exchange with worker 0.
     fn good(&mut self, at_s: f64, txn: u64, plan: usize, customer: usize) {
         self.tries(at_s, txn, 0, plan, customer);
         self.sends(at_s + 0.01, txn, 0);
@@ -51,7 +52,7 @@
 
     fn recording(mut self) -> Recording {
         let text = format!("name = \"x\"\nlength_s = 20\nlead_s = 0\n{}", self.rest);
-        let scenario = Scenario::parse(&text).expect("a scenario");
+        let scenario = Scenario::parse(&text).expect("a valid scenario");
         self.seen.sort_by_key(|s| s.at);
         let header = Header {
             form: FORMAT_VERSION,
@@ -71,8 +72,8 @@
         judge(&self.recording())
     }
 
-    /// What it breaks, each rule once.
-    fn breaks(self) -> Vec<Rule> {
+    /// Returns the rules that the recording violates, each once.
+    fn violated_rules(self) -> Vec<Rule> {
         let verdict = self.judged();
         let mut rules: Vec<Rule> = verdict.broken.iter().map(|b| b.rule).collect();
         rules.sort();
@@ -87,99 +88,108 @@
 const UNSAFE: usize = 2;
 
 #[test]
-fn a_good_play_passes_and_earns_all_of_its_worth() {
-    let mut tape = Tape::new();
-    (0..50).for_each(|i| tape.good(0.3 * i as f64, i, 0, i as usize));
-    let verdict = tape.judged();
+fn a_run_without_faults_passes_and_earns_its_full_value() {
+    let mut builder = RecordingBuilder::new();
+    (0..50).for_each(|i| builder.good(0.3 * i as f64, i, 0, i as usize));
+    let verdict = builder.judged();
     assert!(verdict.passed(), "{}", verdict.line());
     assert_eq!((verdict.goodput, verdict.score, verdict.requests), (1.0, 1.0, 50));
     assert_eq!((verdict.beyond, verdict.amplification, verdict.wasted), (0, 1.0, 0.0));
 }
 
 #[test]
-fn a_play_in_which_nothing_was_sent_does_not_pass() {
-    assert!(!Tape::new().judged().passed());
+fn a_run_without_requests_does_not_pass() {
+    assert!(!RecordingBuilder::new().judged().passed());
 }
 
 #[test]
-fn what_left_its_gateway_before_its_client_did_is_not_sent_on_however_long_the_link_held_it_up() {
+fn an_attempt_that_left_the_gateway_before_its_client_disconnected_is_allowed_despite_link_delay() {
     let sent_on = |link_delay_s: f64| {
-        let mut tape = Tape::new();
-        tape.tries(1.0, 1, READ, 0, 0);
-        tape.answers(1.1, 1, Outcome::Left);
-        // A link that was cut gives it to its worker at 3 s.
+        let mut builder = RecordingBuilder::new();
+        builder.tries(1.0, 1, READ, 0, 0);
+        builder.answers(1.1, 1, Outcome::Left);
+        // A partitioned link delivers it to the worker at 3 s.
         let link_delay = at(link_delay_s);
-        tape.record(3.0, Event::Attempt { txn: 1, gate: 0, worker: 0, intact: true, link_delay });
-        tape.judged().gone
+        builder.record(3.0, Event::Attempt { txn: 1, gate: 0, worker: 0, intact: true, link_delay });
+        builder.judged().gone
     };
-    assert_eq!(sent_on(0.0), [1, 1], "it left at 3 s");
-    assert_eq!(sent_on(1.5), [1, 1], "it left at 1.5 s");
-    assert_eq!(sent_on(1.95), [0, 0], "it left at 1.05 s: it did not wait any more");
+    assert_eq!(sent_on(0.0), [1, 1], "it left the gateway at 3 s");
+    assert_eq!(sent_on(1.5), [1, 1], "it left the gateway at 1.5 s");
+    assert_eq!(sent_on(1.95), [0, 0], "it left the gateway at 1.05 s, before the client disconnected");
 }
 
 #[test]
-fn what_is_sent_on_for_clients_that_have_left_is_counted_and_over_a_quarter_breaks_a_rule() {
-    // Eight leave 0.1 s after they came, some of them with an attempt out; so many are sent on `later` than that.
-    let play = |out: u64, sent: u64, later: f64, state: Option<GateState>| {
-        let mut tape = Tape::new();
+fn attempts_for_disconnected_clients_are_counted_and_more_than_a_quarter_violates_a_rule() {
+    // Eight clients disconnect 0.1 s after their requests; `out` of these have an attempt in flight by then, and `sent`
+    // further ones are sent to a worker `later` seconds after the disconnection.
+    let run = |out: u64, sent: u64, later: f64, state: Option<GateState>| {
+        let mut builder = RecordingBuilder::new();
         for i in 0..8 {
-            tape.tries(1.0, i, READ, 0, i as usize);
+            builder.tries(1.0, i, READ, 0, i as usize);
             if i < out {
-                tape.sends(1.05, i, 0);
+                builder.sends(1.05, i, 0);
             }
-            tape.answers(1.1, i, Outcome::Left);
+            builder.answers(1.1, i, Outcome::Left);
             if (out..out + sent).contains(&i) {
-                tape.sends(1.1 + later, i, 0);
+                builder.sends(1.1 + later, i, 0);
             }
         }
         if let Some(state) = state {
-            tape.record(1.0, Event::Gate { gate: 0, state });
+            builder.record(1.0, Event::Gate { gate: 0, state });
         }
-        let verdict = tape.judged();
+        let verdict = builder.judged();
         (verdict.gone, verdict.broken_by.contains_key(&Rule::Gone))
     };
-    assert_eq!(play(0, 3, 0.4, None), ([8, 3], true));
-    assert_eq!(play(0, 3, 0.2, None), ([8, 0], false), "it may be that late");
-    assert_eq!(play(0, 2, 0.4, None), ([8, 2], false), "no more than a quarter");
-    assert_eq!(play(2, 3, 0.4, None), ([6, 3], true), "what was with a worker did not wait");
-    assert_eq!(play(4, 4, 0.4, None), ([4, 4], false), "too few to tell");
-    assert_eq!(play(0, 3, 0.4, Some(GateState::Paused)), ([0, 0], false), "one that stands still can't know");
+    assert_eq!(run(0, 3, 0.4, None), ([8, 3], true));
+    assert_eq!(run(0, 3, 0.2, None), ([8, 0], false), "0.2 s is within the allowance");
+    assert_eq!(run(0, 2, 0.4, None), ([8, 2], false), "two of eight are not more than a quarter");
+    assert_eq!(
+        run(2, 3, 0.4, None),
+        ([6, 3], true),
+        "a request with an attempt in flight does not count as waiting"
+    );
+    assert_eq!(run(4, 4, 0.4, None), ([4, 4], false), "four waiting requests are too few for the check");
+    assert_eq!(
+        run(0, 3, 0.4, Some(GateState::Paused)),
+        ([0, 0], false),
+        "a paused gateway can't notice the disconnection"
+    );
 }
 
 #[test]
-fn a_request_that_gets_no_answer_is_found_unless_the_lab_took_its_gateway() {
+fn a_request_without_answer_is_a_violation_unless_the_lab_killed_its_gateway() {
     for outcome in [Outcome::Never, Outcome::Broken] {
-        let mut tape = Tape::new();
-        tape.tries(1.0, 1, READ, 0, 0);
-        tape.answers(2.5, 1, outcome.clone());
-        assert_eq!(tape.breaks(), [Rule::Answers], "{outcome:?}");
-        let mut tape = Tape::new();
-        tape.tries(1.0, 1, READ, 0, 0);
-        tape.record(1.1, Event::Gate { gate: 0, state: GateState::Killed });
-        tape.answers(2.5, 1, outcome.clone());
-        assert_eq!(tape.breaks(), [], "killed by the lab");
-        let mut tape = Tape::new();
-        tape.tries(1.0, 1, READ, 0, 0);
-        tape.record(1.1, Event::Gate { gate: 1, state: GateState::Killed });
-        tape.answers(2.5, 1, outcome);
-        assert_eq!(tape.breaks(), [Rule::Answers], "another gateway's death is no excuse");
+        let mut builder = RecordingBuilder::new();
+        builder.tries(1.0, 1, READ, 0, 0);
+        builder.answers(2.5, 1, outcome.clone());
+        assert_eq!(builder.violated_rules(), [Rule::Answers], "{outcome:?}");
+        let mut builder = RecordingBuilder::new();
+        builder.tries(1.0, 1, READ, 0, 0);
+        builder.record(1.1, Event::Gate { gate: 0, state: GateState::Killed });
+        builder.answers(2.5, 1, outcome.clone());
+        assert_eq!(builder.violated_rules(), [], "killed by the lab");
+        let mut builder = RecordingBuilder::new();
+        builder.tries(1.0, 1, READ, 0, 0);
+        builder.record(1.1, Event::Gate { gate: 1, state: GateState::Killed });
+        builder.answers(2.5, 1, outcome);
+        assert_eq!(builder.violated_rules(), [Rule::Answers], "the kill of another gateway excuses nothing");
     }
 }
 
 #[test]
-fn an_end_after_its_time_is_found_and_a_cut_off_answer_unless_its_worker_stopped_half_way() {
+fn late_answers_are_violations_and_truncated_ones_unless_the_worker_stopped_half_way() {
     let ends = |at_s: f64, outcome: Outcome, how: Option<Ending>| {
-        let mut tape = Tape::new();
-        tape.tries(1.0, 1, READ, 0, 0);
-        tape.sends(1.01, 1, 0);
+        let mut builder = RecordingBuilder::new();
+        builder.tries(1.0, 1, READ, 0, 0);
+        builder.sends(1.01, 1, 0);
         if let Some(how) = how {
-            tape.ends(1.1, 1, 0, how);
+            builder.ends(1.1, 1, 0, how);
         }
-        tape.answers(at_s, 1, outcome);
-        tape.breaks()
+        builder.answers(at_s, 1, outcome);
+        builder.violated_rules()
     };
     let refused = Outcome::Refused { after: 0.1 };
-    assert_eq!(ends(2.04, refused.clone(), None), [], "the sockets' slack");
+    assert_eq!(ends(2.04, refused.clone(), None), [], "within the allowance for sockets");
     assert_eq!(ends(2.06, refused, None), [Rule::Answers]);
     assert_eq!(ends(2.06, SERVED, Some(Ending::Served)), [Rule::Answers]);
     assert_eq!(ends(1.9, Outcome::CutOff, Some(Ending::HalfWay)), []);
@@ -188,241 +198,251 @@
 }
 
 #[test]
-fn two_answers_for_one_request_are_found() {
-    let mut tape = Tape::new();
-    tape.good(1.0, 1, 0, 0);
-    tape.answers(1.2, 1, SERVED);
-    assert_eq!(tape.breaks(), [Rule::Answers]);
+fn two_answers_to_one_request_are_a_violation() {
+    let mut builder = RecordingBuilder::new();
+    builder.good(1.0, 1, 0, 0);
+    builder.answers(1.2, 1, SERVED);
+    assert_eq!(builder.violated_rules(), [Rule::Answers]);
 }
 
 #[test]
-fn what_no_worker_made_is_found() {
-    let mut tape = Tape::new();
-    tape.tries(1.0, 1, READ, 0, 0);
-    tape.answers(1.1, 1, Outcome::Served { genuine: false });
-    assert_eq!(tape.breaks(), [Rule::Genuine]);
+fn a_body_that_no_worker_produced_is_a_violation() {
+    let mut builder = RecordingBuilder::new();
+    builder.tries(1.0, 1, READ, 0, 0);
+    builder.answers(1.1, 1, Outcome::Served { genuine: false });
+    assert_eq!(builder.violated_rules(), [Rule::Genuine]);
 }
 
 #[test]
-fn what_no_client_sent_is_found_at_a_worker() {
-    let mut tape = Tape::new();
-    tape.good(1.0, 1, 0, 0);
-    tape.record(2.0, Event::Stranger { gate: 0, worker: 0 });
-    assert_eq!(tape.breaks(), [Rule::Strangers]);
-    let mut tape = Tape::new();
-    tape.good(1.0, 1, 0, 0);
-    tape.record(2.0, Event::Attempt { txn: 9, gate: 0, worker: 0, intact: true, link_delay: 0 });
-    assert_eq!(tape.breaks(), [Rule::Strangers]);
-    let mut tape = Tape::new();
-    tape.tries(1.0, 1, READ, 0, 0);
-    tape.record(1.1, Event::Attempt { txn: 1, gate: 0, worker: 0, intact: false, link_delay: 0 });
-    tape.answers(1.2, 1, SERVED);
-    assert_eq!(tape.breaks(), [Rule::Strangers]);
+fn a_request_that_no_client_sent_is_a_violation_at_a_worker() {
+    let mut builder = RecordingBuilder::new();
+    builder.good(1.0, 1, 0, 0);
+    builder.record(2.0, Event::Stranger { gate: 0, worker: 0 });
+    assert_eq!(builder.violated_rules(), [Rule::Strangers]);
+    let mut builder = RecordingBuilder::new();
+    builder.good(1.0, 1, 0, 0);
+    builder.record(2.0, Event::Attempt { txn: 9, gate: 0, worker: 0, intact: true, link_delay: 0 });
+    assert_eq!(builder.violated_rules(), [Rule::Strangers]);
+    let mut builder = RecordingBuilder::new();
+    builder.tries(1.0, 1, READ, 0, 0);
+    builder.record(1.1, Event::Attempt { txn: 1, gate: 0, worker: 0, intact: false, link_delay: 0 });
+    builder.answers(1.2, 1, SERVED);
+    assert_eq!(builder.violated_rules(), [Rule::Strangers]);
 }
 
 #[test]
-fn an_unsafe_request_may_go_out_again_only_after_a_worker_turned_it_away() {
-    let tape = |how| {
-        let mut tape = Tape::new();
-        tape.tries(1.0, 1, UNSAFE, 0, 0);
-        tape.sends(1.1, 1, 0);
-        tape.ends(1.2, 1, 0, how);
-        tape.sends(1.3, 1, 1);
-        tape.ends(1.4, 1, 1, Ending::Served);
-        tape.answers(1.5, 1, SERVED);
-        tape
+fn an_unsafe_request_may_be_sent_again_only_after_a_worker_rejected_it() {
+    let builder = |how| {
+        let mut builder = RecordingBuilder::new();
+        builder.tries(1.0, 1, UNSAFE, 0, 0);
+        builder.sends(1.1, 1, 0);
+        builder.ends(1.2, 1, 0, how);
+        builder.sends(1.3, 1, 1);
+        builder.ends(1.4, 1, 1, Ending::Served);
+        builder.answers(1.5, 1, SERVED);
+        builder
     };
-    assert_eq!(tape(Ending::TurnedAway).breaks(), []);
+    assert_eq!(builder(Ending::TurnedAway).violated_rules(), []);
     for how in [Ending::Error, Ending::Cancelled { begun: false }, Ending::Died, Ending::Silent] {
-        assert_eq!(tape(how).breaks(), [Rule::Unsafe], "{how:?}");
+        assert_eq!(builder(how).violated_rules(), [Rule::Unsafe], "{how:?}");
     }
 }
 
 #[test]
-fn a_refusal_says_that_a_repeat_is_harmless() {
-    let tape = |class, how| {
-        let mut tape = Tape::new();
-        tape.tries(1.0, 1, class, 0, 0);
-        tape.sends(1.1, 1, 0);
-        tape.ends(1.2, 1, 0, how);
-        tape.answers(1.3, 1, Outcome::Refused { after: 0.1 });
-        tape.breaks()
+fn a_request_that_may_have_been_executed_may_be_refused_only_if_safe() {
+    let builder = |class, how| {
+        let mut builder = RecordingBuilder::new();
+        builder.tries(1.0, 1, class, 0, 0);
+        builder.sends(1.1, 1, 0);
+        builder.ends(1.2, 1, 0, how);
+        builder.answers(1.3, 1, Outcome::Refused { after: 0.1 });
+        builder.violated_rules()
     };
-    assert_eq!(tape(UNSAFE, Ending::TurnedAway), []);
-    assert_eq!(tape(UNSAFE, Ending::Error), [Rule::Unsafe]);
-    assert_eq!(tape(KEYED, Ending::Error), [Rule::Keyed]);
-    assert_eq!(tape(READ, Ending::Error), []);
+    assert_eq!(builder(UNSAFE, Ending::TurnedAway), []);
+    assert_eq!(builder(UNSAFE, Ending::Error), [Rule::Unsafe]);
+    assert_eq!(builder(KEYED, Ending::Error), [Rule::Keyed]);
+    assert_eq!(builder(READ, Ending::Error), []);
 }
 
 #[test]
-fn a_keyed_request_goes_again_only_to_those_that_remember_it() {
-    let tape = |worker, later| {
-        let mut tape = Tape::new();
-        tape.tries(1.0, 1, KEYED, 0, 0);
-        tape.sends(1.1, 1, 0);
-        tape.ends(1.2, 1, 0, Ending::Error);
-        tape.sends(1.1 + later, 1, worker);
-        tape.answers(1.2 + later, 1, SERVED);
-        tape.breaks()
+fn a_keyed_request_is_sent_again_only_to_workers_that_detect_the_duplicate() {
+    let builder = |worker, later| {
+        let mut builder = RecordingBuilder::new();
+        builder.tries(1.0, 1, KEYED, 0, 0);
+        builder.sends(1.1, 1, 0);
+        builder.ends(1.2, 1, 0, Ending::Error);
+        builder.sends(1.1 + later, 1, worker);
+        builder.answers(1.2 + later, 1, SERVED);
+        builder.violated_rules()
     };
-    assert_eq!(tape(2, 0.2), [], "the same zone");
-    assert_eq!(tape(1, 0.2), [Rule::Keyed], "another zone");
-    assert_eq!(tape(2, 4.5), [Rule::Answers, Rule::Keyed], "after the window, and its own time");
+    assert_eq!(builder(2, 0.2), [], "the same zone");
+    assert_eq!(builder(1, 0.2), [Rule::Keyed], "another zone");
+    assert_eq!(
+        builder(2, 4.5),
+        [Rule::Answers, Rule::Keyed],
+        "after the deduplication window, and after its time limit"
+    );
 }
 
 #[test]
-fn a_send_to_a_draining_worker_is_found_after_the_grace() {
-    let tape = |later| {
-        let mut tape = Tape::new();
-        tape.record(1.0, Event::Told { gate: 0, worker: 0, wanted: false });
-        tape.good(1.0 + later, 1, 0, 0);
-        tape.breaks()
+fn an_attempt_at_a_draining_worker_is_a_violation_after_the_grace_period() {
+    let builder = |later| {
+        let mut builder = RecordingBuilder::new();
+        builder.record(1.0, Event::Told { gate: 0, worker: 0, wanted: false });
+        builder.good(1.0 + later, 1, 0, 0);
+        builder.violated_rules()
     };
-    assert_eq!(tape(0.3), []);
-    assert_eq!(tape(1.0), [Rule::Drain]);
-    let mut tape = Tape::new();
-    tape.record(1.0, Event::Told { gate: 0, worker: 0, wanted: false });
-    tape.record(1.5, Event::Told { gate: 0, worker: 0, wanted: true });
-    tape.good(3.0, 1, 0, 0);
-    assert_eq!(tape.breaks(), [], "it is back");
+    assert_eq!(builder(0.3), []);
+    assert_eq!(builder(1.0), [Rule::Drain]);
+    let mut builder = RecordingBuilder::new();
+    builder.record(1.0, Event::Told { gate: 0, worker: 0, wanted: false });
+    builder.record(1.5, Event::Told { gate: 0, worker: 0, wanted: true });
+    builder.good(3.0, 1, 0, 0);
+    assert_eq!(builder.violated_rules(), [], "the worker serves again");
 }
 
 #[test]
-fn a_cold_workers_fall_is_the_fault_of_those_that_knew() {
-    let tape = |told: bool| {
-        let mut tape = Tape::new();
-        tape.record(1.0, Event::Worker { worker: 0, state: WorkerState::Started });
+fn overload_during_warm_up_is_a_violation_only_by_gateways_that_knew_of_the_start() {
+    let builder = |told: bool| {
+        let mut builder = RecordingBuilder::new();
+        builder.record(1.0, Event::Worker { worker: 0, state: WorkerState::Started });
         if told {
-            tape.record(1.1, Event::Told { gate: 0, worker: 0, wanted: true });
+            builder.record(1.1, Event::Told { gate: 0, worker: 0, wanted: true });
         }
-        (0..20).for_each(|i| tape.good(1.2 + 0.01 * i as f64, i, 0, i as usize));
-        tape.record(1.5, Event::Worker { worker: 0, state: WorkerState::Fell });
-        tape.breaks()
+        (0..20).for_each(|i| builder.good(1.2 + 0.01 * i as f64, i, 0, i as usize));
+        builder.record(1.5, Event::Worker { worker: 0, state: WorkerState::Fell });
+        builder.violated_rules()
     };
-    assert_eq!(tape(true), [Rule::Cold]);
-    assert_eq!(tape(false), []);
+    assert_eq!(builder(true), [Rule::Cold]);
+    assert_eq!(builder(false), []);
 }
 
 #[test]
-fn a_ceiling_that_is_passed_is_found() {
-    // The third plan holds 48 at once, 25 a second, and 4 units of slack with 150 ms of its rate.
-    let tape = |n: u64| {
-        let mut tape = Tape::new();
-        (0..n).for_each(|i| tape.good(1.0 + 1e-4 * i as f64, i, 2, 7));
-        tape.breaks()
+fn exceeding_the_rate_limit_is_a_violation() {
+    // The third plan allows a burst of 48 and 25 a second, with a slack of 4 units plus 150 ms of its rate.
+    let builder = |n: u64| {
+        let mut builder = RecordingBuilder::new();
+        (0..n).for_each(|i| builder.good(1.0 + 1e-4 * i as f64, i, 2, 7));
+        builder.violated_rules()
     };
-    assert_eq!(tape(50), []);
-    assert_eq!(tape(60), [Rule::Ceiling]);
+    assert_eq!(builder(50), []);
+    assert_eq!(builder(60), [Rule::Ceiling]);
 }
 
 #[test]
-fn a_gateway_that_ends_by_itself_is_found() {
-    let tape = |wanted| {
-        let mut tape = Tape::new();
-        tape.good(1.0, 1, 0, 0);
-        tape.record(2.0, Event::Gate { gate: 0, state: GateState::Exited { wanted, status: "1".into() } });
-        tape.breaks()
+fn a_gateway_that_exits_on_its_own_is_a_violation() {
+    let builder = |wanted| {
+        let mut builder = RecordingBuilder::new();
+        builder.good(1.0, 1, 0, 0);
+        builder.record(2.0, Event::Gate { gate: 0, state: GateState::Exited { wanted, status: "1".into() } });
+        builder.violated_rules()
     };
-    assert_eq!(tape(false), [Rule::Crash]);
-    assert_eq!(tape(true), []);
+    assert_eq!(builder(false), [Rule::Crash]);
+    assert_eq!(builder(true), []);
 }
 
 #[test]
-fn units_beyond_quota_and_refusals_with_room_are_counted_with_their_causes() {
-    let mut tape = Tape::new();
-    // The first plan holds 3 at once and 0.8 a second: of six at once, three are beyond.
-    (0..6).for_each(|i| tape.good(1.0 + 1e-3 * i as f64, i, 0, 7));
+fn units_beyond_quota_and_refusals_within_quota_are_counted_with_their_causes() {
+    let mut builder = RecordingBuilder::new();
+    // The first plan allows a burst of 3 and 0.8 a second: of six at once, three are beyond the quota.
+    (0..6).for_each(|i| builder.good(1.0 + 1e-3 * i as f64, i, 0, 7));
     (3..6).for_each(|i| {
         let why = if i < 5 { "even share" } else { "late answer" };
-        tape.record(1.0, Event::Reason { gate: 0, txn: i, what: "sent".into(), why: why.into() });
+        builder.record(1.0, Event::Reason { gate: 0, txn: i, what: "sent".into(), why: why.into() });
     });
-    // Refused with an empty store, and with a full one.
+    // Customer 7 is refused with an empty bucket, customer 8 with a full one.
     for (txn, at_s, customer) in [(10, 1.1, 7), (11, 1.1, 8)] {
-        tape.tries(at_s, txn, READ, 0, customer);
-        tape.answers(at_s + 0.001, txn, Outcome::Refused { after: 0.5 });
+        builder.tries(at_s, txn, READ, 0, customer);
+        builder.answers(at_s + 0.001, txn, Outcome::Refused { after: 0.5 });
     }
-    let verdict = tape.judged();
+    let verdict = builder.judged();
     assert_eq!((verdict.beyond, verdict.worst_beyond, verdict.sent), (3, 3, 6));
     assert_eq!(verdict.beyond_causes, [("even share".into(), 2), ("late answer".into(), 1)].into());
     assert_eq!((verdict.refused_with_room, verdict.refused_causes.values().sum::<u64>()), (1, 1));
     assert!(verdict.refused_causes.contains_key("not told"));
-    assert_eq!(verdict.beyond_causes.values().sum::<u64>(), verdict.beyond, "causes add up to the whole");
+    assert_eq!(
+        verdict.beyond_causes.values().sum::<u64>(),
+        verdict.beyond,
+        "causes add up to all units beyond quota"
+    );
 }
 
 #[test]
-fn more_open_than_the_cap_is_beyond_too() {
-    let mut tape = Tape::new();
-    // Four at once where three may be open.
+fn units_above_the_cap_on_open_requests_count_as_beyond_quota() {
+    let mut builder = RecordingBuilder::new();
+    // Four in flight at once where the plan allows three.
     for i in 0..4 {
-        tape.tries(1.0, i, READ, 2, 7);
-        tape.sends(1.01 + 1e-3 * i as f64, i, 0);
+        builder.tries(1.0, i, READ, 2, 7);
+        builder.sends(1.01 + 1e-3 * i as f64, i, 0);
     }
     for i in 0..4 {
-        tape.ends(1.2, i, 0, Ending::Served);
-        tape.answers(1.3, i, SERVED);
+        builder.ends(1.2, i, 0, Ending::Served);
+        builder.answers(1.3, i, SERVED);
     }
-    let verdict = tape.judged();
+    let verdict = builder.judged();
     assert_eq!(verdict.beyond_causes, [("open cap: not told".into(), 1)].into());
 }
 
 #[test]
-fn a_fleet_that_stays_down_after_the_fault_does_not_pass() {
-    let play = |back: Option<f64>| {
-        let mut tape = Tape::new();
-        tape.rest = "[must]\nrecover_s = 4\n[[fault]]\nwhat = \"counter-down\"\nat_s = 5\nfor_s = 3".into();
+fn a_fleet_that_recovers_late_or_never_does_not_pass() {
+    let run = |back: Option<f64>| {
+        let mut builder = RecordingBuilder::new();
+        builder.rest =
+            "[must]\nrecover_s = 4\n[[fault]]\nwhat = \"counter-down\"\nat_s = 5\nfor_s = 3".into();
         for i in 0..200 {
             let at_s = 0.09 * i as f64;
             if (5.0..back.unwrap_or(30.0)).contains(&at_s) {
-                tape.tries(at_s, i, READ, 0, i as usize);
-                tape.answers(at_s + 0.01, i, Outcome::Refused { after: 0.5 });
+                builder.tries(at_s, i, READ, 0, i as usize);
+                builder.answers(at_s + 0.01, i, Outcome::Refused { after: 0.5 });
             } else {
-                tape.good(at_s, i, 0, i as usize);
+                builder.good(at_s, i, 0, i as usize);
             }
         }
-        tape.judged()
+        builder.judged()
     };
-    let quick = play(Some(9.0));
+    let quick = run(Some(9.0));
     assert!(quick.passed(), "{}", quick.line());
     assert_eq!(quick.recovery.and_then(|r| r.after_s), Some(1.0));
-    let slow = play(Some(14.0));
+    let slow = run(Some(14.0));
     assert!(slow.line().contains("6.0 s to recover"), "{}", slow.line());
-    let never = play(None);
+    let never = run(None);
     assert!(never.line().contains("does not recover"), "{}", never.line());
 }
 
 #[test]
-fn what_must_hold_is_held_against_the_play() {
-    let play = |must: &str| {
-        let mut tape = Tape::new();
-        tape.rest = format!("[must]\n{must}");
+fn the_requirements_of_the_scenario_are_checked() {
+    let run = |must: &str| {
+        let mut builder = RecordingBuilder::new();
+        builder.rest = format!("[must]\n{must}");
         // Thirty tries within a second, each of which needs a second attempt.
         for i in 0..30 {
             let at_s = 3.0 + 0.02 * i as f64;
-            tape.tries(at_s, i, READ, 0, i as usize);
-            tape.sends(at_s + 0.01, i, 0);
-            tape.ends(at_s + 0.02, i, 0, Ending::Error);
-            tape.sends(at_s + 0.03, i, 1);
-            tape.ends(at_s + 0.05, i, 1, Ending::Served);
-            tape.answers(at_s + 0.06, i, SERVED);
+            builder.tries(at_s, i, READ, 0, i as usize);
+            builder.sends(at_s + 0.01, i, 0);
+            builder.ends(at_s + 0.02, i, 0, Ending::Error);
+            builder.sends(at_s + 0.03, i, 1);
+            builder.ends(at_s + 0.05, i, 1, Ending::Served);
+            builder.answers(at_s + 0.06, i, SERVED);
         }
-        tape.judged()
+        builder.judged()
     };
-    assert!(play("amplification = 2.0").passed());
-    assert!(play("amplification = 1.5").line().contains("amplification is 2.000"));
-    assert!(play("goodput = 1.0").passed());
-    assert!((play("").wasted - 0.5).abs() < 1e-9, "half of the work was for nothing");
+    assert!(run("amplification = 2.0").passed());
+    assert!(run("amplification = 1.5").line().contains("amplification is 2.000"));
+    assert!(run("goodput = 1.0").passed());
+    assert!((run("").wasted - 0.5).abs() < 1e-9, "half of the work earned no value");
 }
 
 #[test]
-fn a_late_answer_is_excused_by_what_its_gateway_waited_for_a_processor_meanwhile_and_by_no_more() {
-    // Answered 150 ms after its time, of which 50 ms are slack; the gateway waited for `delay_ms` at a time.
-    let breaks = |gate: usize, at_s: f64, delay_ms: u64| {
-        let mut tape = Tape::new();
-        tape.tries(1.0, 1, READ, 0, 0);
-        tape.sends(1.01, 1, 0);
-        tape.ends(2.1, 1, 0, Ending::Served);
-        tape.answers(2.15, 1, SERVED);
-        let mut recording = tape.recording();
+fn a_late_answer_is_excused_by_exactly_the_run_delay_of_its_gateway_in_that_span() {
+    // Answered 150 ms after its time limit, of which 50 ms are allowed; the gateway's threads waited for a processor for
+    // `delay_ms` at `at_s`.
+    let is_violation = |gate: usize, at_s: f64, delay_ms: u64| {
+        let mut builder = RecordingBuilder::new();
+        builder.tries(1.0, 1, READ, 0, 0);
+        builder.sends(1.01, 1, 0);
+        builder.ends(2.1, 1, 0, Ending::Served);
+        builder.answers(2.15, 1, SERVED);
+        let mut recording = builder.recording();
         let mut series = DelaySeries::default();
         series.add(0, 0);
         series.add(at(at_s), delay_ms * 1_000);
@@ -432,18 +452,18 @@
         recording.meter.run_delays.gates = gates;
         judge(&recording).broken_by.contains_key(&Rule::Answers)
     };
-    assert!(breaks(0, 1.5, 0));
-    assert!(breaks(0, 1.5, 90));
-    assert!(!breaks(0, 1.5, 110));
-    assert!(breaks(1, 1.5, 110), "another gateway waited");
-    assert!(breaks(0, 0.5, 110), "it waited before");
+    assert!(is_violation(0, 1.5, 0));
+    assert!(is_violation(0, 1.5, 90));
+    assert!(!is_violation(0, 1.5, 110));
+    assert!(is_violation(1, 1.5, 110), "another gateway waited");
+    assert!(is_violation(0, 0.5, 110), "it waited before the request");
 }
 
 #[test]
-fn a_play_that_ran_late_is_void() {
-    let mut tape = Tape::new();
-    tape.good(1.0, 1, 0, 0);
-    let mut recording = tape.recording();
+fn a_run_in_which_the_lab_was_late_is_void() {
+    let mut builder = RecordingBuilder::new();
+    builder.good(1.0, 1, 0, 0);
+    let mut recording = builder.recording();
     recording.meter.void = Some("late".into());
     let verdict = judge(&recording);
     assert!(!verdict.passed());
--- a/lab/src/judge/verdict.rs
+++ b/lab/src/judge/verdict.rs
@@ -1,34 +1,41 @@
-//! What is judged of a play: the figures, and whether it passed.
+//! The result of an evaluation: the metrics of a run, and whether it passed.
 
 use super::rule::{Rule, Violation};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// One second of a play.
+/// Metrics of one second of a run.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Second {
-    /// First tries of clients, and their further ones.
+    /// First tries of clients.
     pub tries: u64,
+    /// Retries of clients.
     pub retries: u64,
-    /// Tries of which an attempt reached a worker, and all attempts, by the workers' zones.
+    /// Tries whose first attempt reached a worker.
     pub sent: u64,
+    /// Attempts that reached workers, by the workers' zones.
     pub attempts: Vec<u64>,
+    /// Health checks at workers.
     pub probes: u64,
+    /// New connections at workers.
     pub handshakes: u64,
+    /// Calls of the shared counter.
     pub calls: u64,
+    /// Calls of the shared counter that were answered `busy`.
     pub busy_calls: u64,
     pub refused: u64,
     pub failed: u64,
-    /// Worth asked for by first tries of this second, and earned by them.
+    /// Value of the requests first sent in this second.
     pub asked: f64,
+    /// Value earned by the requests first sent in this second.
     pub earned: f64,
-    /// Attempts at the worker that got most.
+    /// Attempts at the worker that received the most.
     pub worst_worker: u64,
-    /// Core seconds of work for nobody.
+    /// Core seconds spent on attempts that earned no value.
     pub wasted_s: f64,
 }
 
-/// How requests of one plan or class fared.
+/// Outcomes of the tries of one plan or class, with the value requested and earned.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Totals {
     pub tries: u64,
@@ -39,81 +46,97 @@
     pub earned: f64,
 }
 
-/// Units of one kind, by why they came about.
+/// Number of units by cause, as logged by the gateways.
 pub type Causes = BTreeMap<String, u64>;
 
-/// How a fleet came back after the faults.
+/// Recovery of the fleet after the faults.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Recovery {
-    /// Goodput before the faults, as a share of what was asked for.
+    /// Goodput before the faults, as a share of the value requested.
     pub before: f64,
     pub fault_from_s: f64,
     pub fault_to_s: f64,
-    /// Seconds from the end of the faults to 95% of that; `None`: it did not recover within the play.
+    /// Seconds from the end of the faults until goodput was back at 95% of `before`; `None` if it did not recover
+    /// within the run.
     pub after_s: Option<f64>,
 }
 
-/// All that is judged of a play.
+/// Evaluation of a run.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Verdict {
-    /// Why it failed; empty: it passed.
+    /// Reasons why the run failed; empty if it passed.
     pub failed: Vec<String>,
-    /// Why it counts for nothing, if so.
+    /// Reason why the run is invalid, if it is.
     pub void: Option<String>,
+    /// The first violations of rules, as many as are listed.
     pub broken: Vec<Violation>,
-    /// By rule, how often it was broken.
+    /// Number of violations of each rule.
     pub broken_by: BTreeMap<Rule, u64>,
-    /// First tries after the lead, and all tries.
+    /// Requests (first tries) after the lead-in.
     pub requests: u64,
+    /// Tries after the lead-in, retries included.
     pub tries: u64,
-    /// Worth earned in time over worth asked for; and less what units beyond quotas cost.
+    /// Value earned over value requested.
     pub goodput: f64,
+    /// Goodput less the cost of units sent beyond quotas.
     pub score: f64,
+    /// Tries of which at least one attempt reached a worker.
     pub sent: u64,
+    /// Attempts that reached workers.
     pub attempts: u64,
-    /// Attempts a try that was sent on: in all, and in the worst second.
+    /// Attempts per try that was sent to a worker, over the whole run.
     pub amplification: f64,
+    /// Attempts per try that was sent to a worker, in the worst second.
     pub worst_amplification: f64,
-    /// Units sent on beyond quotas, and what share of those sent on they are.
+    /// Units sent to workers beyond quotas.
     pub beyond: u64,
+    /// `beyond` as a share of `sent`.
     pub beyond_share: f64,
-    /// The most units that one customer had beyond its quota.
+    /// Greatest number of units that one customer had beyond its quota.
     pub worst_beyond: u64,
-    /// Refusals while the exact bucket had room, and while it was half full or more; shares of all tries.
+    /// Refusals while the customer's exact bucket held a unit.
     pub refused_with_room: u64,
+    /// `refused_with_room` as a share of all tries after the lead-in.
     pub refused_with_room_share: f64,
+    /// Refusals while the exact bucket was at least half full, as a share of all tries after the lead-in.
     pub refused_half_share: f64,
+    /// Causes of the units in `beyond`.
     pub beyond_causes: Causes,
+    /// Causes of the refusals in `refused_with_room`.
     pub refused_causes: Causes,
     pub by_plan: Vec<(String, Totals)>,
     pub by_class: Vec<(String, Totals)>,
-    /// Milliseconds from the first try to the answer, of what was served: median, 95th and 99th percentile.
+    /// Milliseconds from a request's first try to its answer, for served requests: median, 95th and 99th percentile.
     pub latency_ms: [f64; 3],
-    /// Share of the workers' work that nobody got an answer from.
+    /// Share of the workers' core seconds spent on attempts that earned no value.
     pub wasted: f64,
-    /// Requests that waited for their first attempt when their client left, and those of them that were sent on later
-    /// than they may be.
+    /// Requests that waited for their first attempt when their client disconnected, and how many of them were sent to
+    /// a worker after the allowance.
     pub gone: [u64; 2],
+    /// Health checks at workers per request.
     pub probes_a_request: f64,
+    /// Calls of the shared counter per try.
     pub calls_a_try: f64,
-    /// Share of the tries refused at each gateway: least and most.
+    /// Least and greatest share of tries that a gateway refused.
     pub refused_spread: [f64; 2],
     pub recovery: Option<Recovery>,
+    /// Delay of the lab's own sends in milliseconds: median, 99th percentile and maximum.
     pub late_ms: [f64; 3],
-    /// Microseconds of the gateways' processors for a try, and the most memory.
+    /// Processor time of all gateways per try, in microseconds.
     pub cpu_us: f64,
+    /// Greatest resident memory of any gateway, in MB.
     pub rss_mb: f64,
     pub seconds: Vec<Second>,
 }
 
 impl Verdict {
-    /// Whether the play counts and nothing it has to show is missing.
+    /// Whether the run is valid and met all requirements.
     #[must_use]
     pub fn passed(&self) -> bool {
         self.failed.is_empty() && self.void.is_none()
     }
 
-    /// The line that a play ends in.
+    /// Returns the result line: `PASS`, or `FAIL` or `VOID` with the reason.
     #[must_use]
     pub fn line(&self) -> String {
         match (&self.void, self.failed.is_empty()) {
--- a/lab/src/judge/worth.rs
+++ b/lab/src/judge/worth.rs
@@ -1,4 +1,4 @@
-//! What the play earned, and the figures on latency, waste and amplification.
+//! Computes the value earned, latencies, wasted work and amplification of a run.
 
 use super::{Judge, Second, Totals, tries::Try};
 use crate::{
@@ -7,31 +7,34 @@
 };
 use std::collections::HashMap;
 
-/// A second with fewer tries sent on says nothing of amplification.
+/// Least number of tries in a second for its amplification to count, and at a gateway for its share of refusals.
 const MIN_TRIES: u64 = 20;
-/// What a unit sent on beyond its quota costs, of its worth.
+/// Cost of a unit sent to a worker beyond its quota, as a share of the mean value of a request.
 const EXCESS_UNIT_COST: f64 = 0.8;
 
-/// What one try asked for, earned and cost.
+/// Value and cost of one try.
 struct TryValue {
-    /// When the client's first try went out.
+    /// Time of the request's first try, in seconds.
     first: f64,
+    /// Value that the request is worth if answered in time; 0 for retries, so that each request counts once.
     asked: f64,
+    /// Value earned by the answer.
     earned: f64,
-    /// Core seconds of all its attempts, and of the one that earned something.
+    /// Core seconds of all its attempts.
     worked: f64,
+    /// Core seconds of the attempt whose answer earned value.
     useful: f64,
-    /// Seconds from the first try to the answer, where it was served.
+    /// Seconds from the first try to the answer, if it was served.
     took: Option<f64>,
     refused: bool,
     failed: bool,
 }
 
-/// Sums over the tries after the lead-in.
+/// Sums over the tries of requests that began after the lead-in.
 struct PlayTotals {
     plans: Vec<Totals>,
     classes: Vec<Totals>,
-    /// By gateway, its tries and those refused.
+    /// By gateway, the number of tries and how many of them were refused.
     gates: HashMap<usize, (u64, u64)>,
     latencies_ms: Vec<f64>,
     worked: f64,
@@ -56,7 +59,7 @@
         *refused += u64::from(value.refused);
     }
 
-    /// The median, the 95th and the 99th percentile.
+    /// Returns the median, 95th and 99th percentile of the latency in milliseconds.
     fn latency_ms(&mut self) -> [f64; 3] {
         self.latencies_ms.sort_by(f64::total_cmp);
         let count = self.latencies_ms.len();
@@ -64,7 +67,7 @@
         [0.5, 0.95, 0.99].map(|share| self.latencies_ms.get(index(share)).copied().unwrap_or(0.0))
     }
 
-    /// The least and the greatest share of refused tries at any gateway.
+    /// Returns the least and the greatest share of refused tries among the gateways with enough tries.
     fn refused_spread(&self) -> [f64; 2] {
         let busy = self.gates.values().filter(|(tries, _)| *tries >= MIN_TRIES);
         let shares: Vec<f64> = busy.map(|(tries, refused)| *refused as f64 / *tries as f64).collect();
@@ -73,7 +76,7 @@
 }
 
 impl Judge<'_> {
-    /// Worth, totals, latencies and waste.
+    /// Computes the value earned, totals by plan and class, latencies and wasted work.
     pub(super) fn compute_value(&mut self) {
         let scenario = self.scenario;
         let firsts: HashMap<u64, f64> =
@@ -132,7 +135,7 @@
         }
     }
 
-    /// Takes the sums into the verdict.
+    /// Transfers the sums to the verdict.
     fn sum_up(&mut self, mut totals: PlayTotals, requests: usize) {
         let scenario = self.scenario;
         let (asked, earned): (f64, f64) =
@@ -144,13 +147,13 @@
         verdict.goodput = earned / asked.max(1e-9);
         verdict.by_plan = scenario.plans.iter().map(|p| p.name.clone()).zip(totals.plans).collect();
         verdict.by_class = scenario.classes.iter().map(|c| c.name.clone()).zip(totals.classes).collect();
-        // Each unit beyond costs a share of a mean request's worth.
+        // Each unit beyond its quota costs a share of the mean value of a request.
         let mean = asked / requests.max(1) as f64;
         verdict.score = (earned - EXCESS_UNIT_COST * mean * verdict.beyond as f64) / asked.max(1e-9);
         verdict.requests = requests as u64;
     }
 
-    /// Counts tries and attempts, and what came of each on the mean.
+    /// Counts tries and attempts, and computes amplification and the mean number of health checks and counter calls.
     fn count_attempts(&mut self) {
         let (lead, end) = (self.scenario.lead_s, self.scenario.length_s as usize);
         let verdict = &mut self.verdict;
@@ -167,7 +170,7 @@
     }
 }
 
-/// The share of a request's worth that an answer after so many seconds earns.
+/// Returns the share of a request's value that an answer after `took` seconds earns.
 fn value_share(class: &ClassSpec, took: f64) -> f64 {
     if took <= class.aim_ms / 1e3 {
         1.0
