--- a/lab/src/scenario/check.rs
+++ b/lab/src/scenario/check.rs
@@ -1,14 +1,14 @@
-//! What the values of a scenario, each readable by itself, get wrong together.
+//! Validates a parsed scenario: ranges of values, and consistency between them.
 
 use super::{
     ClassSpec, Disk, Fault, FaultKind, MAX_GATEWAYS, MAX_WORKERS, Peers, PlanSpec, Problem, Scenario,
     Selection,
 };
 
-/// The longest name of a class or plan, in characters.
+/// Greatest length of the name of a class or plan, in bytes.
 const LONGEST_NAME: usize = 40;
 
-/// Collects what is wrong, in the order that it is found.
+/// Problems found so far, in order of detection.
 #[derive(Default)]
 struct Problems(Vec<Problem>);
 
@@ -19,7 +19,7 @@
 }
 
 impl Scenario {
-    /// What the file's values, each readable, get wrong together.
+    /// Returns all invalid or inconsistent values.
     pub(super) fn check(&self) -> Vec<Problem> {
         let mut problems = Problems::default();
         self.check_play(&mut problems);
@@ -31,7 +31,7 @@
         problems.0
     }
 
-    /// Length, seeds, and how many machines there are.
+    /// Checks length, seeds, lead-in, and the number of gateways, workers and zones.
     fn check_play(&self, problems: &mut Problems) {
         let w = &self.world;
         if !(1.0..=3600.0).contains(&self.length_s) {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Numbers that have a least and a most.
+    /// Checks the numbers that have a minimum and a maximum.
     fn check_ranges(&self, problems: &mut Problems) {
         let w = &self.world;
         let ranges = [
@@ -122,7 +122,7 @@
             problems.add(&key("aim_ms"), "must be above 0 and at most deadline_ms, which is at most 60000");
         }
         if self.classes.iter().take(i).any(|other| other.name == c.name) || !is_valid_name(&c.name) {
-            problems.add(&key("name"), "must be letters, digits and dashes, and stand once");
+            problems.add(&key("name"), "must consist of letters, digits and dashes, and be unique");
         }
     }
 
@@ -141,20 +141,20 @@
             problems.add(&key("usage"), "must be above 0");
         }
         if !(p.spread[0] > 0.0 && p.spread[0] <= p.spread[1] && p.spread[1] <= 1.0) {
-            problems.add(&key("spread"), "must be two shares in order, above 0 and at most 1");
+            problems.add(&key("spread"), "must be two shares in ascending order, above 0 and at most 1");
         }
         if p.ceiling_rate > 0.0 && p.ceiling_burst < 1.0 {
-            problems.add(&key("ceiling_burst"), "must be 1 or more where there is a ceiling");
+            problems.add(&key("ceiling_burst"), "must be 1 or more if ceiling_rate is above 0");
         }
         if self.plans.iter().take(i).any(|other| other.name == p.name) || !is_valid_name(&p.name) {
-            problems.add(&key("name"), "must be letters, digits and dashes, and stand once");
+            problems.add(&key("name"), "must consist of letters, digits and dashes, and be unique");
         }
     }
 
     fn check_load_steps(&self, problems: &mut Problems) {
         for (i, s) in self.load.step.iter().enumerate() {
             if !(0.0..self.length_s).contains(&s.at_s) {
-                problems.add(&format!("load.step[{i}].at_s"), "must be within the play");
+                problems.add(&format!("load.step[{i}].at_s"), "must be within the run");
             }
             if !(0.0..=100.0).contains(&s.times) {
                 problems.add(&format!("load.step[{i}].times"), "must be from 0 to 100");
@@ -172,24 +172,24 @@
 
     fn check_requirements(&self, problems: &mut Problems) {
         if self.must.recover_s > 0.0 && self.fault_span().is_none() {
-            problems.add("must.recover_s", "can't be met: no fault ends within the play");
+            problems.add("must.recover_s", "can't be met: no fault ends within the run");
         }
         if self.must.goodput > 1.0 {
             problems.add("must.goodput", "can't be met: it is a share");
         }
     }
 
-    /// The keys of one fault that are wrong, and why.
+    /// Returns the invalid keys of one fault, each with the reason.
     fn check_fault(&self, fault: &Fault) -> Vec<(&'static str, String)> {
         let mut wrongs = Vec::new();
         if !(0.0..self.length_s).contains(&fault.at_s) {
-            wrongs.push(("at_s", "must be within the play".to_owned()));
+            wrongs.push(("at_s", "must be within the run".to_owned()));
         }
         if fault.for_s.is_some_and(|s| !(s > 0.0 && s.is_finite())) {
             wrongs.push(("for_s", "must be above 0".to_owned()));
         }
         if !(0.0..=1.0).contains(&fault.share) || !(0.0..=1.0).contains(&fault.never) {
-            wrongs.push(("share", "must be from 0 to 1, as never".to_owned()));
+            wrongs.push(("share", "must be from 0 to 1, and so must never".to_owned()));
         }
         if !(0.01..=1000.0).contains(&fault.times) {
             wrongs.push(("times", "must be from 0.01 to 1000".to_owned()));
@@ -198,16 +198,16 @@
             wrongs.push(("step", "must be above 0 and at most 1".to_owned()));
         }
         if !(0.0..=60_000.0).contains(&fault.ms) || !(0.0..=60_000.0).contains(&fault.jitter_ms) {
-            wrongs.push(("ms", "must be from 0 to 60000, as jitter_ms".to_owned()));
+            wrongs.push(("ms", "must be from 0 to 60000, and so must jitter_ms".to_owned()));
         }
         if fault.what == FaultKind::Throttle && fault.bytes_per_s < 1.0 {
             wrongs.push(("bytes_per_s", "must be 1 or more".to_owned()));
         }
         if matches!(fault.what, FaultKind::Pause | FaultKind::Roll) && fault.for_s.is_none() {
-            wrongs.push(("for_s", "is needed".to_owned()));
+            wrongs.push(("for_s", "is required for this kind of fault".to_owned()));
         }
         if fault.disk != Disk::Kept && !self.world.disk {
-            wrongs.push(("disk", "needs world.disk".to_owned()));
+            wrongs.push(("disk", "requires world.disk".to_owned()));
         }
         let zones = &self.world.zones;
         for (key, text) in [("gates", &fault.gates), ("workers", &fault.workers)] {
@@ -222,7 +222,7 @@
     }
 }
 
-/// Whether a class or plan may have this name.
+/// Whether this is a valid name of a class or plan.
 fn is_valid_name(name: &str) -> bool {
     !name.is_empty()
         && name.len() <= LONGEST_NAME
--- a/lab/src/scenario/defaults.rs
+++ b/lab/src/scenario/defaults.rs
@@ -1,46 +1,46 @@
-//! Values of keys that a scenario file may leave out.
+//! Default values of optional keys in scenario files.
 
-/// The seeds that a scenario is played on where its file names none.
+/// Default seeds of a scenario.
 pub(super) fn default_seeds() -> Vec<u64> {
     vec![1, 2]
 }
 
-/// Seconds of the lead-in where a file gives none.
+/// Default length of the lead-in, in seconds.
 pub(super) fn default_lead() -> f64 {
     2.0
 }
 
-/// The number 1, where a key is missing.
+/// Default of 1.
 pub(super) fn one() -> f64 {
     1.0
 }
 
-/// The number 2, where a key is missing.
+/// Default of 2.
 pub(super) fn two() -> f64 {
     2.0
 }
 
-/// The number 4, where a key is missing.
+/// Default of 4.
 pub(super) fn four() -> f64 {
     4.0
 }
 
-/// The number 0.1, where a key is missing.
+/// Default of 0.1.
 pub(super) fn one_tenth() -> f64 {
     0.1
 }
 
-/// The number 0.4, where a key is missing.
+/// Default of 0.4.
 pub(super) fn four_tenths() -> f64 {
     0.4
 }
 
-/// From a half to the whole.
+/// Default range from 0.5 to 1.
 pub(super) fn half_to_one() -> [f64; 2] {
     [0.5, 1.0]
 }
 
-/// The text that chooses everything.
+/// Default selection of all gateways, workers or peers.
 pub(super) fn all() -> String {
     "all".into()
 }
--- a/lab/src/scenario/error.rs
+++ b/lab/src/scenario/error.rs
@@ -1,17 +1,17 @@
-//! What is wrong with a scenario file.
+//! Errors in scenario files.
 
 use std::fmt;
 
-/// One thing wrong with a file.
+/// One error in a scenario file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    /// Where, such as `fault[2].at_s`.
+    /// Path of the key, such as `fault[2].at_s`; empty if the error concerns the file as a whole.
     pub key: String,
-    /// Why it is not accepted.
+    /// Reason why the value is not accepted.
     pub why: String,
 }
 
-/// All that is wrong with a scenario; never empty.
+/// All errors in a scenario file; never empty.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Invalid(pub Vec<Problem>);
 
--- a/lab/src/scenario/fault.rs
+++ b/lab/src/scenario/fault.rs
@@ -1,4 +1,4 @@
-//! Faults: what goes wrong, when, and where.
+//! Faults that a scenario injects: their kinds, times and targets.
 
 use super::defaults::{all, one, one_tenth, two};
 use serde::{Deserialize, Serialize};
@@ -8,121 +8,130 @@
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
     // On links, between `gates` and `peers`.
-    /// Nothing passes, nothing is said.
+    /// Network partition: nothing passes, and neither end gets an error.
     Cut,
-    /// `ms` later, and up to `jitter_ms` more.
+    /// Messages arrive `ms` later, plus a random delay of up to `jitter_ms`.
     Delay,
-    /// `share` of the messages is lost: on TCP that is a time-out of its retransmission.
+    /// A share of `share` of the messages is lost; on TCP each loss delays data by a retransmission time-out.
     Lose,
-    /// Connections are reset, once.
+    /// All open connections are reset once.
     Reset,
     /// New connections are refused.
     Refuse,
-    /// The connections there are fall silent for good; new ones work.
+    /// Open connections never transfer any data again, without an error; new connections work.
     HalfOpen,
-    /// `bytes_per_s` at most.
+    /// The link is limited to `bytes_per_s`.
     Throttle,
-    /// `share` of the datagrams come twice.
+    /// A share of `share` of the datagrams arrives twice.
     Duplicate,
-    /// `share` of the datagrams come after later ones.
+    /// A share of `share` of the datagrams arrives after later ones.
     Reorder,
     // On gateways.
-    /// Killed at once; back after `for_s`, where that is given.
+    /// Gateways are killed with SIGKILL, and started again after `for_s` if that is set.
     Kill,
-    /// Stopped, and continued after `for_s`.
+    /// Gateways are stopped with SIGSTOP and continued after `for_s`.
     Pause,
-    /// Stopped with SIGTERM and started again, `step` of them at a time, evenly over `for_s`.
+    /// Rolling restart: gateways are stopped with SIGTERM and started again, a share of `step` at a time, evenly over
+    /// `for_s`.
     Roll,
-    /// A new configuration and SIGHUP.
+    /// Gateways get their configuration file written anew and SIGHUP.
     Reload,
     // On clients.
-    /// `share` of those that wait for an answer of `gates` close their connections, once.
+    /// A share of `share` of the clients that wait for an answer from `gates` closes its connections once.
     Leave,
     // On workers.
-    /// Dead, and back and cold after `for_s`.
+    /// Workers die, and start again after `for_s` with a warm-up.
     Crash,
-    /// `times` slower.
+    /// Workers are slower by the factor `times`.
     Slow,
-    /// `share` of the requests get an error at once.
+    /// A share of `share` of the requests gets an error immediately.
     Errors,
-    /// Requests are taken and never answered.
+    /// Workers accept requests and never answer them.
     Silent,
-    /// `share` of the answers can't be read.
+    /// A share of `share` of the answers is malformed.
     Spoil,
-    /// `share` of the answers, then in chunks, stop half way: neither the rest comes nor an end.
+    /// A share of `share` of the answers is sent in chunks and stops half way: neither the rest nor an end follows.
     Stall,
-    /// `share` of the answers break off half way: the connection is reset.
+    /// A share of `share` of the answers is truncated half way by a reset of the connection.
     BreakOff,
-    /// Listed as draining, gone after the time to finish, and back and cold after `for_s`.
+    /// Workers are listed as draining, removed after the draining period, and start again after `for_s` with a warm-up.
     Replace,
-    // On the counter.
-    /// Refuses connections.
+    // On the shared counter.
+    /// The counter refuses connections.
     CounterDown,
-    /// Forgets all counts, once.
+    /// The counter loses all counts once.
     CounterEmpty,
-    /// `share` of the calls get `busy`.
+    /// A share of `share` of the calls is answered `busy`.
     CounterBusy,
-    /// `times` slower.
+    /// Calls take `times` as long.
     CounterSlow,
-    /// `share` of the calls are lost before anything is added.
+    /// A share of `share` of the calls is lost before the addition.
     CounterLoseCalls,
-    /// `share` of the answers are lost, after the addition.
+    /// A share of `share` of the answers is lost after the addition.
     CounterLoseAnswers,
     // On discovery.
+    /// Agents do not answer.
     DiscoveryDown,
-    /// News come `s` later.
+    /// Updates reach the agents `ms` later.
     DiscoveryLate,
-    /// Calls get an error.
+    /// Agents answer calls with an error.
     DiscoveryOverbooked,
-    /// The agents of `gates` are at another address, told by a new configuration and SIGHUP; the old one closes soon
-    /// after. Back after `for_s`.
+    /// The agents of `gates` move to another address, announced by a new configuration and SIGHUP; the old address
+    /// closes shortly after. They move back after `for_s`.
     DiscoveryMove,
 }
 
-/// One fault.
+/// One fault of a scenario.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Fault {
     pub what: FaultKind,
+    /// Start, in seconds since the load began.
     pub at_s: f64,
-    /// Until the end where it is missing.
+    /// Duration in seconds; `None`: until the end of the run.
     pub for_s: Option<f64>,
-    /// Which gateways: `all`, `2`, `0..3`, `30%` or `zone=NAME`.
+    /// Affected gateways: `all`, `2`, `0..3`, `30%` or `zone=NAME`.
     #[serde(default = "all")]
     pub gates: String,
-    /// The other end of the links: `workers`, `workers:zone=NAME`, `workers:30%`, `workers:0..3`, `counter`,
+    /// Far end of the affected links: `workers`, `workers:zone=NAME`, `workers:30%`, `workers:0..3`, `counter`,
     /// `discovery`, `front`, `gates` or `gates:0..3` (datagrams) or `all`.
     #[serde(default = "all")]
     pub peers: String,
-    /// Which workers, as for gateways.
+    /// Affected workers, selected as gateways are.
     #[serde(default = "all")]
     pub workers: String,
-    /// Which way: `both`, `out` of the gateway or `in`.
+    /// Affected direction: `both`, `out` of the gateway or `in`.
     #[serde(default)]
     pub way: Direction,
+    /// Additional delay in milliseconds.
     #[serde(default)]
     pub ms: f64,
+    /// Greatest random delay on top of `ms`, in milliseconds.
     #[serde(default)]
     pub jitter_ms: f64,
+    /// Share of messages, requests, answers, calls or clients that is affected.
     #[serde(default = "one")]
     pub share: f64,
+    /// Factor by which workers or the counter are slower.
     #[serde(default = "two")]
     pub times: f64,
+    /// Bandwidth of a throttled link.
     #[serde(default)]
     pub bytes_per_s: f64,
-    /// Starts are spread over so long.
+    /// Restarts after the fault are spread at random over so many seconds.
     #[serde(default)]
     pub over_s: f64,
-    /// Share of those struck that never comes back.
+    /// Probability that an affected gateway or worker is never started again.
     #[serde(default)]
     pub never: f64,
-    /// What becomes of the gateway's folder.
+    /// State of the gateway's data directory after a kill.
     #[serde(default)]
     pub disk: Disk,
+    /// Share of the gateways that a rolling restart stops at a time.
     #[serde(default = "one_tenth")]
     pub step: f64,
 }
 
-/// The direction of traffic that a fault on a link strikes, seen from the gateway.
+/// Direction of traffic that a fault on a link affects, seen from the gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Direction {
@@ -135,17 +144,17 @@
     In,
 }
 
-/// What a gateway finds in its folder after a kill.
+/// State of a gateway's data directory after a kill.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Disk {
-    /// What it wrote.
+    /// All writes are kept.
     #[default]
     Kept,
-    /// Nothing.
+    /// All files are removed.
     Empty,
-    /// What was there some seconds before: the last writes are lost.
+    /// The files are as they were 1.5 seconds before the kill: later writes are lost.
     Stale,
-    /// The file written last ends in the middle.
+    /// The file written last is truncated at a random length.
     Torn,
 }
--- a/lab/src/scenario/load.rs
+++ b/lab/src/scenario/load.rs
@@ -1,25 +1,27 @@
-//! What clients ask for, and how they behave when they are refused.
+//! The load that clients offer, and their behaviour after refusals and failures.
 
 use super::defaults::one;
 use serde::{Deserialize, Serialize};
 
-/// What clients ask for.
+/// The load that clients offer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Load {
-    /// Mean work asked for, over what all workers together can do.
+    /// Mean offered work as a share of the capacity of all workers.
     #[serde(rename = "use")]
     pub utilisation: f64,
     pub arrivals: Arrivals,
-    /// How unlike customers of one plan are: the deviation of the logarithm of their demand.
+    /// Standard deviation of the logarithm of the demand of customers on one plan.
     pub skew: f64,
-    /// Share of the customers that ask for `heavy_x` times as much.
+    /// Share of the customers whose demand is multiplied by `heavy_x`.
     pub heavy: f64,
+    /// Factor on the demand of heavy customers.
     pub heavy_x: f64,
-    /// One customer of the first plan is this share of the load; 0: none.
+    /// Share of the load that comes from one additional customer on the first plan; 0: there is none.
     pub whale: f64,
-    /// How unlike gateways' shares of the traffic are.
+    /// Standard deviation of the logarithm of the gateways' weights in the clients' choice.
     pub gate_skew: f64,
+    /// Changes of the load during the run.
     pub step: Vec<Step>,
 }
 
@@ -38,17 +40,17 @@
     }
 }
 
-/// How requests are spaced in time.
+/// Distribution of the times between requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Arrivals {
-    /// Memoryless.
+    /// Exponentially distributed gaps (a Poisson process).
     Poisson,
-    /// Evenly spaced.
+    /// Equal gaps.
     Even,
 }
 
-/// From `at_s` on the load is `times` its base; `shift` also draws the customers' demands anew.
+/// A change of the load: from `at_s` on it is `times` the base load; `shift` also redraws the customers' demands.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Step {
     pub at_s: f64,
@@ -58,23 +60,25 @@
     pub shift: bool,
 }
 
-/// How clients behave when they are refused or failed.
+/// Behaviour of clients, in particular after refusals and failures.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Clients {
-    /// Further tries at most.
+    /// Greatest number of retries per request.
     pub retries: u32,
-    /// Chance that a client keeps to the time to come back.
+    /// Probability that a client waits for the time in `Retry-After`.
     pub honour: f64,
+    /// Base of the exponential backoff between tries.
     pub backoff_ms: f64,
+    /// Upper bound on the `Retry-After` times that clients honour.
     pub max_retry_after_ms: f64,
-    /// Time given to a try, over the class's deadline: drawn between the two.
+    /// Range from which the time limit of a try is drawn, as a share of the class's deadline.
     pub try_share: [f64; 2],
-    /// Share that leaves before its time.
+    /// Share of the tries whose client disconnects before the time limit.
     pub impatient: f64,
-    /// The others leave so long after their time.
+    /// Time after the time limit at which the other clients give up.
     pub patience_ms: f64,
-    /// The front notices a dead gateway after so long.
+    /// Time after which the load balancer in front of the gateways stops using a gateway that has exited, in seconds.
     pub notice_s: f64,
 }
 
--- a/lab/src/scenario/mod.rs
+++ b/lab/src/scenario/mod.rs
@@ -1,6 +1,6 @@
-//! Scenario files: what world there is, what load it gets, which faults strike when, and what must hold.
+//! Scenario files: the simulated environment, the load, the injected faults and the requirements for a pass.
 //!
-//! A file is checked whole before anything starts: every error is told with its key.
+//! A file is validated completely before anything starts; every error is reported with its key.
 
 mod check;
 mod defaults;
@@ -26,58 +26,58 @@
 use defaults::{default_lead, default_seeds};
 use serde::{Deserialize, Serialize};
 
-/// Gateways that a play may have.
+/// Greatest number of gateways in a run.
 const MAX_GATEWAYS: usize = 100;
-/// Workers that a play may have.
+/// Greatest number of workers in a run.
 const MAX_WORKERS: usize = 400;
 
-/// Everything a run needs to know; times in seconds, counts in whole numbers, unless the key says otherwise.
+/// Description of a run. Times are in seconds unless the key names another unit.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Scenario {
-    /// Its name.
+    /// Name of the scenario.
     pub name: String,
-    /// One line on what it shows.
+    /// One-line description of what it tests.
     #[serde(default)]
     pub about: String,
-    /// Load lasts so long.
+    /// Duration of the load.
     pub length_s: f64,
-    /// The seeds it is played on by default.
+    /// Seeds of the default runs.
     #[serde(default = "default_seeds")]
     pub seeds: Vec<u64>,
-    /// Length of the first part that counts for nothing: connections and leases come up.
+    /// Length of the lead-in, which the metrics leave out, as connections and leases are established in it.
     #[serde(default = "default_lead")]
     pub lead_s: f64,
-    /// The machines.
+    /// Gateways and workers.
     #[serde(default)]
     pub world: World,
-    /// The shared counter.
+    /// Shared counter.
     #[serde(default)]
     pub counter: CounterSpec,
-    /// How news of the workers spreads.
+    /// Propagation of changes in the list of workers.
     #[serde(default)]
     pub discovery: DiscoverySpec,
-    /// The classes of requests.
+    /// Classes of requests.
     #[serde(default = "default_classes", rename = "class")]
     pub classes: Vec<ClassSpec>,
-    /// The plans of customers.
+    /// Customers' plans.
     #[serde(default = "default_plans", rename = "plan")]
     pub plans: Vec<PlanSpec>,
-    /// What clients ask for.
+    /// Offered load.
     #[serde(default)]
     pub load: Load,
-    /// How clients behave.
+    /// Behaviour of clients.
     #[serde(default)]
     pub clients: Clients,
-    /// What goes wrong.
+    /// Injected faults.
     #[serde(default, rename = "fault")]
     pub faults: Vec<Fault>,
-    /// What it has to show to pass.
+    /// Requirements for a pass.
     #[serde(default)]
     pub must: Requirements,
 }
 
 impl Scenario {
-    /// When the first fault that ends begins, and when the last of them ends, within the play.
+    /// Returns the start of the first and the end of the last fault, in seconds, among those that end within the run.
     pub fn fault_span(&self) -> Option<(f64, f64)> {
         let spans = self.faults.iter().map(|f| (f.at_s, f.at_s + f.for_s.unwrap_or(0.0) + f.over_s));
         let spans: Vec<(f64, f64)> = spans.filter(|(_, to)| *to < self.length_s).collect();
@@ -85,7 +85,7 @@
         Some((from, spans.iter().map(|s| s.1).fold(from, f64::max)))
     }
 
-    /// The same play with so many times the gateways and workers, and with that the load.
+    /// Returns the scenario with the numbers of gateways and workers, and with them the load, multiplied by `scale`.
     #[must_use]
     pub fn scaled(mut self, scale: f64) -> Self {
         let times = |n: usize, most: usize| ((n as f64 * scale).round() as usize).clamp(2, most);
--- a/lab/src/scenario/parse.rs
+++ b/lab/src/scenario/parse.rs
@@ -1,17 +1,17 @@
-//! Reads scenario files, and finds everything that is wrong with one.
+//! Parses scenario files and collects all errors in them.
 
 use super::{Invalid, Problem, Scenario, shipped};
 use std::{collections::BTreeSet, path::Path};
 use toml::{Table, Value};
 
-/// Type errors that are looked for at most: each takes a reading of its own.
+/// Greatest number of type errors that are collected; each takes another parse.
 const MAX_ERRORS: usize = 50;
 
 impl Scenario {
-    /// Reads a scenario from TOML text.
+    /// Parses a scenario from TOML text.
     ///
     /// # Errors
-    /// All that is wrong with it.
+    /// All errors in the text.
     pub fn parse(text: &str) -> Result<Self, Invalid> {
         let table: Table = text.parse().map_err(|e: toml::de::Error| {
             Invalid(vec![Problem { key: String::new(), why: e.message().to_owned() }])
@@ -19,10 +19,10 @@
         Self::from_table(table)
     }
 
-    /// Reads the table of a scenario from a file, or of one of those that ship with the lab by its name.
+    /// Reads the TOML table of a built-in scenario by name, or of a scenario file by path.
     ///
     /// # Errors
-    /// All that is wrong with it, or that there is none.
+    /// The file can't be read or is no TOML.
     pub fn load(name: &str) -> Result<Table, Invalid> {
         let wrong = |why: String| Invalid(vec![Problem { key: String::new(), why }]);
         let text = match shipped().iter().find(|(n, _)| *n == name) {
@@ -32,10 +32,10 @@
         text.parse().map_err(|e: toml::de::Error| wrong(e.to_string()))
     }
 
-    /// Reads a scenario from a table.
+    /// Converts a TOML table to a scenario and validates it.
     ///
     /// # Errors
-    /// All that is wrong with it.
+    /// All errors in the table.
     pub fn from_table(table: Table) -> Result<Self, Invalid> {
         let mut wrongs = Vec::new();
         let mut unknown = BTreeSet::new();
@@ -51,7 +51,7 @@
                 Err(error) => {
                     let path = track.path();
                     wrongs.push(Problem { key: path.to_string(), why: error.message().trim().to_owned() });
-                    // Without what can't be read, the rest is looked at too.
+                    // Removes the invalid value and parses again, to find errors in the rest.
                     if wrongs.len() >= MAX_ERRORS || !remove(&mut value, &path) {
                         break None;
                     }
@@ -60,7 +60,7 @@
         };
         let tidy = |key: String| key.replace(".?", "");
         wrongs.extend(
-            unknown.into_iter().map(|key| Problem { key: tidy(key), why: "is not known".to_owned() }),
+            unknown.into_iter().map(|key| Problem { key: tidy(key), why: "is no known key".to_owned() }),
         );
         if let Some(read) = &read {
             wrongs.extend(read.check());
@@ -72,7 +72,7 @@
     }
 }
 
-/// Takes what stands at `path` out of `value`; `false`: there is nothing.
+/// Removes the entry at `path` from `value`; returns `false` if it can't be removed.
 fn remove(value: &mut Value, path: &serde_path_to_error::Path) -> bool {
     use serde_path_to_error::Segment;
     let steps: Vec<&Segment> = path.iter().collect();
@@ -89,7 +89,7 @@
     }
     match last {
         Segment::Map { key } => at.as_table_mut().and_then(|t| t.remove(key)).is_some(),
-        // Places after it must stay where they are told: a whole entry is not taken out.
+        // Elements of arrays are not removed, as later elements must keep their index in error messages.
         _ => false,
     }
 }
--- a/lab/src/scenario/plans.rs
+++ b/lab/src/scenario/plans.rs
@@ -1,36 +1,40 @@
-//! The classes of requests and the plans of customers.
+//! Classes of requests and customers' plans.
 
 use super::defaults::{four, four_tenths, half_to_one, one};
 use serde::{Deserialize, Serialize};
 
-/// What repeating a request may do.
+/// Whether executing a request more than once is harmless.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Effect {
-    /// Any number of times.
+    /// May be executed any number of times.
     Safe,
-    /// Workers of one zone discard repeats for the class's window.
+    /// Carries an idempotency key, by which the workers of one zone discard duplicates within the class's window.
     Keyed,
-    /// Never, once it may have run.
+    /// Must not be sent again once it may have been executed.
     Unsafe,
 }
 
-/// A class of requests: how much work it is, what it is worth, and whether it may be repeated.
+/// A class of requests: work, deadline, value, and whether requests may be executed repeatedly.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClassSpec {
     pub name: String,
     /// Share of the requests, relative to the other classes.
     pub share: f64,
     pub effect: Effect,
-    /// Mean work of a request on one nominal core.
+    /// Mean work of a request on one nominal core, in milliseconds.
     pub work_ms: f64,
+    /// Latency target.
     pub aim_ms: f64,
+    /// Time after which the client has no use for an answer.
     pub deadline_ms: f64,
+    /// Value of an answer within the latency target.
     #[serde(default = "one")]
     pub worth: f64,
+    /// Share of the value that an answer between latency target and deadline earns.
     #[serde(default)]
     pub late_worth: f64,
-    /// For keyed ones: how long workers remember one.
+    /// Deduplication window of keyed requests at the workers, in seconds.
     #[serde(default = "four")]
     pub window_s: f64,
 }
@@ -41,24 +45,29 @@
     pub name: String,
     /// Share of the load.
     pub share: f64,
-    /// Units a second that a customer may use, and at once.
+    /// Units per second in a customer's quota.
     pub rate: f64,
+    /// Capacity of the quota's token bucket, in units.
     pub burst: f64,
+    /// Factor on the value of this plan's requests.
     #[serde(default = "one")]
     pub pays: f64,
-    /// Share of the gateways that one customer's requests come through: drawn between the two.
+    /// Range from which the share of the gateways that receive one customer's requests is drawn.
     #[serde(default = "half_to_one")]
     pub spread: [f64; 2],
-    /// What a customer asks for, over its rate, on the mean.
+    /// Mean demand of a customer as a share of `rate`.
     #[serde(default = "four_tenths")]
     pub usage: f64,
+    /// Greatest number of requests in flight per customer; 0: unlimited.
     #[serde(default)]
     pub open: u32,
+    /// Units per second of the rate limit; 0: there is none.
     #[serde(default)]
     pub ceiling_rate: f64,
+    /// Capacity of the rate limit's token bucket, in units.
     #[serde(default)]
     pub ceiling_burst: f64,
-    /// Units by which the ceiling's store may fall below 0.
+    /// Units by which the level of the rate limit's bucket may fall below 0.
     #[serde(default = "four")]
     pub slack: f64,
 }
@@ -86,7 +95,7 @@
     }
 }
 
-/// The classes where a file names none: one of each effect.
+/// Returns the default classes: one of each effect.
 #[must_use]
 pub fn default_classes() -> Vec<ClassSpec> {
     vec![
@@ -96,7 +105,8 @@
     ]
 }
 
-/// The plans where a file names none: small, middling, and one with a cap on what is open and a ceiling.
+/// Returns the default plans: a small one, a medium one, and a large one with a rate limit and a cap on requests in
+/// flight.
 #[must_use]
 pub fn default_plans() -> Vec<PlanSpec> {
     let plan = |name: &str, share, rate: f64, burst_s: f64, pays| PlanSpec {
--- a/lab/src/scenario/requirements.rs
+++ b/lab/src/scenario/requirements.rs
@@ -1,20 +1,21 @@
-//! What a play of a scenario has to show to pass.
+//! Requirements that a run of a scenario must meet to pass.
 
 use serde::{Deserialize, Serialize};
 
-/// What a play has to show. The rules must always hold.
+/// Bounds on the metrics of a run; the judge's rules must hold in any case.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Requirements {
-    /// Seconds from the end of the last fault to 95% of the goodput before the first one; 0: not asked.
+    /// Greatest number of seconds from the end of the last fault to 95% of the goodput before the first one; 0: not
+    /// checked.
     pub recover_s: f64,
-    /// Goodput over the whole play, as a share of the worth asked for.
+    /// Least goodput over the whole run, as a share of the value requested.
     pub goodput: f64,
-    /// Attempts that reach workers a first try that was sent on, in the worst second.
+    /// Greatest number of attempts per try that reached a worker, in the worst second.
     pub amplification: f64,
-    /// Units sent on beyond quotas, of all units sent on.
+    /// Greatest share of the units sent to workers that are beyond quotas.
     pub beyond: f64,
-    /// Refusals with room in the quota, of all first tries.
+    /// Greatest share of the tries that were refused within their quota.
     pub refused_with_room: f64,
 }
 
--- a/lab/src/scenario/shipped.rs
+++ b/lab/src/scenario/shipped.rs
@@ -1,6 +1,6 @@
 //! The scenarios that are built into the lab.
 
-/// The scenarios that ship with the lab, by name.
+/// Returns the built-in scenarios: name and TOML text.
 #[must_use]
 pub fn shipped() -> &'static [(&'static str, &'static str)] {
     macro_rules! ship {
--- a/lab/src/scenario/target.rs
+++ b/lab/src/scenario/target.rs
@@ -1,40 +1,40 @@
-//! Which gateways, workers and links a fault strikes.
+//! Selection of the gateways, workers and links that a fault affects.
 
-/// Why a choice can't be read.
+/// Reason why a selection can't be parsed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum TargetError {
     /// No zone has this name.
-    #[error("{0:?} is no zone of this world")]
+    #[error("{0:?} is not a zone of this scenario")]
     UnknownZone(String),
-    /// A share that is no percentage.
-    #[error("{0:?} is no share")]
-    NoShare(String),
+    /// The text before `%` is no number from 0 to 100.
+    #[error("{0:?} is not a percentage from 0% to 100%")]
+    InvalidShare(String),
     /// Neither a number nor a range.
-    #[error("{0:?} is no choice")]
-    NoChoice(String),
-    /// No such end of a link.
-    #[error("{0:?} is no far end of a link")]
+    #[error("{0:?} is not a selection: expected all, a number, a range, a percentage or zone=NAME")]
+    InvalidSelection(String),
+    /// Unknown far end of a link.
+    #[error("{0:?} is not a far end of a link")]
     UnknownPeers(String),
 }
 
-/// A choice among gateways or workers.
+/// A selection of gateways or workers.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Selection {
     /// All of them.
     All,
     /// A share of them, drawn at random.
     Share(f64),
-    /// Those from the first number up to, but not including, the second.
+    /// Indices from the first up to, but not including, the second.
     Range(usize, usize),
-    /// Those in the zone of this number.
+    /// Those in the zone with this index.
     Zone(usize),
 }
 
 impl Selection {
-    /// Reads `all`, `30%`, `2`, `0..3` or `zone=NAME`.
+    /// Parses `all`, `30%`, `2`, `0..3` or `zone=NAME`.
     ///
     /// # Errors
-    /// Why it can't be read.
+    /// The text has none of these forms, or names an unknown zone.
     pub fn parse(text: &str, zones: &[String]) -> Result<Self, TargetError> {
         if text == "all" {
             return Ok(Self::All);
@@ -46,17 +46,17 @@
         if let Some(share) = text.strip_suffix('%') {
             let percent = share.parse().ok().filter(|percent: &f64| (0.0..=100.0).contains(percent));
             let share = percent.map(|percent| Self::Share(percent / 100.0));
-            return share.ok_or_else(|| TargetError::NoShare(text.to_owned()));
+            return share.ok_or_else(|| TargetError::InvalidShare(text.to_owned()));
         }
-        let number = |t: &str| t.parse::<usize>().map_err(|_| TargetError::NoChoice(text.to_owned()));
+        let number = |t: &str| t.parse::<usize>().map_err(|_| TargetError::InvalidSelection(text.to_owned()));
         match text.split_once("..") {
             Some((from, to)) => Ok(Self::Range(number(from)?, number(to)?)),
             None => number(text).map(|n| Self::Range(n, n + 1)),
         }
     }
 
-    /// Those chosen of `zones.len()`, each in its zone; a share is drawn by `draw`, which gives numbers below
-    /// its argument.
+    /// Returns the selected indices in ascending order, given the zone of each gateway or worker. A share is drawn by
+    /// `draw`, which returns a random number below its argument.
     pub fn of(&self, zones: &[usize], mut draw: impl FnMut(usize) -> usize) -> Vec<usize> {
         let mut every: Vec<usize> = (0..zones.len()).collect();
         match self {
@@ -77,28 +77,28 @@
     }
 }
 
-/// The far ends of links.
+/// The far ends of the links that a fault affects.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Peers {
-    /// All of them.
+    /// All but other gateways.
     All,
-    /// The chosen workers.
+    /// The selected workers.
     Workers(Selection),
     /// The shared counter.
     Counter,
-    /// The discovery service.
+    /// The discovery agent.
     Discovery,
-    /// The clients' side.
+    /// The load balancer that forwards the clients' requests.
     Front,
-    /// The chosen other gateways.
+    /// The selected other gateways.
     Gates(Selection),
 }
 
 impl Peers {
-    /// Reads what `Fault::peers` may hold.
+    /// Parses the text of `Fault::peers`.
     ///
     /// # Errors
-    /// Why it can't be read.
+    /// The text names no known far end, or its selection can't be parsed.
     pub fn parse(text: &str, zones: &[String]) -> Result<Self, TargetError> {
         Ok(match text {
             "all" => Self::All,
--- a/lab/src/scenario/tests.rs
+++ b/lab/src/scenario/tests.rs
@@ -2,7 +2,7 @@
 use std::collections::BTreeSet;
 
 #[test]
-fn every_error_is_told_with_its_key() {
+fn every_error_is_reported_with_its_key() {
     let text = r#"
         name = "wrong"
         length_s = 10
@@ -21,7 +21,7 @@
         at_s = 1
         gates = "lots"
     "#;
-    let Err(Invalid(wrongs)) = Scenario::parse(text) else { panic!("it is wrong") };
+    let Err(Invalid(wrongs)) = Scenario::parse(text) else { panic!("the scenario is invalid") };
     let keys: BTreeSet<&str> = wrongs.iter().map(|w| w.key.as_str()).collect();
     let want = [
         "world.gatekeepers",
@@ -37,16 +37,19 @@
 }
 
 #[test]
-fn what_can_never_be_met_is_refused() {
+fn requirements_and_faults_that_are_impossible_are_rejected() {
     let with = |rest: &str| Scenario::parse(&format!("name = \"x\"\nlength_s = 10\n{rest}"));
     assert!(with("").is_ok());
-    assert!(with("[must]\nrecover_s = 5").is_err(), "nothing to recover from");
+    assert!(with("[must]\nrecover_s = 5").is_err(), "there is no fault to recover from");
     assert!(with("[must]\ngoodput = 1.2").is_err());
-    assert!(with("[[fault]]\nwhat = \"kill\"\nat_s = 2\ndisk = \"torn\"").is_err(), "no disk to tear");
+    assert!(
+        with("[[fault]]\nwhat = \"kill\"\nat_s = 2\ndisk = \"torn\"").is_err(),
+        "gateways have no data directory"
+    );
 }
 
 #[test]
-fn those_that_ship_are_right_and_have_a_purpose() {
+fn built_in_scenarios_are_valid_and_described() {
     for (name, text) in shipped() {
         let scenario = Scenario::parse(text).unwrap_or_else(|e| panic!("{name}: {e}"));
         assert_eq!(scenario.name, *name);
@@ -58,10 +61,10 @@
 }
 
 #[test]
-fn a_choice_is_what_it_says() {
+fn a_selection_yields_the_indices_that_it_names() {
     let zones: Vec<String> = vec!["a".into(), "b".into()];
-    let places = [0, 1, 0, 1, 0];
-    let of = |text: &str| Selection::parse(text, &zones).map(|p| p.of(&places, |n| n - 1));
+    let zone_indices = [0, 1, 0, 1, 0];
+    let of = |text: &str| Selection::parse(text, &zones).map(|p| p.of(&zone_indices, |n| n - 1));
     assert_eq!(of("all"), Ok(vec![0, 1, 2, 3, 4]));
     assert_eq!(of("zone=b"), Ok(vec![1, 3]));
     assert_eq!(of("1..3"), Ok(vec![1, 2]));
--- a/lab/src/scenario/world.rs
+++ b/lab/src/scenario/world.rs
@@ -1,4 +1,4 @@
-//! The machines of a scenario: gateways, workers, the shared counter and discovery.
+//! The simulated environment of a scenario: gateways, workers, the shared counter and discovery.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,45 +7,55 @@
 #[serde(default)]
 #[allow(clippy::struct_excessive_bools, reason = "each is a key of its own in scenario files")]
 pub struct World {
+    /// Number of gateways.
     pub gatekeepers: usize,
+    /// Memory limit of a gateway process.
     pub memory_mb: u64,
+    /// Limit on open files of a gateway process.
     pub sockets: u64,
-    /// Gateways keep a folder over restarts (`NODE_STATE`).
+    /// Whether gateways keep a data directory over restarts (`NODE_STATE`).
     pub disk: bool,
-    /// Gateways know each other by datagrams (`fleet` in their configuration).
+    /// Whether gateways exchange datagrams with each other (`fleet` in their configuration).
     pub fleet: bool,
-    /// Gateways say why they refuse and send; without it no unit has a cause.
+    /// Whether gateways log the causes of refusals and attempts; without it units are counted without causes.
     pub events: bool,
+    /// Names of the zones, over which gateways and workers are distributed in turn.
     pub zones: Vec<String>,
+    /// Number of workers.
     pub workers: usize,
+    /// Cores of each worker.
     pub cores: usize,
-    /// Work done a second by each core, relative to nominal: drawn for each worker between the two.
+    /// Range from which the speed of each worker's cores is drawn, relative to a nominal core.
     pub speed: [f64; 2],
-    /// Requests that may wait at a worker.
+    /// Greatest number of requests that wait at a worker.
     pub queue: usize,
-    /// A worker starts with this share of its capacity ...
+    /// Share of its capacity that a worker has when it starts.
     pub cold_from: f64,
-    /// ... and is warm after so long.
+    /// Length of the warm-up, after which a worker has its full capacity.
     pub cold_s: f64,
-    /// A cold worker falls when sent more than this many times its capacity ...
+    /// Multiple of its present capacity above which a worker that is warming up crashes.
     pub fall_multiple: f64,
-    /// ... over so long.
+    /// Window over which the work sent to a worker that is warming up is compared with its capacity.
     pub fall_s: f64,
-    /// A worker that fell or crashed is back after so long.
+    /// Time after which a worker that crashed by overload starts again.
     pub back_s: f64,
-    /// Connections that a worker holds, from all gateways together.
+    /// Greatest number of connections that a worker accepts from all gateways together.
     pub connections: usize,
+    /// Time that a worker takes to set up a connection, added to its first request.
     pub handshake_ms: f64,
-    /// Share of the answers that are errors for no reason.
+    /// Share of the requests that workers answer with an error without a fault.
     pub errors: f64,
-    /// One way, within a zone and between zones.
+    /// One-way delay of links within a zone.
     pub near_ms: f64,
+    /// One-way delay of links between zones.
     pub far_ms: f64,
-    /// Answers carry a load report.
+    /// Whether answers carry a load report.
     pub reports: bool,
-    /// Bytes that an answer has at least.
+    /// Least size of an answer's body.
     pub answer_bytes: usize,
+    /// Time within which gateways must stop sending to a worker that is reported as draining.
     pub drain_grace_s: f64,
+    /// Greatest number of attempts per request at a gateway.
     pub max_attempts: u32,
 }
 
@@ -85,16 +95,17 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct CounterSpec {
-    /// There is one.
+    /// Whether there is a shared counter.
     pub on: bool,
-    /// Calls a second, over all parts.
+    /// Capacity of all shards together, in calls per second.
     pub calls_per_s: f64,
+    /// Number of shards.
     pub parts: usize,
-    /// An answer takes so long at least.
+    /// Service time of a call that does not queue, in milliseconds.
     pub ms: f64,
-    /// Gateways wait no longer.
+    /// Time-out of the gateways' calls.
     pub timeout_ms: f64,
-    /// A part whose line is longer than this answers `busy`.
+    /// Queueing delay of a shard above which it answers `busy`.
     pub line_ms: f64,
 }
 
@@ -104,11 +115,11 @@
     }
 }
 
-/// How news of the workers spreads.
+/// Propagation of changes in the list of workers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct DiscoverySpec {
-    /// A change reaches an agent after a time drawn between the two.
+    /// Range from which the delay of each change at an agent is drawn.
     pub late_s: [f64; 2],
 }
 
