--- a/lab/src/baseline.rs
+++ b/lab/src/baseline.rs
@@ -1,7 +1,7 @@
-//! Gateways without sockets, on the same load: what the most and the least is that a play could give.
+//! Reference runs of modelled gateways without sockets, on the same load: upper and lower bounds for a real run.
 //!
-//! A small model: the same arrivals and clients, all workers as one line of cores, no faults. What it plays is judged
-//! by the same judge as a real play.
+//! The model has the same arrivals and clients, one queue in front of the cores of all workers, and no faults. Its
+//! recordings are evaluated by the same judge as those of real runs.
 
 use crate::{
     bucket::Bucket,
@@ -17,42 +17,47 @@
     collections::{BinaryHeap, HashMap},
 };
 
-/// How a modelled gateway decides.
+/// How modelled gateways admit requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Policy {
-    /// All share one bucket and see it at once: the most that is to be had.
+    /// All gateways share one exact bucket per customer without delay: the upper bound.
     Exact,
-    /// Each holds a customer to its even share, and hears of nobody: the least.
+    /// Each gateway grants a customer an even share of its quota, without any communication: the lower bound.
     EvenShare,
-    /// A call of the counter for each request, as long as the counter keeps up; the even share where it does not.
+    /// Each request takes a call of the shared counter; the even share applies if the counter does not answer in time.
     CallEach,
 }
 
+/// All policies with the names under which reports list them.
 pub const POLICIES: [(Policy, &str); 3] =
     [(Policy::Exact, "exact bucket"), (Policy::EvenShare, "even share"), (Policy::CallEach, "a call each")];
 
-/// Times that order like whole numbers.
+/// Converts seconds to whole microseconds, which can be ordered.
 fn micros(at: f64) -> u64 {
     (at.max(0.0) * 1e6) as u64
 }
 
+/// State of a modelled run; times are in seconds unless stated otherwise.
 struct Model {
     plan: Plan,
     policy: Policy,
+    /// Exact bucket by customer.
     exact: HashMap<usize, Bucket>,
+    /// Bucket of the even share by customer and gateway.
     shares: HashMap<(usize, usize), Bucket>,
-    /// Per customer, when what is out ends.
-    out: HashMap<usize, Vec<f64>>,
-    /// When each core is free.
+    /// By customer, the times at which its requests in flight end.
+    in_flight: HashMap<usize, Vec<f64>>,
+    /// Times at which the cores are free, in microseconds.
     cores: BinaryHeap<Reverse<u64>>,
+    /// Mean speed of the workers' cores.
     speed: f64,
-    /// When the counter's line is empty again.
-    line: f64,
+    /// Time at which the counter's queue is empty.
+    counter_free_at: f64,
     seen: Vec<Seen>,
 }
 
-/// Plays a scenario without sockets and faults under a policy.
+/// Runs the model of a scenario under a policy, without sockets and faults.
 #[must_use]
 pub fn play(scenario: Scenario, seed: u64, policy: Policy) -> Recording {
     let scenario = Scenario { faults: Vec::new(), must: Requirements::default(), ..scenario };
@@ -64,10 +69,10 @@
         policy,
         exact: HashMap::new(),
         shares: HashMap::new(),
-        out: HashMap::new(),
+        in_flight: HashMap::new(),
         cores,
         speed: mean_speed,
-        line: 0.0,
+        counter_free_at: 0.0,
         seen: Vec::new(),
         plan,
     };
@@ -94,7 +99,7 @@
     }
 
     fn run(&mut self) {
-        // Tries to come, the earliest first: when, and which try of which request.
+        // Future tries, the earliest first: time in microseconds, index of the request, and number of earlier tries.
         let mut due: BinaryHeap<Reverse<(u64, usize, u32)>> = BinaryHeap::new();
         for (number, arrival) in self.plan.arrivals.iter().enumerate() {
             due.push(Reverse((micros(arrival.at), number, 0)));
@@ -106,7 +111,7 @@
         }
     }
 
-    /// Plays one try; when the client's next one comes, if any.
+    /// Simulates one try and returns the time of the client's retry, if there is one.
     fn attempt(&mut self, now: f64, number: usize, again: u32) -> Option<f64> {
         let arrival = self.plan.arrivals[number].clone();
         let customer = self.plan.customers[arrival.customer].clone();
@@ -133,8 +138,8 @@
         let ends = begins + arrival.work / self.speed;
         if !allowed || ends - now > remaining.min(class.aim_ms / 1e3) {
             if allowed {
-                // It was not sent on: its unit is still there.
-                self.give_back(of, gate);
+                // It is not sent to a worker, so its unit is returned.
+                self.return_unit(of, gate);
             }
             self.record(decided, Event::Answer { txn, outcome: Outcome::Refused { after: 0.5 } });
             let backoff =
@@ -147,7 +152,7 @@
         }
         self.cores.pop();
         self.cores.push(Reverse(micros(ends)));
-        self.out.entry(of).or_default().push(ends);
+        self.in_flight.entry(of).or_default().push(ends);
         self.record(decided, Event::Attempt { txn, gate, worker: 0, intact: true, link_delay: 0 });
         let (queued, worked) = (begins - decided, ends - begins);
         self.record(ends, Event::Ended { txn, worker: 0, how: Ending::Served, queued, worked });
@@ -155,12 +160,13 @@
         None
     }
 
-    fn give_back(&mut self, customer: usize, gate: usize) {
+    /// Returns a unit to a customer's buckets.
+    fn return_unit(&mut self, customer: usize, gate: usize) {
         self.exact.get_mut(&customer).into_iter().for_each(|s| s.level += 1.0);
         self.shares.get_mut(&(customer, gate)).into_iter().for_each(|s| s.level += 1.0);
     }
 
-    /// Whether a customer's next unit is let through at a gateway, and when that is known.
+    /// Decides whether a gateway admits a customer's next unit, and returns the time of the decision.
     fn allows(&mut self, now: f64, of: usize, gate: usize) -> (bool, f64) {
         let customer = &self.plan.customers[of];
         let scenario = &self.plan.scenario;
@@ -170,21 +176,21 @@
             let share = || Bucket::full(rate / spread, (burst / spread).max(1.0));
             shares.entry((of, gate)).or_insert_with(share).take(now)
         };
-        let out = self.out.entry(of).or_default();
-        out.retain(|ends| *ends > now);
-        let full = plan.open > 0 && out.len() >= plan.open as usize;
+        let in_flight = self.in_flight.entry(of).or_default();
+        in_flight.retain(|ends| *ends > now);
+        let is_capped = plan.open > 0 && in_flight.len() >= plan.open as usize;
         let exact = self.exact.entry(of).or_insert_with(|| Bucket::full(rate, burst));
         match self.policy {
-            _ if full && self.policy != Policy::EvenShare => (false, now),
+            _ if is_capped && self.policy != Policy::EvenShare => (false, now),
             Policy::Exact => (exact.take(now), now),
             Policy::EvenShare => (even(&mut self.shares), now),
             Policy::CallEach => {
-                let turn = self.line.max(now) + 1.0 / counter.calls_per_s;
-                let answered = turn + counter.ms / 1e3;
+                let served_at = self.counter_free_at.max(now) + 1.0 / counter.calls_per_s;
+                let answered = served_at + counter.ms / 1e3;
                 if answered - now > counter.timeout_ms / 1e3 {
                     return (even(&mut self.shares), now + counter.timeout_ms / 1e3);
                 }
-                self.line = turn;
+                self.counter_free_at = served_at;
                 (exact.take(now), answered)
             }
         }
@@ -202,14 +208,14 @@
     }
 
     #[test]
-    fn the_exact_bucket_is_the_most_and_breaks_nothing() {
+    fn the_exact_bucket_is_the_upper_bound_and_violates_no_rule() {
         let [exact, even, call] = [Policy::Exact, Policy::EvenShare, Policy::CallEach].map(figures);
         for verdict in [&exact, &even, &call] {
             assert!(verdict.passed(), "{}", verdict.line());
             assert!(verdict.requests > 1000);
         }
         assert_eq!((exact.beyond, exact.amplification), (0, 1.0));
-        // What is refused with room in the quota was refused for want of cores, which 60% use hardly brings about.
+        // Refusals within the quota come only from a lack of free cores, which is rare at a utilisation of 60%.
         assert!(exact.refused_with_room_share < 0.02, "{}", exact.refused_with_room_share);
         assert!(exact.score > even.score + 0.05, "{} and {}", exact.score, even.score);
         assert!(even.refused_with_room_share > 0.05);
@@ -217,7 +223,7 @@
     }
 
     #[test]
-    fn the_model_plays_the_same_each_time() {
+    fn the_model_is_deterministic() {
         assert_eq!(figures(Policy::CallEach), figures(Policy::CallEach));
     }
 }
--- a/lab/src/experiment.rs
+++ b/lab/src/experiment.rs
@@ -1,12 +1,12 @@
-//! Several plays side by side: two builds on the same seeds, or one key at several values.
+//! Comparison of several runs: two builds on the same seeds, or one scenario key at several values.
 
 use serde::Serialize;
 use toml::{Table, Value};
 
-/// A figure that plays are compared by.
+/// A metric by which runs are compared: its name and how it is read from a verdict.
 pub type Figure = (&'static str, fn(&crate::judge::Verdict) -> f64);
 
-/// What a comparison shows.
+/// Metrics that a comparison shows.
 pub const FIGURES: [Figure; 9] = [
     ("score", |v| v.score),
     ("goodput", |v| v.goodput),
@@ -19,22 +19,24 @@
     ("CPU us a try", |v| v.cpu_us),
 ];
 
-/// A mean of paired differences with its 95% interval.
+/// Mean of paired differences with its 95% confidence interval.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Difference {
     pub mean: f64,
+    /// Half the width of the confidence interval; infinite for a single pair.
     pub half: f64,
+    /// Number of pairs.
     pub pairs: usize,
 }
 
-/// The factor of Student's distribution that 95% lie within, by degrees of freedom from 1 on.
+/// Two-sided 95% quantiles of Student's t-distribution, by degrees of freedom from 1 on.
 const STUDENT: [f64; 30] = [
     12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131,
     2.120, 2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064, 2.060, 2.056, 2.052, 2.048, 2.045, 2.042,
 ];
 
 impl Difference {
-    /// Of the second of each pair less the first; `None` with no pair that has both.
+    /// Computes the mean of the second value less the first over all pairs; `None` without a pair of finite values.
     #[must_use]
     pub fn of(pairs: &[(f64, f64)]) -> Option<Self> {
         let differences: Vec<f64> = pairs.iter().map(|(a, b)| b - a).filter(|d| d.is_finite()).collect();
@@ -43,7 +45,7 @@
             return None;
         }
         let mean = differences.iter().sum::<f64>() / n as f64;
-        // One pair says nothing of the variance.
+        // A single pair gives no estimate of the variance.
         let half = if n == 1 {
             f64::INFINITY
         } else {
@@ -53,16 +55,16 @@
         Some(Self { mean, half, pairs: n })
     }
 
-    /// Whether the interval leaves 0 out.
+    /// Whether the confidence interval excludes 0.
     #[must_use]
     pub fn clear(&self) -> bool {
         self.mean.abs() > self.half
     }
 }
 
-/// A path that names no key of a scenario.
+/// A path that does not name a key of a scenario.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{path:?} names no key")]
+#[error("{path:?} does not name a scenario key")]
 pub struct UnknownKey {
     path: String,
 }
@@ -70,7 +72,7 @@
 /// Sets the key at `path` of a scenario's table, such as `load.use`, `fault[0].for_s` or `class[1].share`.
 ///
 /// # Errors
-/// The path names no key.
+/// The path does not name a key.
 pub fn set_key(table: &mut Table, path: &str, value: Value) -> Result<(), UnknownKey> {
     let wrong = || UnknownKey { path: path.to_owned() };
     let mut at = table;
@@ -100,7 +102,7 @@
     Err(wrong())
 }
 
-/// Reads a value as TOML would; what is no TOML value is text.
+/// Parses a TOML value; text that is no TOML value becomes a string.
 #[must_use]
 pub fn parse_value(text: &str) -> Value {
     let parsed = format!("v = {text}").parse::<Table>().ok().and_then(|mut t| t.remove("v"));
@@ -116,7 +118,7 @@
         let d = Difference::of(&[(1.0, 1.5), (2.0, 2.4), (3.0, 3.6)]).expect("three pairs");
         assert!((d.mean - 0.5).abs() < 1e-9 && (d.half - 4.303 * 0.1 / 3_f64.sqrt()).abs() < 1e-3, "{d:?}");
         assert!(d.clear());
-        assert!(!Difference::of(&[(1.0, 1.5)]).expect("a pair").clear(), "one pair proves nothing");
+        assert!(!Difference::of(&[(1.0, 1.5)]).expect("a pair").clear(), "one pair has an infinite interval");
         assert!(!Difference::of(&[(1.0, 2.0), (2.0, 1.0)]).expect("pairs").clear());
         assert_eq!(Difference::of(&[(f64::NAN, 1.0)]), None);
     }
--- a/lab/src/http.rs
+++ b/lab/src/http.rs
@@ -1,49 +1,50 @@
-//! HTTP/1.1 as far as the protocol page has it: a head, then a body of a stated length, or in chunks.
+//! The subset of HTTP/1.1 that the gateways' protocol uses: a head, then a body with `Content-Length` or in chunks.
 
 use crate::link::Connection;
 use std::io;
 
-/// The longest head that is read.
+/// Greatest length of a head.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// The longest body.
+/// Greatest length of a body.
 const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// One message.
+/// A request or a response.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Message {
-    /// The first line.
+    /// Start line.
     pub line: String,
-    /// Names in lower case.
+    /// Header fields, with names in lower case.
     headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
 
 impl Message {
+    /// Returns the first header field with the name, which must be in lower case.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
     }
 
-    /// The status of an answer; 0: it is none.
+    /// Returns the status of a response; 0 if there is none.
     #[must_use]
     pub fn status(&self) -> u16 {
         self.line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 
-    /// The method and path of a request.
+    /// Returns the method and path of a request.
     #[must_use]
     pub fn target(&self) -> (&str, &str) {
         let mut fields = self.line.split(' ');
         (fields.next().unwrap_or(""), fields.next().unwrap_or(""))
     }
 
-    /// Whether its sender ends the connection after it.
+    /// Whether its sender closes the connection after it.
     #[must_use]
     pub fn closes(&self) -> bool {
         self.header("connection").is_some_and(|v| v.eq_ignore_ascii_case("close"))
     }
 
-    /// The head alone, and how many bytes it took; `None`: it is not whole yet.
+    /// Parses the head alone and returns it with its length in bytes; `None` if it is incomplete.
     pub(crate) fn parse_head(bytes: &[u8]) -> Result<Option<(Self, usize)>, io::Error> {
         let Some(end) = bytes.windows(4).position(|w| w == b"\r\n\r\n") else {
             return if bytes.len() > MAX_HEAD_BYTES { Err(invalid_message()) } else { Ok(None) };
@@ -59,10 +60,11 @@
         Ok(Some((Self { line, headers, body: Vec::new() }, end + 4)))
     }
 
+    /// Parses a whole message and returns it with its length in bytes; `None` if it is incomplete.
     pub(crate) fn parse(bytes: &[u8]) -> Result<Option<(Self, usize)>, io::Error> {
         let Some((mut message, head)) = Self::parse_head(bytes)? else { return Ok(None) };
         if message.header("transfer-encoding").is_some_and(|v| v.eq_ignore_ascii_case("chunked")) {
-            let Some((body, used)) = chunks(&bytes[head..])? else { return Ok(None) };
+            let Some((body, used)) = parse_chunks(&bytes[head..])? else { return Ok(None) };
             message.body = body;
             return Ok(Some((message, head + used)));
         }
@@ -73,17 +75,17 @@
         if length > MAX_BODY_BYTES {
             return Err(invalid_message());
         }
-        let whole = head + length;
-        if bytes.len() < whole {
+        let total = head + length;
+        if bytes.len() < total {
             return Ok(None);
         }
-        message.body = bytes[head..whole].to_vec();
-        Ok(Some((message, whole)))
+        message.body = bytes[head..total].to_vec();
+        Ok(Some((message, total)))
     }
 }
 
-/// A body in chunks, and how many bytes it took; `None`: it is not whole yet.
-fn chunks(bytes: &[u8]) -> Result<Option<(Vec<u8>, usize)>, io::Error> {
+/// Parses a body in chunks and returns it with its encoded length in bytes; `None` if it is incomplete.
+fn parse_chunks(bytes: &[u8]) -> Result<Option<(Vec<u8>, usize)>, io::Error> {
     let (mut body, mut at) = (Vec::new(), 0);
     loop {
         let Some(line) = bytes[at..].windows(2).position(|w| w == b"\r\n") else {
@@ -107,7 +109,7 @@
     }
 }
 
-/// The beginning of a good answer in chunks: its head and one of them.
+/// Encodes the head of a successful response in chunks, and its first chunk.
 #[must_use]
 pub fn first_chunk(part: &[u8]) -> Vec<u8> {
     let mut bytes =
@@ -117,7 +119,7 @@
     bytes
 }
 
-/// The first half of a good answer of stated length.
+/// Encodes the head of a successful response with `Content-Length`, and the first half of its body.
 #[must_use]
 pub fn first_half(body: &str) -> Vec<u8> {
     let mut bytes = answer(200, "", body.as_bytes());
@@ -125,14 +127,15 @@
     bytes
 }
 
+/// Returns the error for a malformed message.
 pub(crate) fn invalid_message() -> io::Error {
     io::ErrorKind::InvalidData.into()
 }
 
-/// Reads one message; `None`: the connection ended between two.
+/// Reads one message; `None` if the connection ended before its first byte.
 ///
 /// # Errors
-/// It broke or ended within one, or what came is none.
+/// The connection failed or ended within the message, or the message is malformed.
 pub async fn read(conn: &mut Connection) -> io::Result<Option<Message>> {
     loop {
         if let Some((message, used)) = Message::parse(conn.buffer())? {
@@ -146,7 +149,7 @@
     }
 }
 
-/// An answer's bytes.
+/// Encodes a response; `headers` are complete lines.
 #[must_use]
 pub fn answer(status: u16, headers: &str, body: &[u8]) -> Vec<u8> {
     let mut bytes =
@@ -160,16 +163,16 @@
     use super::*;
 
     #[test]
-    fn a_message_is_read_once_it_is_whole() {
+    fn a_message_is_parsed_once_it_is_complete() {
         let bytes = answer(200, "X-A: b\r\n", b"body");
         for cut in 0..bytes.len() {
-            assert!(Message::parse(&bytes[..cut]).is_ok_and(|m| m.is_none()), "{cut} bytes are not whole");
+            assert!(Message::parse(&bytes[..cut]).is_ok_and(|m| m.is_none()), "{cut} bytes are incomplete");
         }
         let (message, used) = Message::parse(&bytes).expect("readable").expect("whole");
         assert_eq!((message.status(), message.header("x-a"), used), (200, Some("b"), bytes.len()));
         assert_eq!(message.body, b"body");
         let mut bytes = first_chunk(b"bo");
-        assert!(Message::parse(&bytes).is_ok_and(|m| m.is_none()), "no end yet");
+        assert!(Message::parse(&bytes).is_ok_and(|m| m.is_none()), "the last chunk is missing");
         bytes.extend_from_slice(b"2\r\ndy\r\n0\r\n\r\nHTTP");
         let (message, used) = Message::parse(&bytes).expect("readable").expect("whole");
         assert_eq!((message.body.as_slice(), &bytes[used..]), (b"body".as_slice(), b"HTTP".as_slice()));
--- a/lab/src/micros.rs
+++ b/lab/src/micros.rs
@@ -1,4 +1,4 @@
-//! Time in a recording.
+//! Unit of time in a recording.
 
-/// Microseconds since the load began; what happened before has 0.
+/// Microseconds since the load began; 0 for earlier events.
 pub type Micros = u64;
--- a/lab/src/record.rs
+++ b/lab/src/record.rs
@@ -1,4 +1,5 @@
-//! What the stand-ins saw, as one list that can be kept, read again and judged.
+//! Recording of a run: the list of events that the simulated clients, workers and services observed, which can be saved,
+//! loaded and evaluated.
 
 pub use crate::micros::Micros;
 
@@ -11,49 +12,51 @@
     time::Instant,
 };
 
-/// What became of a client's try.
+/// Outcome of a client's try.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// 200; `genuine`: with what a worker made for this request.
+    /// Status 200; `genuine` if the body is the one that a worker produced for this request.
     Served { genuine: bool },
-    /// 429 or 503, with the time to come back in seconds.
+    /// Status 429 or 503, with the `Retry-After` time in seconds.
     Refused { after: f64 },
     /// Any other status.
     Failed { status: u16 },
-    /// The gateway ended the connection without a whole answer.
+    /// The gateway closed the connection without any part of a successful answer.
     Broken,
-    /// The same, after the beginning of one: its client can tell that it is not whole.
+    /// The gateway closed the connection within a successful answer; the client detects the truncation.
     CutOff,
-    /// The client left.
+    /// The client disconnected.
     Left,
-    /// No answer, long after its time.
+    /// No answer until the client's time-out, which is later than the try's time limit.
     Never,
-    /// The front had nobody to send it to, or nobody took the connection: no gateway had it.
+    /// No gateway received it: none was available, or the connection failed.
     Nobody,
 }
 
-/// How a worker's part in an attempt ended.
+/// How an attempt ended at its worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Ending {
     Served,
     Error,
-    /// Never run.
+    /// Rejected by the worker without being executed.
     TurnedAway,
-    /// The gateway ended the connection: before it began, or under way.
+    /// The gateway closed the connection; `begun` if execution had started.
     Cancelled {
         begun: bool,
     },
-    /// The worker died with it.
+    /// The worker died before the answer.
     Died,
-    /// Taken and never answered.
+    /// Accepted and never answered.
     Silent,
-    /// It stopped, or broke off, in the middle of its answer.
+    /// The answer stalled or was truncated half way.
     HalfWay,
 }
 
+/// An observed event.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Event {
-    /// A client's try went out: `first` is its first try's number.
+    /// A client sent a try with the number `txn`: `first` is the number of the request's first try, `again` counts the
+    /// tries before it, and `remaining` is its time limit in seconds.
     Try {
         txn: u64,
         first: u64,
@@ -64,146 +67,113 @@
         class: usize,
         remaining: f64,
     },
-    Answer {
-        txn: u64,
-        outcome: Outcome,
-    },
-    /// An attempt's last byte reached a worker; `intact`: it is what the client sent.
+    /// A try ended at its client.
+    Answer { txn: u64, outcome: Outcome },
+    /// The last byte of an attempt reached a worker; `intact` if it is what the client sent.
     Attempt {
         txn: u64,
         gate: usize,
         worker: usize,
         intact: bool,
-        /// How long the link held it up: it left its gateway so much earlier. Recordings of earlier builds have none.
+        /// Delay on the link, by which it left its gateway earlier. 0 in recordings of earlier builds, which lack it.
         #[serde(default)]
         link_delay: Micros,
     },
-    /// Its end there, after so many seconds in the queue and at work.
-    Ended {
-        txn: u64,
-        worker: usize,
-        how: Ending,
-        queued: f64,
-        worked: f64,
-    },
+    /// An attempt ended at its worker, after `queued` seconds in the queue and `worked` seconds on a core.
+    Ended { txn: u64, worker: usize, how: Ending, queued: f64, worked: f64 },
     /// A request that no client sent reached a worker.
-    Stranger {
-        gate: usize,
-        worker: usize,
-    },
-    Probe {
-        gate: usize,
-        worker: usize,
-    },
-    /// A connection came up at a worker.
-    Handshake {
-        gate: usize,
-        worker: usize,
-    },
-    Worker {
-        worker: usize,
-        state: WorkerState,
-    },
-    /// A gateway was told that a worker is draining or gone (`wanted`: false), or to be used.
-    Told {
-        gate: usize,
-        worker: usize,
-        wanted: bool,
-    },
-    Gate {
-        gate: usize,
-        state: GateState,
-    },
-    /// A call of the counter: `None`: not added.
-    Call {
-        gate: usize,
-        name: String,
-        amount: f64,
-        total: Option<f64>,
-    },
+    Stranger { gate: usize, worker: usize },
+    /// A health check reached a worker.
+    Probe { gate: usize, worker: usize },
+    /// A worker accepted a connection.
+    Handshake { gate: usize, worker: usize },
+    /// A worker started or ended.
+    Worker { worker: usize, state: WorkerState },
+    /// Discovery reported to a gateway that a worker is serving (`wanted`), or that it is draining or removed.
+    Told { gate: usize, worker: usize, wanted: bool },
+    /// The state of a gateway's process changed.
+    Gate { gate: usize, state: GateState },
+    /// A call of the shared counter, with the total after the addition; `None` if it was answered `busy`.
+    Call { gate: usize, name: String, amount: f64, total: Option<f64> },
     /// A fault began or ended.
-    Fault {
-        index: usize,
-        on: bool,
-        gates: Vec<usize>,
-        workers: Vec<usize>,
-    },
-    /// What a gateway says about a request of its own.
-    Reason {
-        gate: usize,
-        txn: u64,
-        what: String,
-        why: String,
-    },
+    Fault { index: usize, on: bool, gates: Vec<usize>, workers: Vec<usize> },
+    /// A gateway logged the decision `what` on a request, with the cause `why`.
+    Reason { gate: usize, txn: u64, what: String, why: String },
 }
 
+/// State of a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum WorkerState {
-    /// Took up work, cold.
+    /// It started and is warming up.
     Started,
+    /// It was ended by a fault.
     Died,
-    /// Was sent too much while it was cold.
+    /// It crashed by overload during its warm-up.
     Fell,
 }
 
+/// State of a gateway's process.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum GateState {
-    /// Answered `/up`.
+    /// It answered `/up`.
     Ready,
-    /// Killed by the lab.
+    /// The lab killed it.
     Killed,
-    /// Got SIGTERM.
+    /// The lab sent SIGTERM.
     Terminated,
+    /// The lab stopped it with SIGSTOP.
     Paused,
+    /// The lab continued it with SIGCONT.
     Continued,
-    /// Ended: as the lab wanted, or not.
-    Exited {
-        wanted: bool,
-        status: String,
-    },
+    /// It exited; `wanted` if the lab caused that.
+    Exited { wanted: bool, status: String },
 }
 
-/// One event and when it was.
+/// One event and its time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Seen {
     pub at: Micros,
     pub event: Event,
 }
 
-/// What a play was.
+/// Inputs of a run.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Header {
-    /// The form of what follows.
+    /// Version of the recording's format.
     pub form: u32,
     pub scenario: Scenario,
     pub seed: u64,
+    /// Path of the gateway's executable, or the policy of a modelled run.
     pub build: String,
-    /// Zones of the gateways and of the workers, and the workers' speeds.
+    /// By gateway, the index of its zone.
     pub gate_zones: Vec<usize>,
+    /// By worker, the index of its zone.
     pub worker_zones: Vec<usize>,
+    /// By worker, the speed of its cores relative to a nominal core.
     pub speeds: Vec<f64>,
-    /// First tries planned a second, and the mean work of one in milliseconds.
+    /// First tries per second at the base load.
     pub rate: f64,
+    /// Mean work of a request on a nominal core, in milliseconds.
     pub work_ms: f64,
 }
 
-/// The lab's own lateness, and what the gateways used.
+/// Measurements of the lab itself and of the gateways' resource usage.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Meter {
-    /// How late requests went out, in milliseconds: median, 99th percentile and most.
+    /// Delay of first tries after their planned times, in milliseconds: median, 99th percentile and maximum.
     pub late_ms: [f64; 3],
-    /// Seconds of processor time of all gateways together.
+    /// Processor time of all gateways together, in seconds.
     pub cpu_s: f64,
-    /// The most resident memory that a gateway had, in MB.
+    /// Greatest resident memory of any gateway, in MB.
     pub rss_mb: f64,
-    /// Why the play counts for nothing, if so.
+    /// Reason why the run is invalid, if it is.
     pub void: Option<String>,
-    /// How long processes waited for processors. Recordings of earlier builds have none.
+    /// Time that processes waited for processors. Empty in recordings of earlier builds, which lack it.
     #[serde(default)]
     pub run_delays: RunDelays,
 }
 
-/// A whole play.
+/// Recording of a complete run.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Recording {
     pub header: Header,
@@ -211,14 +181,14 @@
     pub seen: Vec<Seen>,
 }
 
-/// The form of a recording that this build writes and reads.
+/// Version of the recording format that this build writes and reads.
 pub const FORMAT_VERSION: u32 = 1;
 
 impl Recording {
-    /// Writes it as lines of JSON.
+    /// Writes the recording as lines of JSON: header, measurements, then one event per line.
     ///
     /// # Errors
-    /// Those of the file system.
+    /// The file can't be written.
     pub fn save(&self, path: &Path) -> io::Result<()> {
         let mut file = io::BufWriter::new(std::fs::File::create(path)?);
         let mut line = |value: String| writeln!(file, "{value}");
@@ -230,16 +200,17 @@
         file.flush()
     }
 
-    /// Reads what [`Recording::save`] wrote.
+    /// Reads a recording written by [`Recording::save`].
     ///
     /// # Errors
-    /// Those of the file system, and `InvalidData` with the line that can't be read.
+    /// The file can't be read; `InvalidData` with the line number if a line can't be parsed.
     pub fn load(path: &Path) -> io::Result<Self> {
         let file = io::BufReader::new(std::fs::File::open(path)?);
         let mut lines = file.lines().enumerate();
         let header: Header = read(lines.next())?;
         if header.form != FORMAT_VERSION {
-            let why = format!("its form is {}, this build reads {FORMAT_VERSION}", header.form);
+            let why =
+                format!("recording has format version {}, this build reads {FORMAT_VERSION}", header.form);
             return Err(io::Error::new(io::ErrorKind::InvalidData, why));
         }
         let meter = read(lines.next())?;
@@ -248,15 +219,17 @@
     }
 }
 
-/// Reads one line of a recording.
+/// Parses one line of a recording.
 fn read<T: for<'a> Deserialize<'a>>(line: Option<(usize, io::Result<String>)>) -> io::Result<T> {
     let bad = |why: String| io::Error::new(io::ErrorKind::InvalidData, why);
-    let (number, line) = line.ok_or_else(|| bad("it ends too soon".into()))?;
+    let (number, line) =
+        line.ok_or_else(|| bad("recording is truncated: header or measurements are missing".into()))?;
     serde_json::from_str(&line?).map_err(|e| bad(format!("line {}: {e}", number + 1)))
 }
 
-/// Where stand-ins write down what they see.
+/// Collects the events of a run while it is in progress.
 pub struct Log {
+    /// Time at which the load began, once it has.
     start: OnceLock<Instant>,
     seen: Mutex<Vec<Seen>>,
 }
@@ -268,7 +241,7 @@
 }
 
 impl Log {
-    /// Begins; the load has not started yet.
+    /// Returns an empty log of a run whose load has not begun.
     #[must_use]
     pub fn new() -> Self {
         Self { start: OnceLock::new(), seen: Mutex::default() }
@@ -278,22 +251,25 @@
         self.seen.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Returns the time since the load began; 0 before.
     pub fn now(&self) -> Micros {
         self.start.get().map_or(0, |start| start.elapsed().as_micros() as u64)
     }
 
-    /// The load starts now, or did before.
+    /// Marks the begin of the load, unless that was done before, and returns its time.
     pub fn start(&self) -> Instant {
         *self.start.get_or_init(Instant::now)
     }
 
+    /// Adds an event at the present time.
     pub fn record(&self, event: Event) {
         let mut seen = self.seen();
-        // Within the lock, so that the list is in order.
+        // Reads the clock under the lock, so that the list is in order of time.
         let at = self.now();
         seen.push(Seen { at, event });
     }
 
+    /// Removes and returns all events.
     pub fn take(&self) -> Vec<Seen> {
         std::mem::take(&mut *self.seen())
     }
--- a/lab/src/run_delay.rs
+++ b/lab/src/run_delay.rs
@@ -1,24 +1,24 @@
-//! How long processes were ready to run and had to wait for a processor, as the kernel counts it.
+//! Run delay: the time that threads were ready to run but waited for a processor, as counted by the kernel.
 //!
-//! Rules on time hold gateways to time limits. On a crowded machine a process that does everything right is late all the
-//! same, by as long as it waited for a processor; the judge allows for just that, as measured.
+//! On an overloaded test machine even a correct gateway exceeds its time limits by the time that it waited for a
+//! processor. The judge allows for exactly the measured delay.
 
 use crate::micros::Micros;
 use serde::{Deserialize, Serialize};
 
-/// Delays of the processes of a play. Empty where none were measured.
+/// Run delays of the processes in a run. Empty if none were measured.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct RunDelays {
     /// One series for each gateway, summed over its threads and its restarts.
     pub gates: Vec<DelaySeries>,
-    /// The lab's own process: the thread that waited longest, sample by sample.
+    /// Delay of the lab's own process: in each sample, that of the thread that waited longest.
     pub lab: DelaySeries,
-    /// Time that the host took from the processor from which it took most, sample by sample.
+    /// Time stolen by the hypervisor: in each sample, from the processor that lost the most.
     pub steal: DelaySeries,
 }
 
 impl RunDelays {
-    /// Seconds by which waiting for processors may have delayed what a gateway did in a span of the play.
+    /// Returns the seconds by which waiting for processors may have delayed a gateway in a span of the run.
     #[must_use]
     pub fn between(&self, gate: usize, from_s: f64, until_s: f64) -> f64 {
         let own = self.gates.get(gate).map_or(0.0, |series| series.between(from_s, until_s));
@@ -26,21 +26,22 @@
     }
 }
 
-/// A delay that grows over time.
+/// Cumulative delay over time.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct DelaySeries(Vec<DelaySample>);
 
-/// The delay up to a time.
+/// Cumulative delay at one time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 struct DelaySample {
-    /// When it was read.
+    /// Time of the measurement.
     at: Micros,
-    /// All delay up to then.
+    /// Sum of all delays until then.
     total: Micros,
 }
 
 impl DelaySeries {
-    /// Adds what was read at a time. A span without any delay takes two samples, however long it is.
+    /// Adds the delay measured since the last sample. A span without any delay is stored as two samples, whatever its
+    /// length.
     pub fn add(&mut self, at: Micros, delay: Micros) {
         let total = self.0.last().map_or(0, |last| last.total) + delay;
         let sample = DelaySample { at, total };
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Seconds of delay in a span: from the last sample before it to the first one after it.
+    /// Returns the seconds of delay between the last sample before a span and the first one after it.
     #[must_use]
     pub fn between(&self, from_s: f64, until_s: f64) -> f64 {
         let micros = |seconds: f64| (seconds.max(0.0) * 1e6) as Micros;
--- a/lab/src/run_delay/tests.rs
+++ b/lab/src/run_delay/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Samples of a gateway each 20 ms that waited 30 ms between 1.00 and 1.02 s.
+/// Samples every 20 ms of a gateway that waited 30 ms between 1.00 and 1.02 s.
 fn delayed_once() -> DelaySeries {
     let mut series = DelaySeries::default();
     for number in 0..100 {
@@ -12,7 +12,7 @@
 
 #[expect(clippy::float_cmp, reason = "sums of whole microseconds come back exactly")]
 #[test]
-fn a_delay_counts_in_the_spans_that_it_lies_in_and_in_no_other() {
+fn a_delay_counts_only_in_spans_that_overlap_its_sample() {
     let series = delayed_once();
     assert_eq!(series.between(0.9, 1.1), 0.03);
     assert_eq!(series.between(1.005, 1.015), 0.03);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_span_without_delay_takes_two_samples() {
+fn a_span_without_delay_is_stored_as_two_samples() {
     assert_eq!(delayed_once().0.len(), 4);
 }
 
--- a/lab/src/world/counter.rs
+++ b/lab/src/world/counter.rs
@@ -1,4 +1,5 @@
-//! The counter: named totals in parts, each a line with so many calls a second.
+//! Simulated shared counter: named totals, distributed over shards that each serve a limited number of calls per
+//! second in order.
 
 use crate::{
     link::{Connection, FlowDirection},
@@ -17,20 +18,25 @@
     time::{Instant, sleep_until},
 };
 
-/// Connections that it holds of one gateway.
+/// Greatest number of open connections per gateway.
 const MAX_CONNECTIONS_OF_GATEWAY: usize = 32;
-/// The longest line it reads.
+/// Greatest length of a call.
 const MAX_LINE_BYTES: usize = 256;
-/// The longest life of a name.
+/// Greatest time until a total expires.
 const MAX_EXPIRY_MS: u64 = 60_000;
-/// Names it holds; dead ones are swept when there are more.
+/// Number of names above which expired ones are removed.
 const SWEEP_FROM: usize = 10_000;
 
+/// Effects of the present faults on the counter.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Disturbance {
+    /// Factor on the service time of calls.
     pub slower: f64,
+    /// Share of the calls answered `busy`.
     pub busy: f64,
+    /// Share of the calls lost before the addition.
     pub lose_calls: f64,
+    /// Share of the answers lost after the addition.
     pub lose_answers: f64,
 }
 
@@ -40,30 +46,36 @@
     }
 }
 
+/// A total and its expiry.
 struct Count {
     total: f64,
     expires_at: Instant,
 }
 
+/// The counter that all gateways share.
 pub struct Counter {
     plan: Arc<Plan>,
     log: Arc<Log>,
     counts: Mutex<HashMap<String, Count>>,
-    /// By part, when its line is empty again.
+    /// By shard, the time at which its queue will be empty.
     free_at: Mutex<Vec<Instant>>,
+    /// Open connections by gateway.
     open_connections: Mutex<Vec<usize>>,
     pub disturbance: Mutex<Disturbance>,
+    /// Whether it accepts connections.
     pub up: watch::Sender<bool>,
     rng: Mutex<ChaCha8Rng>,
 }
 
-/// A call that waits for its turn.
+/// A call in the queue of a shard.
 struct ScheduledCall {
+    /// Time at which it is executed.
     at: Instant,
-    /// `None`: it has its answer already.
+    /// Name, amount and time to live in milliseconds of the addition; `None` if there is nothing to add.
     call: Option<(String, f64, u64)>,
+    /// Answer of a call that adds nothing.
     answer: Option<String>,
-    /// The answer never goes out.
+    /// Whether the answer is dropped.
     lost: bool,
 }
 
@@ -83,15 +95,17 @@
         })
     }
 
-    /// Forgets all counts.
+    /// Removes all totals.
     pub fn empty(&self) {
         self.counts.lock().unwrap_or_else(PoisonError::into_inner).clear();
     }
 
+    /// Draws a number from 0 to 1.
     fn draw(&self) -> f64 {
         self.rng.lock().unwrap_or_else(PoisonError::into_inner).random()
     }
 
+    /// Adds to a total, which starts at 0 if it is new or expired, and returns it.
     fn add(&self, name: &str, amount: f64, life_ms: u64) -> f64 {
         let mut counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
@@ -107,8 +121,8 @@
         count.total
     }
 
-    /// What a line asks for, and when it has its turn.
-    fn turn(&self, line: &str) -> ScheduledCall {
+    /// Parses a call and schedules it on its shard.
+    fn schedule(&self, line: &str) -> ScheduledCall {
         let now = Instant::now();
         let answered = |answer: &str| ScheduledCall {
             at: now,
@@ -132,19 +146,20 @@
         let mut free_at = self.free_at.lock().unwrap_or_else(PoisonError::into_inner);
         let shard = name.bytes().fold(0, |n, b| mix(n ^ u64::from(b))) as usize % free_at.len();
         let free = free_at[shard].max(now);
-        let full = free - now > Duration::from_secs_f64(spec.line_ms / 1e3);
-        if full || self.draw() < disturbance.busy {
+        let is_full = free - now > Duration::from_secs_f64(spec.line_ms / 1e3);
+        if is_full || self.draw() < disturbance.busy {
             return answered("busy");
         }
-        let turn = free + Duration::from_secs_f64(disturbance.slower * spec.parts as f64 / spec.calls_per_s);
-        free_at[shard] = turn;
+        let served_at =
+            free + Duration::from_secs_f64(disturbance.slower * spec.parts as f64 / spec.calls_per_s);
+        free_at[shard] = served_at;
         let lost_before = self.draw() < disturbance.lose_calls;
         let lost = lost_before || self.draw() < disturbance.lose_answers;
         let call = (!lost_before).then(|| (name.to_owned(), amount, expiry_ms));
-        ScheduledCall { at: turn + Duration::from_secs_f64(spec.ms / 1e3), call, answer: None, lost }
+        ScheduledCall { at: served_at + Duration::from_secs_f64(spec.ms / 1e3), call, answer: None, lost }
     }
 
-    /// Serves one connection of a gateway to its end.
+    /// Serves one connection of a gateway until it ends.
     pub async fn serve(self: Arc<Self>, gate: usize, mut conn: Connection) {
         let open_on_gateway = {
             let mut open_connections = self.open_connections.lock().unwrap_or_else(PoisonError::into_inner);
@@ -163,15 +178,17 @@
         self.open_connections.lock().unwrap_or_else(PoisonError::into_inner)[gate] -= 1;
     }
 
+    /// Reads calls, executes them in order, and writes the answers in the same order.
     async fn exchange(&self, gate: usize, conn: &mut Connection) {
-        // Calls under way to the counter, and answers on their way back, each in order.
+        // Calls in transit on the link, calls that wait for their shard, and answers in transit, each in order. The time
+        // of an entry in transit is `None` while the link is partitioned.
         let (mut incoming, mut scheduled, mut outgoing) =
             (VecDeque::new(), VecDeque::<ScheduledCall>::new(), VecDeque::new());
         loop {
             while let Some(end) = conn.buffer().iter().position(|b| *b == b'\n') {
                 let bytes: Vec<u8> = conn.buffer().drain(..=end).collect();
                 let line = String::from_utf8_lossy(&bytes).trim_end().to_owned();
-                // Over a cut link it waits, and what follows with it.
+                // On a partitioned link the call is delayed, and all later ones with it.
                 let at = conn.link.arrival(FlowDirection::Out, bytes.len());
                 incoming.push_back((at, line));
             }
@@ -186,7 +203,7 @@
             }
             let link = conn.link.clone();
             let poll = async {
-                // Looked at again when it may have healed: a change of the link wakes nobody here.
+                // Polls for the end of a partition, as changes of the link are not signalled here.
                 tokio::time::sleep(Duration::from_millis(20)).await;
             };
             let next = |at: Option<Option<Instant>>| async move {
@@ -201,12 +218,12 @@
                 n = conn.fill() => if !matches!(n, Ok(1..)) { return },
                 () = next(incoming.front().map(|(at, _)| *at)) => {
                     let arrived = incoming.pop_front().map(|(_, text): (Option<Instant>, String)| text);
-                    scheduled.push_back(self.turn(&arrived.unwrap_or_default()));
+                    scheduled.push_back(self.schedule(&arrived.unwrap_or_default()));
                 }
                 () = next(scheduled.front().map(|t| Some(t.at))) => {
-                    let Some(turn) = scheduled.pop_front() else { continue };
-                    let Some(response) = self.take(gate, turn) else {
-                        // Answers come in order: with one lost, none after it could be told from another.
+                    let Some(call) = scheduled.pop_front() else { continue };
+                    let Some(response) = self.execute(gate, call) else {
+                        // Answers are matched to calls by their order, so a lost answer makes the connection unusable.
                         return conn.reset();
                     };
                     outgoing.push_back((link.arrival(FlowDirection::In, response.len()), response));
@@ -222,9 +239,9 @@
         }
     }
 
-    /// A call has had its turn; its answer, if that goes out.
-    fn take(&self, gate: usize, turn: ScheduledCall) -> Option<String> {
-        let ScheduledCall { call, answer, lost, .. } = turn;
+    /// Executes a call and returns its answer, or `None` if the answer is lost.
+    fn execute(&self, gate: usize, scheduled: ScheduledCall) -> Option<String> {
+        let ScheduledCall { call, answer, lost, .. } = scheduled;
         let response = match (call, answer) {
             (Some((name, amount, expiry_ms)), _) => {
                 let total = self.add(&name, amount, expiry_ms);
--- a/lab/src/world/discovery.rs
+++ b/lab/src/world/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: one list of workers, which an agent beside each gateway comes to know a little later.
+//! Simulated discovery: one list of workers, whose changes reach the agent beside each gateway with a delay.
 
 use crate::{
     http,
@@ -23,38 +23,44 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Entry {
     pub worker: usize,
+    /// State in the protocol: `SERVING`, `DRAINING` or `DELETED`.
     pub state: &'static str,
+    /// Time of its latest start in milliseconds since the Unix epoch; 0: before the run.
     pub started_ms: u64,
-    /// The version that it came with.
+    /// Version of the list in which it last changed.
     version: u64,
 }
 
-/// What an agent knows.
+/// The list as an agent knows it.
 #[derive(Debug, Clone, Default)]
 struct Known {
     version: u64,
     entries: Vec<Entry>,
 }
 
+/// Effects of the present faults on discovery.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Disturbance {
+    /// Agents do not answer.
     pub down: bool,
+    /// Agents answer with status 503.
     pub overbooked: bool,
+    /// Additional delay of updates, in seconds.
     pub later: f64,
 }
 
-/// The agent of one gateway.
+/// The discovery agent of one gateway.
 pub struct Agent {
     gate: usize,
-    /// Where this gateway reaches each worker.
+    /// By worker, the address at which this gateway reaches it.
     pub addrs: Vec<SocketAddr>,
     known: watch::Sender<Known>,
     rng: Mutex<ChaCha8Rng>,
-    /// News come in their order.
+    /// Time at which the latest update arrives; no later update arrives before it.
     last: Mutex<Option<Instant>>,
 }
 
-/// All agents.
+/// The list of workers and all agents.
 pub struct Discovery {
     plan: Arc<Plan>,
     log: Arc<Log>,
@@ -63,14 +69,14 @@
     pub disturbance: watch::Sender<Disturbance>,
 }
 
-/// The name of a worker, the same at every gateway.
+/// Returns the name of a worker, which is the same at every gateway.
 #[must_use]
 pub fn name(worker: usize) -> String {
     format!("w-{worker}")
 }
 
 impl Discovery {
-    /// `addrs`: by gateway, where it reaches each worker.
+    /// Lists all workers as serving. `addrs` holds, by gateway and worker, the address at which it reaches the worker.
     pub fn new(plan: Arc<Plan>, log: Arc<Log>, addrs: Vec<Vec<SocketAddr>>) -> Arc<Self> {
         let workers = plan.scenario.world.workers;
         let entry = |worker| Entry { worker, state: "SERVING", started_ms: 0, version: 1 };
@@ -95,12 +101,12 @@
         })
     }
 
-    /// Seconds after which a worker that fell is back.
+    /// Returns the seconds after which a worker that crashed by overload starts again.
     pub fn back_s(&self) -> f64 {
         self.plan.scenario.world.back_s
     }
 
-    /// Tells all agents of a change, each in its time.
+    /// Publishes a change, which reaches each agent after a random delay.
     pub fn publish(self: &Arc<Self>, worker: usize, state: &'static str, started_ms: u64) {
         let version = {
             let mut version = self.version.lock().unwrap_or_else(PoisonError::into_inner);
@@ -120,7 +126,7 @@
             tokio::spawn(async move {
                 sleep_until(at).await;
                 agent.known.send_modify(|known| {
-                    // Two that are due at one moment may come in either order.
+                    // Updates due at the same moment may be applied in either order.
                     if known.entries.iter().any(|e| e.worker == entry.worker && e.version > entry.version) {
                         return;
                     }
@@ -132,12 +138,13 @@
         }
     }
 
-    /// The list as the agent of `gate` has it, for a gateway's start.
+    /// Returns the complete list as the agent of `gate` knows it, for the gateway's configuration.
     pub fn known(&self, gate: usize) -> Value {
         let known = self.agents[gate].known.borrow();
         self.list(&self.agents[gate], &known, None)
     }
 
+    /// Encodes the changes after version `from`, or the complete list if it is `None`.
     fn list(&self, agent: &Agent, known: &Known, from: Option<u64>) -> Value {
         let zones = &self.plan.scenario.world.zones;
         let wanted = |e: &&Entry| match from {
@@ -155,7 +162,7 @@
         json!({"version": known.version, "full": from.is_none(), "servers": servers})
     }
 
-    /// Serves one connection of a gateway to its end.
+    /// Serves one connection of a gateway until it ends.
     pub async fn serve(self: Arc<Self>, gate: usize, mut conn: Connection) {
         let agent = self.agents[gate].clone();
         loop {
@@ -171,6 +178,7 @@
         }
     }
 
+    /// Answers a call, which may be a long poll for changes after a version.
     async fn answer(&self, agent: &Agent, message: &http::Message) -> Vec<u8> {
         let (_, path) = message.target();
         let number = |key: &str| {
@@ -181,7 +189,7 @@
             (number("from="), Duration::from_millis(number("hold_ms=").unwrap_or(0).min(60_000)));
         let disturbance = *self.disturbance.borrow();
         if disturbance.down {
-            // Silent until it is back; the caller has long gone then.
+            // Does not answer until the fault ends; the caller will have timed out by then.
             let mut changes = self.disturbance.subscribe();
             let _ = changes.wait_for(|t| !t.down).await;
         }
@@ -191,7 +199,7 @@
         let mut updates = agent.known.subscribe();
         if let Some(from) = from {
             let newer = updates.wait_for(|k| k.version > from);
-            // No news by then is an answer, too.
+            // If nothing changes in time, the answer is an empty list of changes.
             let _ = tokio::time::timeout(hold, newer).await;
         }
         let known = agent.known.borrow().clone();
@@ -200,7 +208,7 @@
         http::answer(200, "", list.to_string().as_bytes())
     }
 
-    /// Writes down what the gateway has been told.
+    /// Records the changes of workers that an answer reports to the gateway.
     fn log_published(&self, agent: &Agent, known: &Known, from: Option<u64>) {
         for entry in known.entries.iter().filter(|e| e.version > from.unwrap_or(0) && e.version > 1) {
             let wanted = entry.state == "SERVING";
--- a/lab/src/world/faults.rs
+++ b/lab/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! Carries out a scenario's faults, each at its time, and takes them back.
+//! Injects a scenario's faults at their times, and ends them.
 
 use super::{
     World, discovery,
@@ -21,17 +21,17 @@
     time::{Instant, sleep, sleep_until},
 };
 
-/// A worker that is replaced is listed as draining so long, and turns requests away from halfway on.
+/// Time for which a worker that is replaced is listed as draining; it rejects requests in the second half.
 const DRAIN: Duration = Duration::from_secs(4);
-/// The address that an agent moves from takes calls so long after the move.
+/// Time after a discovery agent's move for which its old address still accepts calls.
 const OLD_AGENT_GRACE: Duration = Duration::from_millis(500);
-/// What was written so long before the kill is what a disk that loses writes has kept.
+/// Span before a kill whose writes are lost on a disk with stale contents.
 const LOST_WRITE_WINDOW: Duration = Duration::from_millis(1500);
 
-/// Milliseconds of a second, the unit of times in scenarios whose keys say so.
+/// For converting scenario keys in milliseconds.
 const MILLISECONDS_PER_SECOND: f64 = 1e3;
 
-/// Whom a fault strikes, by number.
+/// Indices of the gateways and workers that a fault affects.
 #[derive(Clone)]
 struct Targets {
     gates: Vec<usize>,
@@ -42,7 +42,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
 }
 
-/// Brings a worker that fell back, each time.
+/// Starts a worker again each time that it has crashed by overload, after the scenario's delay.
 pub async fn restart_after_overload(worker: Arc<Worker>, discovery: Arc<discovery::Discovery>) {
     loop {
         worker.fell.notified().await;
@@ -52,14 +52,15 @@
     }
 }
 
+/// Returns the indices selected by a fault's text.
 fn chosen(text: &str, plan: &Plan, zones: &[usize], rng: &mut ChaCha8Rng) -> Vec<usize> {
-    // The file has been checked.
+    // Parsing can't fail, as the scenario has been validated.
     let pick = Selection::parse(text, &plan.scenario.world.zones).unwrap_or(Selection::Range(0, 0));
     pick.of(zones, |n| rng.random_range(0..n))
 }
 
 impl World {
-    /// Starts the tasks of all faults, each of which begins at its time after `start`.
+    /// Spawns a task for each fault, which begins at its time after `start`.
     pub fn inject_all(self: Arc<Self>, start: Instant) -> JoinSet<()> {
         let mut tasks = JoinSet::new();
         for (index, fault) in self.plan.scenario.faults.iter().cloned().enumerate() {
@@ -69,7 +70,7 @@
         tasks
     }
 
-    /// Carries out one fault from its time to its end.
+    /// Injects one fault at its time, and ends it.
     async fn inject(self: Arc<Self>, index: usize, fault: Fault, start: Instant) {
         let mut rng = self.plan.rng(&format!("fault {index}"));
         let targets = Targets {
@@ -93,6 +94,7 @@
         self.log.record(Event::Fault { index, on, gates, workers });
     }
 
+    /// Begins a fault, waits for its end and reverts its effects.
     async fn carry_out(
         &self,
         index: usize,
@@ -141,7 +143,7 @@
         }
     }
 
-    /// Stops the processes of gateways for a while.
+    /// Stops the processes of gateways with SIGSTOP, and continues them at `until`.
     async fn pause(&self, gates: &[usize], until: Option<Instant>) {
         for gate in gates {
             self.gates[*gate].pause();
@@ -154,12 +156,12 @@
 
     fn reload(&self, gates: &[usize]) {
         for gate in gates {
-            // A disk of the lab's own that fails shows as a gateway that keeps what it has.
+            // If the lab can't write the file, the gateway keeps its present configuration.
             let _ = self.gates[*gate].reload();
         }
     }
 
-    /// Has a share of the clients that wait at gateways leave.
+    /// Makes a share of the clients that wait at the gateways disconnect.
     fn disconnect_clients(&self, fault: &Fault, gates: &[usize]) {
         for gate in gates {
             self.gates[*gate].leave.send_modify(|leave| *leave = (leave.0 + 1, fault.share));
@@ -211,12 +213,12 @@
         set(false);
     }
 
-    /// Moves the agents of `gates` to their second address, or back.
+    /// Moves the discovery agents of `gates` to their second address, or back to the first.
     async fn move_agents(&self, gates: &[usize], second: bool) {
         let (to, from) = (usize::from(second), usize::from(!second));
         for gate in gates {
             self.agents[*gate][to].send_replace(true);
-            // A disk of the lab's own that fails shows as a gateway that hears nothing any more.
+            // If the lab can't write the file, the gateway loses its agent and gets no more updates.
             let _ = self.gates[*gate].move_agent(second);
         }
         sleep(OLD_AGENT_GRACE).await;
@@ -242,26 +244,26 @@
         };
         let link_fault = LinkFault {
             kind: fault.what,
-            // Between gateways each direction is a link, and the fault is on all of it.
+            // Between gateways each direction is a link of its own, so the fault affects the selected links entirely.
             direction: if matches!(peers, Peers::Gates(_)) { Direction::Both } else { fault.way },
             delay: Duration::from_secs_f64(fault.ms / MILLISECONDS_PER_SECOND),
             jitter: Duration::from_secs_f64(fault.jitter_ms / MILLISECONDS_PER_SECOND),
             share: fault.share,
             bytes_per_s: fault.bytes_per_s,
         };
-        let every = |on: bool| {
+        let set = |on: bool| {
             for link in gates.iter().flat_map(|g| self.links.of(*g, &peers, &workers, fault.way)) {
                 if on { link.begin_fault(index, link_fault) } else { link.end_fault(index) }
             }
         };
-        every(true);
+        set(true);
         if !matches!(fault.what, FaultKind::Reset | FaultKind::HalfOpen) {
             wait(until).await;
-            every(false);
+            set(false);
         }
     }
 
-    /// Kills gateways and brings them back, spread over `over_s`; some never.
+    /// Kills gateways and starts them again from `until` on, spread over `over_s`; a share of them never.
     async fn kill(&self, fault: &Fault, gates: &[usize], until: Option<Instant>, rng: &mut ChaCha8Rng) {
         let mut kills = JoinSet::new();
         for gate in gates {
@@ -279,7 +281,7 @@
     fn restart(&self, gate: usize) {
         let known = self.discovery.known(gate);
         if self.gates[gate].start(&known).is_err() {
-            // It was there at the start of the play; a gateway that is not back shows in what follows.
+            // The program could be started at the beginning of the run; the recording shows the missing gateway.
             self.log.record(Event::Gate {
                 gate,
                 state: GateState::Exited { wanted: false, status: "can't be started".into() },
@@ -287,7 +289,7 @@
         }
     }
 
-    /// Restarts gateways in steps.
+    /// Restarts gateways in groups, evenly over the fault's duration.
     async fn roll(&self, fault: &Fault, gates: &[usize]) {
         let size = ((gates.len() as f64 * fault.step).round() as usize).max(1);
         let steps = gates.len().div_ceil(size);
@@ -320,7 +322,7 @@
         }
     }
 
-    /// Drains workers, ends them, and starts them anew.
+    /// Drains workers, ends them, and starts them again.
     async fn replace(&self, fault: &Fault, workers: &[usize]) {
         for worker in workers {
             self.discovery.publish(*worker, "DRAINING", 0);
@@ -343,7 +345,7 @@
     }
 }
 
-/// Begins what a fault does to a worker, or takes it back.
+/// Applies the effect of a fault to a worker, or reverts it.
 fn disturb_worker(disturbance: &mut Disturbance, fault: &Fault, on: bool) {
     let share = if on { fault.share } else { 0.0 };
     match fault.what {
@@ -357,15 +359,16 @@
     }
 }
 
-/// Who of those struck comes back when, in that order: spread over `over_s` from `until` on, some never.
+/// Draws when the affected gateways or workers start again, spread over `over_s` from `until` on, and returns times and
+/// indices in order of time; each is left out with the probability `never`.
 fn restart_times(
     fault: &Fault,
-    struck: &[usize],
+    affected: &[usize],
     until: Instant,
     rng: &mut ChaCha8Rng,
 ) -> Vec<(Instant, usize)> {
     let mut back = Vec::new();
-    for one in struck {
+    for one in affected {
         let (never, later): (f64, f64) = (rng.random(), rng.random());
         if never >= fault.never {
             back.push((until + Duration::from_secs_f64(fault.over_s * later), *one));
@@ -375,7 +378,7 @@
     back
 }
 
-/// Waits until the fault's end; for good where it has none.
+/// Waits until the fault's end, or forever if it has none.
 async fn wait(until: Option<Instant>) {
     match until {
         Some(until) => sleep_until(until).await,
--- a/lab/src/world/front.rs
+++ b/lab/src/world/front.rs
@@ -1,4 +1,5 @@
-//! The front and its clients: an open loop, which slow answers do not slow down.
+//! Simulated clients and the load balancer between them and the gateways. The load is an open loop: slow answers do not
+//! delay later requests.
 
 use crate::{
     http,
@@ -26,19 +27,21 @@
     time::{Instant, sleep, sleep_until, timeout, timeout_at},
 };
 
-/// A connection to a gateway that is not up after so long has failed.
+/// Time-out for connections to a gateway.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// The least time in which a try makes sense.
+/// Least time before the deadline at which a client still sends a try.
 const MIN_REMAINING_S: f64 = 0.02;
 
+/// Sends the planned requests on behalf of all clients.
 pub struct Front {
     plan: Arc<Plan>,
     log: Arc<Log>,
     gates: Vec<Arc<Gate>>,
+    /// Idle connections by gateway.
     pools: Vec<Mutex<Vec<Connection>>>,
-    /// How late requests went out, in microseconds.
+    /// Delay of first tries after their planned times, in microseconds.
     late: Mutex<Histogram<u64>>,
-    /// First tries that went out, for the progress shown.
+    /// Number of first tries sent.
     pub sent: AtomicU64,
 }
 
@@ -49,13 +52,13 @@
         Arc::new(Self { plan, log, gates, pools, late: Mutex::new(late), sent: AtomicU64::new(0) })
     }
 
-    /// Median, 99th percentile and most of the lateness, in milliseconds.
+    /// Returns the median, 99th percentile and maximum delay of first tries after their planned times, in milliseconds.
     pub fn lateness(&self) -> [f64; 3] {
         let late = self.late.lock().unwrap_or_else(PoisonError::into_inner);
         [late.value_at_quantile(0.5), late.value_at_quantile(0.99), late.max()].map(|us| us as f64 / 1e3)
     }
 
-    /// Sends all that is planned, each in its time, and returns once all of it has ended.
+    /// Sends all planned requests at their times, and returns once all of them have ended.
     pub async fn run(self: Arc<Self>) {
         let start = Instant::from_std(self.log.start());
         let mut tasks = JoinSet::new();
@@ -73,7 +76,7 @@
         while tasks.join_next().await.is_some() {}
     }
 
-    /// One request with all its tries, as a client goes about it.
+    /// Sends one request, and retries it as its client would.
     async fn request(self: Arc<Self>, number: usize) {
         let (arrival, clients) = (&self.plan.arrivals[number], &self.plan.scenario.clients);
         let class = &self.plan.scenario.classes[arrival.class];
@@ -100,7 +103,7 @@
                     after.min(clients.max_retry_after_ms / 1e3).max(backoff * 0.1)
                 }
                 Outcome::Refused { .. } | Outcome::Nobody => backoff,
-                // It may have run, and nobody remembers it at every worker.
+                // It may have been executed, and not every worker would detect the duplicate.
                 _ if class.effect != Effect::Safe => return,
                 _ => backoff,
             };
@@ -108,20 +111,22 @@
         }
     }
 
-    /// The gateway that the front sends a customer's next request to.
+    /// Chooses the gateway for a customer's try: weighted and at random among the customer's admitted gateways.
     fn choose(&self, customer: usize, draw: f64) -> Option<usize> {
         let (customer, n) = (&self.plan.customers[customer], self.gates.len());
         let set = (0..customer.spread).map(|i| (customer.first + i) % n);
         let set: Vec<usize> = set.filter(|g| self.gates[*g].admitted.load(Ordering::Relaxed)).collect();
         let total: f64 = set.iter().map(|g| self.plan.gate_weights[*g]).sum();
-        let mut left = draw * total;
+        let mut remaining = draw * total;
         let at = set.iter().position(|g| {
-            left -= self.plan.gate_weights[*g];
-            left <= 0.0
+            remaining -= self.plan.gate_weights[*g];
+            remaining <= 0.0
         });
         at.or(set.len().checked_sub(1)).map(|at| set[at])
     }
 
+    /// Sends one try and records it and its outcome. `leaves` is the time in seconds after which the client disconnects,
+    /// if it does so early; `draw` selects the gateway.
     #[allow(clippy::too_many_arguments)]
     async fn attempt(
         &self,
@@ -183,13 +188,13 @@
         outcome
     }
 
-    /// Waits until a burst of clients that leave takes this one along.
+    /// Waits until this client is among those that disconnect in a burst.
     async fn leaves_in_burst(&self, gate: Option<usize>, txn: u64) {
         let Some(gate) = gate else { return std::future::pending().await };
         let mut bursts = self.gates[gate].leave.subscribe();
         while bursts.changed().await.is_ok() {
             let (burst, share) = *bursts.borrow_and_update();
-            // The top bits, as a number from 0 to 1.
+            // Converts the top 53 bits to a number from 0 to 1.
             let draw = (mix(txn ^ mix(burst)) >> 11) as f64 / (1_u64 << 53) as f64;
             if draw < share {
                 return;
@@ -198,6 +203,7 @@
         std::future::pending::<()>().await;
     }
 
+    /// Opens a connection to a gateway, subject to the faults on its link.
     async fn connect(&self, gate: usize) -> Option<Connection> {
         let gate = &self.gates[gate];
         let state = gate.front.state();
@@ -212,6 +218,8 @@
         Some(Connection::new(socket, gate.front.clone()))
     }
 
+    /// Sends a request to a gateway on an idle or new connection, and returns the outcome. `genuine` is the body that a
+    /// served answer must have.
     async fn exchange(&self, gate: usize, message: &[u8], genuine: &str, until: Instant) -> Outcome {
         let kept = loop {
             let kept = self.pools[gate].lock().unwrap_or_else(PoisonError::into_inner).pop();
@@ -228,13 +236,13 @@
                 None => return Outcome::Nobody,
             },
         };
-        let response = self.ask(&mut conn, message, until).await;
+        let response = self.send_and_receive(&mut conn, message, until).await;
         let response = match response {
-            // A kept connection's end crossed the request: it is sent once more on a new one.
+            // The gateway closed the idle connection as the request was sent: sends it again on a new connection.
             Response::Ended if was_kept => match self.connect(gate).await {
                 Some(new) => {
                     conn = new;
-                    self.ask(&mut conn, message, until).await
+                    self.send_and_receive(&mut conn, message, until).await
                 }
                 None => return Outcome::Nobody,
             },
@@ -257,7 +265,8 @@
         }
     }
 
-    async fn ask(&self, conn: &mut Connection, message: &[u8], until: Instant) -> Response {
+    /// Sends a request on a connection and reads the response until the time-out.
+    async fn send_and_receive(&self, conn: &mut Connection, message: &[u8], until: Instant) -> Response {
         let exchange = async {
             if conn.write(FlowDirection::In, message).await.is_err() {
                 return Response::Ended;
@@ -275,11 +284,14 @@
     }
 }
 
+/// Result of sending a request on a connection.
 enum Response {
+    /// A complete answer.
     Answer(http::Message),
-    /// The connection ended without a whole one.
+    /// The connection ended without the beginning of a successful answer.
     Ended,
-    /// And with the beginning of one.
+    /// The connection ended within a successful answer.
     CutOff,
+    /// No complete answer before the time-out.
     Nothing,
 }
--- a/lab/src/world/gates.rs
+++ b/lab/src/world/gates.rs
@@ -1,4 +1,4 @@
-//! The gateways: the built program, a process each, with limits, a folder and a log of its own.
+//! Gateway processes: each runs the built program with its own resource limits, directory and log.
 
 use crate::{
     link::{Connection, FlowDirection, Link},
@@ -28,32 +28,39 @@
     time::sleep,
 };
 
-/// Lines of a gateway's log that are kept to be shown.
+/// Number of last log lines of a gateway that are kept for error messages.
 const LOG_TAIL_LINES: usize = 30;
-/// Between two looks whether a gateway answers `/up`.
+/// Interval between readiness checks on `/up`.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// A gateway that was asked to end is killed after so long.
+/// Time after SIGTERM at which a gateway that still runs is killed.
 const STOP_TIMEOUT: Duration = Duration::from_millis(4500);
 
-/// Where a gateway is, and its neighbours.
+/// Addresses of a gateway and its peers.
 pub struct Endpoints {
+    /// Address at which it accepts client requests.
     pub listen: SocketAddr,
+    /// Link to the clients' load balancer.
     pub front: Arc<Link>,
-    /// Its agent's address, and the one it may move to.
+    /// Address of its discovery agent, and the one to which the agent may move.
     pub discovery: [SocketAddr; 2],
+    /// Address of the shared counter, if there is one.
     pub counter: Option<SocketAddr>,
+    /// Addresses for datagrams between gateways, if enabled.
     pub fleet: Option<FleetAddresses>,
 }
 
-/// Where a gateway's datagrams come in, and by which addresses gateways know each other.
+/// Addresses for datagrams between gateways.
 pub struct FleetAddresses {
+    /// Address at which this gateway receives datagrams.
     pub listen: SocketAddr,
+    /// By gateway, the relay's address under which the others reach it.
     pub relay: Vec<SocketAddr>,
 }
 
-/// Members that a gateway asks first.
+/// Number of fleet members that a gateway contacts first.
 const SEED_MEMBERS: usize = 3;
 
+/// One gateway and its process.
 pub struct Gate {
     pub index: usize,
     pub addr: SocketAddr,
@@ -63,32 +70,36 @@
     folder: PathBuf,
     endpoints: Endpoints,
     pub front: Arc<Link>,
-    /// The front sends it requests.
+    /// Whether clients send it requests.
     pub admitted: AtomicBool,
     running: Mutex<Option<Pid>>,
-    /// The end of its process is wanted.
+    /// Whether the lab has ended its process, so that an exit is expected.
     wanted: AtomicBool,
+    /// Number of times that it was started.
     starts: AtomicU64,
+    /// Last lines of its log.
     tail: Mutex<VecDeque<String>>,
+    /// Number of times that its process has exited.
     pub ended: watch::Sender<u64>,
+    /// Notified when it has become ready.
     pub ready: Notify,
-    /// Seconds of processor time and MB, of the processes that have ended and the present one.
+    /// Greatest processor time of one of its processes in seconds, and peak resident memory in MB.
     used: Mutex<(f64, f64)>,
-    /// What it was started with, for a new configuration.
+    /// Configuration of its latest start, for reloads.
     config: Mutex<Option<Value>>,
-    /// Its agent is at the second address.
+    /// Whether its discovery agent is at the second address.
     moved: AtomicBool,
-    /// Which burst of clients that leave is the last one, and the share that leaves.
+    /// Number of the latest burst of disconnecting clients, and the share of clients that disconnects in it.
     pub leave: watch::Sender<(u64, f64)>,
-    /// What its folder held at the last look, for a disk that loses writes.
+    /// Files of its data directory at the last snapshot, to restore after a kill that loses writes.
     disk_snapshot: Mutex<Vec<(PathBuf, Vec<u8>)>>,
 }
 
 impl Gate {
-    /// A gateway that has not been started, with a folder of its own below `root`.
+    /// Returns a gateway that has not been started, with a directory of its own below `root`.
     ///
     /// # Errors
-    /// The folder can't be made.
+    /// The directory can't be created.
     pub fn new(
         index: usize,
         plan: Arc<Plan>,
@@ -127,12 +138,12 @@
         *self.running.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The id of its process, if one runs.
+    /// Returns the id of its process, if one runs.
     pub fn process_id(&self) -> Option<u32> {
         self.pid().map(|pid| pid.as_raw_nonzero().get() as u32)
     }
 
-    /// The last lines of its log.
+    /// Returns the last lines of its log.
     pub fn tail(&self) -> Vec<String> {
         self.tail.lock().unwrap_or_else(PoisonError::into_inner).iter().cloned().collect()
     }
@@ -141,18 +152,20 @@
         self.log.record(Event::Gate { gate: self.index, state });
     }
 
+    /// Returns the present address of its discovery agent.
     fn agent(&self) -> SocketAddr {
         self.endpoints.discovery[usize::from(self.moved.load(Ordering::Relaxed))]
     }
 
+    /// Replaces its configuration file atomically, and returns the path.
     fn write_config(&self, config: &Value) -> io::Result<PathBuf> {
-        let (aside, path) = (self.folder.join("config.new"), self.folder.join("config.json"));
-        fs::write(&aside, config.to_string())?;
-        fs::rename(&aside, &path)?;
+        let (temporary, path) = (self.folder.join("config.new"), self.folder.join("config.json"));
+        fs::write(&temporary, config.to_string())?;
+        fs::rename(&temporary, &path)?;
         Ok(path)
     }
 
-    /// Starts its process with the list of workers `known`; it runs until something ends it.
+    /// Starts its process with the list of workers `known`, unless one runs already.
     ///
     /// # Errors
     /// The program can't be started.
@@ -192,7 +205,7 @@
         let mut child = command.spawn()?;
         let pid = child.id().and_then(|id| Pid::from_raw(id.cast_signed()));
         if let Some(pid) = pid {
-            // A process that has ended by now is told of below.
+            // If the process has exited already, `wait_for_exit` reports it.
             let limit = |n: u64| Rlimit { current: Some(n), maximum: Some(n) };
             let _ = prlimit(Some(pid), Resource::Nofile, limit(world.sockets));
             let _ = prlimit(Some(pid), Resource::Data, limit(world.memory_mb << 20));
@@ -213,7 +226,7 @@
         Ok(())
     }
 
-    /// Takes in a line of its log.
+    /// Records the cause that a log line gives for a request, or keeps the line for error messages.
     fn handle_log_line(&self, line: String) {
         if let Some(event) = reason(self.index, &line) {
             return self.log.record(event);
@@ -225,7 +238,7 @@
         tail.push_back(line);
     }
 
-    /// Waits for its process to end, and says so.
+    /// Waits for its process to exit, sampling its resource usage, and records the exit.
     async fn wait_for_exit(self: Arc<Self>, mut child: Child) {
         let pid = child.id();
         let status = loop {
@@ -239,7 +252,7 @@
         let status = status.map_or_else(|e| e.to_string(), |s| s.to_string());
         self.record(GateState::Exited { wanted, status });
         self.ended.send_modify(|n| *n += 1);
-        // The front notices a while later.
+        // Clients stop using the gateway only after the configured delay.
         let (starts, notice) = (self.starts.load(Ordering::Relaxed), self.plan.scenario.clients.notice_s);
         sleep(Duration::from_secs_f64(notice)).await;
         if self.starts.load(Ordering::Relaxed) == starts {
@@ -247,7 +260,7 @@
         }
     }
 
-    /// Takes note of what its process uses.
+    /// Updates processor time and peak memory from `/proc`.
     fn sample_usage(&self, pid: Option<u32>) {
         let Some(pid) = pid else { return };
         let read = |what: &str| fs::read_to_string(format!("/proc/{pid}/{what}")).unwrap_or_default();
@@ -257,19 +270,19 @@
         let peak = field(&read("status"), "VmHWM:").unwrap_or(0.0) / 1024.0;
         let mut used = self.used.lock().unwrap_or_else(PoisonError::into_inner);
         used.1 = used.1.max(peak);
-        // Nanoseconds on a processor come first.
+        // The first field is the time on a processor in nanoseconds.
         if let Some(ns) = read("schedstat").split_whitespace().next().and_then(|n| n.parse::<f64>().ok()) {
             used.0 = used.0.max(ns / 1e9);
         }
     }
 
-    /// Processor seconds and the most memory, in MB.
+    /// Returns its processor time in seconds and peak resident memory in MB.
     pub fn used(&self) -> (f64, f64) {
         self.sample_usage(self.process_id());
         *self.used.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Has the front admit it once it answers `/up`.
+    /// Admits it to the clients' choice once it answers `/up`, unless it is restarted meanwhile.
     async fn admit(self: Arc<Self>, start: u64) {
         while self.starts.load(Ordering::Relaxed) == start && self.pid().is_some() {
             if self.up().await {
@@ -282,6 +295,7 @@
         }
     }
 
+    /// Whether it answers `/up` with status 200 within one second.
     async fn up(&self) -> bool {
         if self.front.state().inbound.partitioned || self.front.state().refuse {
             return false;
@@ -299,12 +313,12 @@
 
     fn signal(&self, signal: Signal) {
         if let Some(pid) = self.pid() {
-            // One that has just ended needs no signal.
+            // Fails only if the process has just exited.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Kills it; what it has on disk becomes what `disk` says.
+    /// Kills it, waits for the exit, and changes its data directory as `disk` demands.
     pub async fn kill(&self, disk: Disk, seed: u64) {
         if self.pid().is_none() {
             return;
@@ -316,11 +330,12 @@
         self.signal(Signal::KILL);
         let _ = ended.changed().await;
         if let Err(error) = self.damage_disk(disk, seed) {
-            // The lab's own disk fails: that is no finding on the gateway's.
+            // An error of the lab, not of the gateway: it is only added to the kept log lines.
             self.tail.lock().unwrap_or_else(PoisonError::into_inner).push_back(format!("lab: {error}"));
         }
     }
 
+    /// Returns the files of its data directory.
     fn files(&self) -> io::Result<Vec<PathBuf>> {
         let mut files = Vec::new();
         for entry in fs::read_dir(self.folder.join("state"))? {
@@ -333,7 +348,7 @@
         Ok(files)
     }
 
-    /// Remembers what is on its disk: what it writes from now on is what may be lost.
+    /// Takes a snapshot of its data directory, which a later kill with stale contents restores.
     pub fn snapshot_disk(&self) {
         let files = self.files().unwrap_or_default();
         let read = |path: PathBuf| Some((path.clone(), fs::read(path).ok()?));
@@ -341,6 +356,7 @@
             files.into_iter().filter_map(read).collect();
     }
 
+    /// Changes the data directory as `disk` demands; a torn file is truncated at a length derived from `seed`.
     fn damage_disk(&self, disk: Disk, seed: u64) -> io::Result<()> {
         match disk {
             Disk::Kept => {}
@@ -369,17 +385,19 @@
         Ok(())
     }
 
+    /// Stops its process with SIGSTOP.
     pub fn pause(&self) {
         self.record(GateState::Paused);
         self.signal(Signal::STOP);
     }
 
+    /// Continues its process with SIGCONT.
     pub fn resume(&self) {
         self.signal(Signal::CONT);
         self.record(GateState::Continued);
     }
 
-    /// Has it end in good order; kills it where it does not. Returns once it has ended.
+    /// Stops it with SIGTERM, or with SIGKILL if it does not exit in time. Returns once it has exited.
     pub async fn stop(&self) {
         if self.pid().is_none() {
             return;
@@ -390,7 +408,7 @@
         ended.borrow_and_update();
         self.signal(Signal::CONT);
         self.signal(Signal::TERM);
-        // The front takes it out of its list a little later, as the protocol has it.
+        // As in the protocol, clients stop using it shortly after SIGTERM.
         sleep(Duration::from_millis(300)).await;
         self.admitted.store(false, Ordering::Relaxed);
         if tokio::time::timeout(STOP_TIMEOUT, ended.changed()).await.is_err() {
@@ -399,16 +417,16 @@
         }
     }
 
-    /// Kills it at once, at the end of a play or of the lab.
+    /// Kills it without waiting for the exit, at the end of a run.
     pub fn kill_now(&self) {
         self.wanted.store(true, Ordering::Relaxed);
         self.signal(Signal::KILL);
     }
 
-    /// Its agent is at the second address from now on, or at the first again.
+    /// Points it to its agent's second address, or to the first again, and reloads its configuration.
     ///
     /// # Errors
-    /// Those of the file system.
+    /// The configuration file can't be written.
     pub fn move_agent(&self, second: bool) -> io::Result<()> {
         self.moved.store(second, Ordering::Relaxed);
         if let Some(config) = self.config.lock().unwrap_or_else(PoisonError::into_inner).as_mut() {
@@ -417,10 +435,10 @@
         self.reload()
     }
 
-    /// Writes its configuration anew and has it read that.
+    /// Writes its configuration file and sends SIGHUP.
     ///
     /// # Errors
-    /// Those of the file system.
+    /// The configuration file can't be written.
     pub fn reload(&self) -> io::Result<()> {
         let config = self.config.lock().unwrap_or_else(PoisonError::into_inner).clone();
         if let Some(config) = config {
@@ -431,7 +449,7 @@
     }
 }
 
-/// What a line of a gateway's log says about a request, if that is what it is about.
+/// Parses a gateway's log line that gives the cause of a decision on a request; `None` for all other lines.
 fn reason(gate: usize, line: &str) -> Option<Event> {
     if !line.starts_with('{') {
         return None;
@@ -442,7 +460,7 @@
     Some(Event::Reason { gate, txn, what: text("message")?.to_owned(), why: text("why")?.to_owned() })
 }
 
-/// The settings object of a gateway, as the platform would write it.
+/// Builds the settings object in a gateway's configuration, as the platform would write it.
 fn settings(plan: &Plan, me: usize) -> Value {
     let (scenario, world) = (&plan.scenario, &plan.scenario.world);
     let class = |c: &crate::scenario::ClassSpec| {
@@ -484,7 +502,7 @@
     use super::*;
 
     #[test]
-    fn only_what_a_gateway_says_of_a_request_is_a_reason() {
+    fn only_log_lines_with_request_and_cause_are_reasons() {
         let line = r#"{"level":"DEBUG","message":"refused","txn":"00000000000000ff","why":"even share"}"#;
         let want = Event::Reason { gate: 3, txn: 255, what: "refused".into(), why: "even share".into() };
         assert_eq!(reason(3, line), Some(want));
--- a/lab/src/world/mod.rs
+++ b/lab/src/world/mod.rs
@@ -1,4 +1,5 @@
-//! The world of a play: stand-ins and gateways, the faults between them, and what was seen of it all.
+//! Runs a scenario: starts real gateway processes among simulated workers, clients, discovery and counter, injects
+//! faults on the links between them, and records all events.
 
 pub mod counter;
 pub mod discovery;
@@ -38,49 +39,53 @@
 };
 use worker::Worker;
 
-/// All gateways have to be ready by then.
+/// Time within which all gateways must be ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// A play whose requests went out so late, at the 99th percentile, says nothing of the gateways.
+/// Greatest 99th percentile of the lab's own send delay; beyond it the run is void, as it tells nothing about the
+/// gateways.
 const MAX_P99_LATENESS_MS: f64 = 20.0;
 
-/// Why there was no play.
+/// Reason why a run could not be completed.
 #[derive(Debug, thiserror::Error)]
 pub enum WorldError {
-    #[error("no world can be built: {0}")]
+    #[error("the environment can't be set up: {0}")]
     System(#[from] io::Error),
-    #[error("{program}: {error}")]
+    #[error("can't start {program}: {error}")]
     Program { program: PathBuf, error: io::Error },
-    #[error("gateway n{gate} does not come up: {why}\n{}", tail.join("\n"))]
+    #[error("gateway n{gate} is not ready: {why}\n{}", tail.join("\n"))]
     Gate { gate: usize, why: String, tail: Vec<String> },
-    #[error("stopped by hand")]
+    #[error("interrupted by the user")]
     Stopped,
 }
 
-/// What a play is made of.
+/// Inputs of a run.
 pub struct Play {
     pub scenario: Scenario,
     pub seed: u64,
-    /// The gateway's program.
+    /// Executable of the gateway.
     pub program: PathBuf,
-    /// Where gateways get their folders; what the play puts there goes with it.
+    /// Directory for the gateways' temporary directories, which are removed after the run.
     pub root: PathBuf,
 }
 
-/// How a play gets on, for whoever shows it.
+/// Progress of a run, for display.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Progress {
+    /// First tries sent so far.
     pub sent: u64,
+    /// First tries planned for the whole run.
     pub planned: u64,
+    /// Seconds since the load began.
     pub at_s: f64,
 }
 
-/// Every link, by what is at its ends.
+/// All links of a run, by the kind of their far end; the first index is the gateway.
 struct Links {
     workers: Vec<Vec<Arc<Link>>>,
     counter: Vec<Arc<Link>>,
     discovery: Vec<Arc<Link>>,
     front: Vec<Arc<Link>>,
-    /// From one gateway to another, `from * gatekeepers + to`; one way each.
+    /// One-way links between gateways, at index `from * gatekeepers + to`.
     gates: Vec<Arc<Link>>,
 }
 
@@ -110,14 +115,15 @@
         Self {
             workers: gates.clone().map(workers).collect(),
             counter: near("counter").collect(),
-            // An agent is on the gateway's own machine.
+            // The discovery agent runs on the gateway's own machine, so the link has no delay.
             discovery: gates.clone().map(|g| Link::new(Duration::ZERO, seed("agent", g))).collect(),
             front: near("front").collect(),
             gates: (0..world.gatekeepers * world.gatekeepers).map(between).collect(),
         }
     }
 
-    /// The links of `gate` to those named.
+    /// Returns the links of `gate` to `peers`; `others` are the indices of the selected workers or gateways, and `way`
+    /// is the direction between gateways.
     fn of(&self, gate: usize, peers: &Peers, others: &[usize], way: Direction) -> Vec<&Arc<Link>> {
         let (workers, n) = (others, self.front.len());
         let to_workers = || workers.iter().map(|w| &self.workers[gate][*w]);
@@ -130,7 +136,7 @@
                 let rest = [&self.counter[gate], &self.discovery[gate], &self.front[gate]];
                 self.workers[gate].iter().chain(rest).collect()
             }
-            // A way is a link of its own there.
+            // Between gateways each direction is a link of its own.
             Peers::Gates(_) => {
                 let out = others.iter().filter(|_| way != Direction::In).map(|to| &self.gates[gate * n + to]);
                 let into =
@@ -141,7 +147,7 @@
     }
 }
 
-/// The parts of a world, shared by whoever strikes it.
+/// All parts of a running scenario, shared with the tasks that inject faults.
 struct World {
     plan: Arc<Plan>,
     log: Arc<Log>,
@@ -149,15 +155,15 @@
     workers: Vec<Arc<Worker>>,
     counter: Arc<Counter>,
     discovery: Arc<Discovery>,
-    /// By gateway, whether its agent is at the first and at the second address.
+    /// By gateway, whether its discovery agent accepts connections at its first and at its second address.
     agents: Vec<[watch::Sender<bool>; 2]>,
     gates: Vec<Arc<Gate>>,
 }
 
-/// Addresses that the runs of one process have in turn: the last part is neither 0 nor 255.
+/// Number of addresses that the runs of one process use in turn; the last octet is neither 0 nor 255.
 const RUN_ADDRESSES: u8 = 254;
 
-/// An address of this run's own in the loopback range, so that runs side by side do not meet.
+/// Returns a loopback address for one run, so that concurrent runs do not share ports.
 fn run_address() -> IpAddr {
     static RUNS: AtomicU8 = AtomicU8::new(0);
     let (pid, run) = (std::process::id(), RUNS.fetch_add(1, Ordering::Relaxed));
@@ -165,32 +171,32 @@
     IpAddr::V4(Ipv4Addr::new(127, 64 + (pid % 128) as u8, (pid / 128 % 256) as u8, host))
 }
 
-/// Ports that gateways get: below those that Linux draws for sockets without one (from 32,768 on), so that no other
-/// process is given one of them.
+/// Ports for gateways: below Linux's ephemeral ports (from 32,768 on), so that the kernel assigns none of them to
+/// another process.
 const GATE_PORTS: std::ops::Range<u16> = 20_000..30_000;
 
-/// The ports of one play at its own address, each given out once.
+/// Allocates the gateway ports of one run at its own address, each once.
 ///
-/// None is held open until its gateway starts: a listener would stay open in whatever process another thread forks
-/// just then, until that has started its program, and its port would be taken.
+/// The ports are not kept open until their gateways start: a process forked by another thread at that moment would
+/// inherit the listener until it executes its program, and the port would be in use.
 struct GatePorts {
     ip: IpAddr,
-    left: std::ops::Range<u16>,
+    remaining: std::ops::Range<u16>,
 }
 
 impl GatePorts {
     fn new(ip: IpAddr) -> Self {
-        Self { ip, left: GATE_PORTS }
+        Self { ip, remaining: GATE_PORTS }
     }
 
-    /// The next port at which nobody listens.
+    /// Returns the address with the next port on which no process listens.
     fn next(&mut self) -> io::Result<SocketAddr> {
         let is_free = |address: &SocketAddr| {
             let socket = Socket::new(Domain::for_address(*address), Type::STREAM, None)?;
             socket.set_reuse_address(true)?;
             socket.bind(&(*address).into())
         };
-        for port in &mut self.left {
+        for port in &mut self.remaining {
             let address = SocketAddr::new(self.ip, port);
             match is_free(&address) {
                 Ok(()) => return Ok(address),
@@ -202,7 +208,7 @@
     }
 }
 
-/// Accepts on `port` for good, and serves each connection in a task of its own.
+/// Accepts connections on `port` whenever `up` is true, and serves each in a task of its own.
 fn serve<F>(
     tasks: &mut JoinSet<()>,
     mut port: LinkListener,
@@ -218,7 +224,7 @@
             tokio::select! {
                 conn = port.accept(&mut up) => match conn {
                     Ok(conn) => drop(conns.spawn(serve(conn))),
-                    // An address that can't be taken up again yet: soon.
+                    // The address can't be bound again yet: retries shortly.
                     Err(_) => sleep(Duration::from_millis(20)).await,
                 },
                 Some(_) = conns.join_next() => {}
@@ -227,7 +233,7 @@
     });
 }
 
-/// Ends all gateways however a play ends.
+/// Kills all gateways when dropped, so that none outlives its run.
 struct KillOnDrop(Vec<Arc<Gate>>);
 
 impl Drop for KillOnDrop {
@@ -237,10 +243,10 @@
 }
 
 impl Play {
-    /// Plays it through, telling `progress` how it gets on, until the end or until `stop` is set.
+    /// Runs the scenario to its end, or until `stop` is set, and reports to `progress` meanwhile.
     ///
     /// # Errors
-    /// There was no play.
+    /// The run could not be completed.
     pub async fn run(
         self,
         progress: watch::Sender<Progress>,
@@ -255,7 +261,7 @@
     async fn run_to_end(self, progress: watch::Sender<Progress>) -> Result<Recording, WorldError> {
         let plan = Arc::new(Plan::new(self.scenario, self.seed));
         let log = Arc::new(Log::new());
-        // Dropped last, once the gateways have ended.
+        // Declared first so that it is dropped last, after the gateways have exited.
         let folder = tempfile::Builder::new().prefix("fleetlab-").tempdir_in(&self.root)?;
         let mut tasks = JoinSet::new();
         let world = Arc::new(
@@ -281,14 +287,14 @@
         faults.shutdown().await;
         let used: Vec<(f64, f64)> = world.gates.iter().map(|g| g.used()).collect();
         let late_ms = front.lateness();
-        // As the platform would end them: what they have in hand is theirs to answer.
+        // Stops them as the platform would, so that they answer their requests in flight.
         world.stop_gates().await;
         let run_delays = run_delays.finish();
         drop(kill_on_drop);
         tasks.shutdown().await;
         let void = (late_ms[1] > MAX_P99_LATENESS_MS).then(|| {
             format!(
-                "the lab ran late by {:.1} ms at the 99th percentile, {MAX_P99_LATENESS_MS} ms at most",
+                "the lab sent requests {:.1} ms late at the 99th percentile, must be at most {MAX_P99_LATENESS_MS} ms",
                 late_ms[1]
             )
         });
@@ -345,7 +351,7 @@
         }
         let relay = Arc::new(Relay::new(ip, members.clone(), links.gates.clone()).await?);
         let mut relay_tasks = relay.clone().run();
-        // It goes with the world's other tasks.
+        // Ends together with the other tasks of the run.
         tasks.spawn(async move { while relay_tasks.join_next().await.is_some() {} });
         let mut agents = Vec::new();
         for gate in 0..spec.gatekeepers {
@@ -387,7 +393,7 @@
             let mut ended = gate.ended.subscribe();
             let up = async {
                 while !gate.admitted.load(Ordering::Relaxed) {
-                    // It may have been notified between the look and the wait.
+                    // The notification may come between the check and the wait, hence the time-out.
                     let _ = tokio::time::timeout(Duration::from_millis(20), gate.ready.notified()).await;
                 }
             };
@@ -396,9 +402,9 @@
                     Ok(()) => continue,
                     Err(_) => format!("no answer on /up within {} s", READY_TIMEOUT.as_secs()),
                 },
-                _ = ended.wait_for(|n| *n > 0) => "it has ended".to_owned(),
+                _ = ended.wait_for(|n| *n > 0) => "its process has exited".to_owned(),
             };
-            // What it said last may still be on its way.
+            // Gives the reader of its log time to receive the last lines.
             sleep(Duration::from_millis(100)).await;
             return Err(WorldError::Gate { gate: gate.index, why, tail: gate.tail() });
         }
--- a/lab/src/world/plan.rs
+++ b/lab/src/world/plan.rs
@@ -1,4 +1,5 @@
-//! All that is settled before a play: who asks for what and when, by the seed alone.
+//! Plan of a run, determined by the scenario and the seed alone: worker speeds, customers, and all requests with their
+//! times.
 
 use crate::{
     http::Message,
@@ -13,42 +14,48 @@
     sync::{Arc, Mutex, PoisonError},
 };
 
-/// A customer: its plan and the gateways that its requests come through.
+/// A customer: its plan and the gateways that receive its requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Customer {
+    /// Index of its plan.
     pub plan: usize,
+    /// Number of gateways that receive its requests.
     pub spread: usize,
+    /// Index of the first of these gateways; the others follow it, with wrap-around.
     pub first: usize,
+    /// Number by which gateways know it.
     pub id: u64,
 }
 
-/// A request as its client first wants it.
+/// A planned request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Arrival {
-    /// Seconds after the load's start.
+    /// Time of the first try, in seconds since the load began.
     pub at: f64,
     pub customer: usize,
     pub class: usize,
-    /// Seconds on one nominal core.
+    /// Seconds of work on one nominal core.
     pub work: f64,
-    /// Where the front's choice falls among the customer's gateways, and other draws of the client's.
+    /// Seed of the client's random choices, such as the gateway of each try.
     pub seed: u64,
 }
 
-/// What a try must look like at a worker, and how long it takes there.
+/// What workers must receive for a try, and the work that it takes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ExpectedRequest {
     pub class: usize,
+    /// Seconds of work on one nominal core.
     pub work: f64,
+    /// Idempotency key; 0: none.
     pub key: u64,
     method: &'static str,
     path: String,
-    /// Bytes that its answer has at least.
+    /// Least size of the answer's body, in bytes.
     answer_bytes: usize,
 }
 
 impl ExpectedRequest {
-    /// Whether a message is what the client sent.
+    /// Whether a message has the method, path, body and key that the client sent.
     #[must_use]
     pub fn matches(&self, message: &Message) -> bool {
         let (method, path) = message.target();
@@ -60,20 +67,21 @@
             && (!keyed || key == Some(&format!("{:032x}", self.key)))
     }
 
+    /// Returns the body of the request.
     #[must_use]
     pub fn body(&self) -> String {
         if self.method == "GET" { String::new() } else { format!("ask {:016x}", self.work.to_bits()) }
     }
 
-    /// The one answer that a worker makes for it.
+    /// Returns the body of the answer that workers produce for the try `txn`, and for no other.
     #[must_use]
     pub fn answer(&self, txn: u64) -> String {
         let marker = format!("served {:016x}", mix(txn ^ self.work.to_bits()));
-        // The mark over and over, so that no part of it can be missing unseen.
+        // Repeats the marker, so that a missing part of the body is detected.
         marker.repeat(self.answer_bytes.div_ceil(marker.len()).max(1))
     }
 
-    /// The message that a client sends.
+    /// Encodes the request as the client sends it.
     #[must_use]
     pub fn message(&self, txn: u64, headers: &str) -> Vec<u8> {
         let mut text = format!(
@@ -91,40 +99,45 @@
     }
 }
 
-/// Scrambles a number, the same each time.
+/// Hashes a number with the finaliser of SplitMix64.
 #[must_use]
 pub fn mix(n: u64) -> u64 {
-    // SplitMix64's finishing steps.
     let mut z = n.wrapping_add(0x9E37_79B9_7F4A_7C15);
     z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
     z ^ (z >> 31)
 }
 
-/// A play, settled.
+/// The plan of a run, and the tries sent so far.
 pub struct Plan {
     pub scenario: Arc<Scenario>,
     pub seed: u64,
+    /// By gateway, the index of its zone.
     pub gate_zones: Vec<usize>,
+    /// By worker, the index of its zone.
     pub worker_zones: Vec<usize>,
+    /// By worker, the speed of its cores relative to a nominal core.
     pub speeds: Vec<f64>,
-    /// How the front weighs gateways.
+    /// By gateway, its weight in the clients' random choice.
     pub gate_weights: Vec<f64>,
     pub customers: Vec<Customer>,
+    /// All requests, in order of time.
     pub arrivals: Vec<Arrival>,
-    /// First tries a second at the load's base.
+    /// First tries per second at the base load.
     pub rate: f64,
-    /// Seconds on a nominal core.
+    /// Mean work of a request, in seconds on a nominal core.
     pub mean_work: f64,
+    /// By transaction number, what was sent for it.
     sent: Mutex<HashMap<u64, ExpectedRequest>>,
 }
 
-/// Requests that a play may have: more than this machine carries in an hour.
+/// Greatest number of requests in a run: more than the test machine handles in an hour.
 const MAX_ARRIVALS: usize = 2_000_000;
-/// Customers of one plan.
+/// Greatest number of customers on one plan.
 const MAX_CUSTOMERS: f64 = 50_000.0;
 
 impl Plan {
+    /// Draws the plan of a run.
     #[must_use]
     pub fn new(scenario: Scenario, seed: u64) -> Self {
         let scenario = Arc::new(scenario);
@@ -158,11 +171,12 @@
         plan
     }
 
-    /// A number for a purpose: streams of different purposes have nothing to do with each other.
+    /// Derives a seed for a purpose, so that each purpose has an independent stream of random numbers.
     pub fn stream(&self, purpose: &str) -> u64 {
         purpose.bytes().fold(mix(self.seed), |n, b| mix(n ^ u64::from(b)))
     }
 
+    /// Returns the random number generator for a purpose.
     pub fn rng(&self, purpose: &str) -> ChaCha8Rng {
         ChaCha8Rng::seed_from_u64(self.stream(purpose))
     }
@@ -179,7 +193,7 @@
                 let share = least + (most - least) * rng.random::<f64>();
                 let spread = ((gates as f64 * share).round() as usize).clamp(1, gates);
                 let first = rng.random_range(0..gates);
-                // A number below 2^33, as the protocol has it.
+                // The protocol limits customer numbers to below 2^33.
                 let id = rng.random_range(1..1_u64 << 33);
                 self.customers.push(Customer { plan: i, spread, first, id });
             }
@@ -189,7 +203,7 @@
         }
     }
 
-    /// How much each customer asks for, relative to the others: drawn anew at each shift.
+    /// Draws each customer's share of the requests; called at the start and at each step with `shift`.
     fn weights(&self, rng: &mut ChaCha8Rng) -> Vec<f64> {
         let load = &self.scenario.load;
         let shares: f64 = self.scenario.plans.iter().map(|p| p.share).sum();
@@ -226,7 +240,7 @@
         let mut steps = steps.into_iter().peekable();
         let class_shares: Vec<f64> = cumulative_shares(scenario.classes.iter().map(|c| c.share));
         let mut weights = cumulative_shares(self.weights(&mut who).into_iter());
-        // The deviation of the logarithm of a request's work: its mean is its class's.
+        // Factor on the class's mean work: log-normal with a standard deviation of 0.6 in the logarithm and mean 1.
         let work = LogNormal::new(-0.18, 0.6).ok();
         let (mut now, mut rate) = (0.0, self.rate);
         while self.arrivals.len() < MAX_ARRIVALS {
@@ -235,7 +249,7 @@
                 Arrivals::Even => 1.0,
             };
             let next = now + gap / rate.max(1e-9);
-            // Memoryless or not: from the step on, the gap is of the new rate.
+            // The load changes within this gap: draws a new gap at the new rate, starting at the step.
             if let Some(step) = steps.next_if(|s| s.at_s <= next) {
                 (now, rate) = (step.at_s.max(now), self.rate * step.times);
                 if step.shift {
@@ -259,7 +273,7 @@
         }
     }
 
-    /// What a request's try looks like; workers know it from now on.
+    /// Registers the try `txn` of a request, so that workers accept it, and returns what is to be sent.
     pub fn send(&self, txn: u64, arrival: &Arrival, key: u64) -> ExpectedRequest {
         let class = &self.scenario.classes[arrival.class];
         let method = if class.effect == Effect::Safe { "GET" } else { "POST" };
@@ -271,18 +285,18 @@
         expected
     }
 
-    /// What a client sent under this number.
+    /// Returns what a client sent as the try `txn`, if any did.
     pub fn sent(&self, txn: u64) -> Option<ExpectedRequest> {
         self.sent.lock().unwrap_or_else(PoisonError::into_inner).get(&txn).cloned()
     }
 }
 
-/// A factor of mean 1 whose logarithm deviates by `skew`.
+/// Draws a log-normal factor of mean 1 whose logarithm has the standard deviation `skew`.
 fn log_normal_factor(skew: f64, rng: &mut ChaCha8Rng) -> f64 {
     LogNormal::new(-skew * skew / 2.0, skew).map_or(1.0, |d| d.sample(rng))
 }
 
-/// Running sums, scaled to end at 1.
+/// Returns cumulative sums of the weights, scaled to end at 1.
 fn cumulative_shares(weights: impl Iterator<Item = f64>) -> Vec<f64> {
     let mut sums: Vec<f64> = weights
         .scan(0.0, |sum, w| {
@@ -297,7 +311,7 @@
     sums
 }
 
-/// The place where a draw from 0 to 1 falls.
+/// Returns the index in cumulative shares that a draw from 0 to 1 selects.
 fn index_at(sums: &[f64], draw: f64) -> usize {
     sums.partition_point(|s| *s <= draw).min(sums.len().saturating_sub(1))
 }
@@ -311,7 +325,7 @@
     }
 
     #[test]
-    fn the_same_seed_gives_the_same_play_and_another_one_another() {
+    fn equal_seeds_give_equal_plans_and_different_seeds_different_ones() {
         let plan = |seed| Plan::new(scenario(""), seed);
         let (a, b, c) = (plan(1), plan(1), plan(2));
         assert_eq!(a.arrivals, b.arrivals);
@@ -321,7 +335,7 @@
     }
 
     #[test]
-    fn the_load_is_what_the_file_says() {
+    fn arrivals_match_the_configured_utilisation_and_steps() {
         let plan = Plan::new(scenario("[load]\nuse = 0.5\nstep = [{ at_s = 10, times = 2 }]"), 3);
         let count =
             |from: f64, to: f64| plan.arrivals.iter().filter(|a| (from..to).contains(&a.at)).count() as f64;
@@ -334,7 +348,7 @@
     }
 
     #[test]
-    fn plans_get_their_shares_and_a_whale_its_own() {
+    fn plans_and_the_single_large_customer_get_their_shares_of_the_load() {
         let plan = Plan::new(scenario("[load]\nwhale = 0.33"), 4);
         let of = |c: &dyn Fn(&Customer) -> bool| {
             let n = plan.arrivals.iter().filter(|a| c(&plan.customers[a.customer])).count();
@@ -346,7 +360,7 @@
     }
 
     #[test]
-    fn a_worker_knows_only_what_was_sent_and_as_it_was_sent() {
+    fn workers_accept_only_registered_tries_with_their_exact_content() {
         let plan = Plan::new(scenario(""), 5);
         let keyed = plan.arrivals.iter().find(|a| a.class == 1).expect("one of each class");
         assert!(plan.sent(7).is_none());
--- a/lab/src/world/run_delay_monitor.rs
+++ b/lab/src/world/run_delay_monitor.rs
@@ -1,4 +1,4 @@
-//! Reads from `/proc` how long gateways and the lab itself wait for processors while a play runs.
+//! Samples from `/proc` how long the threads of gateways and of the lab wait for processors during a run.
 
 use super::gates::Gate;
 use crate::{
@@ -18,19 +18,19 @@
 
 /// Time between two samples.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
-/// Length of a tick in `/proc/stat`.
+/// Unit of the times in `/proc/stat`.
 const TICK: Duration = Duration::from_millis(10);
-/// Index of the stolen time among the columns of a processor in `/proc/stat`.
+/// Index of the column with the stolen time in a processor's line of `/proc/stat`.
 const STEAL_COLUMN: usize = 8;
 
-/// A thread that samples until the monitor is finished or dropped.
+/// Samples run delays in a thread of its own until it is finished or dropped.
 pub struct RunDelayMonitor {
     stop: Arc<AtomicBool>,
     sampler: Option<JoinHandle<RunDelays>>,
 }
 
 impl RunDelayMonitor {
-    /// Begins to sample; times count from `start`.
+    /// Starts sampling; times count from `start`.
     pub fn start(gates: Vec<Arc<Gate>>, start: Instant) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let stopped = stop.clone();
@@ -46,7 +46,7 @@
         Self { stop, sampler: Some(sampler) }
     }
 
-    /// Ends sampling and returns what was measured.
+    /// Stops sampling and returns the measured delays.
     pub fn finish(mut self) -> RunDelays {
         self.stop.store(true, Ordering::Relaxed);
         self.sampler.take().and_then(|sampler| sampler.join().ok()).unwrap_or_default()
@@ -59,13 +59,13 @@
     }
 }
 
-/// Counters of threads and processors as last read.
+/// The measured delays, and the kernel's counters as last read.
 struct Sampler {
     gates: Vec<Arc<Gate>>,
     delays: RunDelays,
-    /// By process and thread.
+    /// Run delay by process and thread.
     thread_delays: HashMap<(u32, u32), Micros>,
-    /// By processor.
+    /// Stolen time by processor, in ticks.
     stolen: HashMap<String, u64>,
 }
 
@@ -73,12 +73,13 @@
     fn new(gates: Vec<Arc<Gate>>) -> Self {
         let delays = RunDelays { gates: vec![DelaySeries::default(); gates.len()], ..RunDelays::default() };
         let mut sampler = Self { gates, delays, thread_delays: HashMap::new(), stolen: HashMap::new() };
-        // What came before the play is none of its delay.
+        // Reads the counters once, so that delays before the run are not counted.
         sampler.thread_increments(std::process::id());
         sampler.steal_increment();
         sampler
     }
 
+    /// Adds one sample of all delays.
     fn sample(&mut self, at: Micros) {
         for index in 0..self.gates.len() {
             let pid = self.gates[index].process_id();
@@ -91,7 +92,7 @@
         self.delays.steal.add(at, stolen);
     }
 
-    /// What the threads of a process have waited since they were last read.
+    /// Returns, for each thread of a process, the run delay since the last read.
     fn thread_increments(&mut self, pid: u32) -> Vec<Micros> {
         let Ok(threads) = fs::read_dir(format!("/proc/{pid}/task")) else { return Vec::new() };
         let mut increments = Vec::new();
@@ -106,7 +107,7 @@
         increments
     }
 
-    /// Time stolen since it was last read from the processor from which most was.
+    /// Returns the time stolen since the last read, for the processor that lost the most.
     fn steal_increment(&mut self) -> Micros {
         let text = fs::read_to_string("/proc/stat").unwrap_or_default();
         let mut max = 0;
@@ -124,7 +125,7 @@
     }
 }
 
-/// The second field of a `schedstat` file, which counts nanoseconds on a run queue.
+/// Parses the run delay in a `schedstat` file: its second field, the nanoseconds spent waiting on a run queue.
 fn run_delay(schedstat: &str) -> Option<Micros> {
     let nanoseconds: u64 = schedstat.split_whitespace().nth(1)?.parse().ok()?;
     Some(nanoseconds / 1_000)
--- a/lab/src/world/worker.rs
+++ b/lab/src/world/worker.rs
@@ -1,4 +1,5 @@
-//! A worker: cores behind a queue, warming up after each start, that may fall, slow down, fail or stop answering.
+//! Simulated worker: cores behind a queue, with a warm-up after each start. It crashes if overloaded during the warm-up,
+//! and faults may slow it down, make it fail or stop it from answering.
 
 use crate::{
     http,
@@ -19,17 +20,22 @@
 };
 use tokio::sync::{Semaphore, SemaphorePermit, watch};
 
-/// What is wrong with a worker; faults set it.
+/// Effects of the present faults on a worker.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Disturbance {
+    /// Factor on the time that requests take.
     pub slower: f64,
-    /// Share of errors at once.
+    /// Share of the requests that get an error immediately.
     pub errors: f64,
+    /// Whether it accepts requests and never answers them.
     pub is_unresponsive: bool,
+    /// Share of the answers that are malformed.
     pub spoil: f64,
-    /// Shares of the answers that stop, and that break off, half way.
+    /// Share of the answers that stop half way, with the connection left open.
     pub stall: f64,
+    /// Share of the answers that are truncated half way by a reset.
     pub break_off: f64,
+    /// Whether it rejects all requests, as it is about to end.
     pub draining: bool,
 }
 
@@ -40,33 +46,37 @@
     }
 }
 
-/// What is known of the worker since its last start.
+/// The warm-up after the worker's latest start.
 struct Startup {
-    /// `None`: warm since long ago.
+    /// Time of the latest start; `None` if it has run since before the load began and is fully warmed up.
     started: Option<Instant>,
-    /// Work that came of late while it was cold: when, and seconds of it.
+    /// Work received in the overload window during the warm-up: time, and seconds on a nominal core.
     received: VecDeque<(Instant, f64)>,
 }
 
-/// One worker, over all gateways.
+/// One worker, which serves all gateways.
 pub struct Worker {
     pub index: usize,
+    /// Speed of its cores relative to a nominal core.
     pub speed: f64,
     scenario: Arc<Scenario>,
     plan: Arc<Plan>,
     log: Arc<Log>,
     cores: Semaphore,
+    /// Requests in its queue.
     waiting: AtomicUsize,
+    /// Open connections.
     connections: AtomicUsize,
+    /// Requests served.
     served: AtomicU64,
-    incarnation: Mutex<Startup>,
+    startup: Mutex<Startup>,
     disturbance: Mutex<Disturbance>,
-    /// False while it is dead.
+    /// Whether it runs and accepts connections.
     pub up: watch::Sender<bool>,
-    /// Counts its deaths: what belongs to an earlier incarnation ends.
+    /// Number of times that it has died; connections of an earlier incarnation are reset.
     pub incarnations: watch::Sender<u64>,
     rng: Mutex<ChaCha8Rng>,
-    /// It fell by itself: somebody has to bring it back.
+    /// Notified when it has crashed by overload and must be started again.
     pub fell: tokio::sync::Notify,
 }
 
@@ -84,7 +94,7 @@
             waiting: AtomicUsize::new(0),
             connections: AtomicUsize::new(0),
             served: AtomicU64::new(0),
-            incarnation: Mutex::new(Startup { started: None, received: VecDeque::new() }),
+            startup: Mutex::new(Startup { started: None, received: VecDeque::new() }),
             disturbance: Mutex::default(),
             up: watch::channel(true).0,
             incarnations: watch::channel(0).0,
@@ -93,19 +103,22 @@
         })
     }
 
+    /// Draws a number from 0 to 1.
     fn draw(&self) -> f64 {
         self.rng.lock().unwrap_or_else(PoisonError::into_inner).random()
     }
 
+    /// Returns the effects of the present faults.
     pub fn disturbance(&self) -> Disturbance {
         *self.disturbance.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Changes the effects of the present faults.
     pub fn set(&self, change: impl FnOnce(&mut Disturbance)) {
         change(&mut self.disturbance.lock().unwrap_or_else(PoisonError::into_inner));
     }
 
-    /// Dies: connections are reset and new ones refused.
+    /// Ends the worker: open connections are reset and new ones refused. `state` is recorded as the reason.
     pub fn die(&self, state: WorkerState) {
         if self.up.send_replace(false) {
             self.incarnations.send_modify(|n| *n += 1);
@@ -113,17 +126,17 @@
         }
     }
 
-    /// Starts again, without warm caches.
+    /// Starts the worker again, with a warm-up.
     pub fn start(&self) {
-        let mut incarnation = self.incarnation.lock().unwrap_or_else(PoisonError::into_inner);
-        *incarnation = Startup { started: Some(Instant::now()), received: VecDeque::new() };
-        drop(incarnation);
-        self.set(|t| t.draining = false);
+        let mut startup = self.startup.lock().unwrap_or_else(PoisonError::into_inner);
+        *startup = Startup { started: Some(Instant::now()), received: VecDeque::new() };
+        drop(startup);
+        self.set(|disturbance| disturbance.draining = false);
         self.log.record(Event::Worker { worker: self.index, state: WorkerState::Started });
         self.up.send_replace(true);
     }
 
-    /// Share of its capacity that it has.
+    /// Returns its present capacity as a share of the full one, which rises linearly during the warm-up.
     fn capacity_share(&self, started: Option<Instant>, now: Instant) -> f64 {
         let world = &self.scenario.world;
         let Some(started) = started else { return 1.0 };
@@ -131,28 +144,30 @@
         if age >= world.cold_s { 1.0 } else { world.cold_from + (1.0 - world.cold_from) * age / world.cold_s }
     }
 
-    /// Takes note of work that came; `true`: it falls, as a cold worker that was sent too much.
+    /// Registers received work, in seconds on a nominal core. Returns the present share of its capacity, and whether the
+    /// work received in the overload window exceeds what it withstands during the warm-up.
     fn is_overloaded(&self, work: f64) -> (f64, bool) {
         let (world, now) = (&self.scenario.world, Instant::now());
-        let mut incarnation = self.incarnation.lock().unwrap_or_else(PoisonError::into_inner);
-        let capacity_share = self.capacity_share(incarnation.started, now);
+        let mut startup = self.startup.lock().unwrap_or_else(PoisonError::into_inner);
+        let capacity_share = self.capacity_share(startup.started, now);
         if capacity_share >= 1.0 {
-            incarnation.received.clear();
+            startup.received.clear();
             return (1.0, false);
         }
         let window = Duration::from_secs_f64(world.fall_s);
-        while incarnation.received.front().is_some_and(|(at, _)| now.duration_since(*at) > window) {
-            incarnation.received.pop_front();
+        while startup.received.front().is_some_and(|(at, _)| now.duration_since(*at) > window) {
+            startup.received.pop_front();
         }
-        incarnation.received.push_back((now, work));
-        let sent: f64 = incarnation.received.iter().map(|(_, w)| w).sum();
+        startup.received.push_back((now, work));
+        let sent: f64 = startup.received.iter().map(|(_, w)| w).sum();
         let overload_limit =
             world.fall_multiple * capacity_share * world.cores as f64 * self.speed * world.fall_s;
-        // A little for chance, as a few long requests in a row are nobody's fault.
+        // Allowance for chance: a few long requests in a row are not the gateways' fault.
         let slack = 4.0 * self.plan.mean_work;
         (capacity_share, sent > overload_limit + slack)
     }
 
+    /// Returns the header line with its load report, or nothing if reports are disabled.
     fn report(&self) -> String {
         if !self.scenario.world.reports {
             return String::new();
@@ -162,7 +177,7 @@
         format!("X-Pressure: TEXT inflight={}, queue={waiting}, served={served}\r\n", busy + waiting)
     }
 
-    /// Serves one connection to its end.
+    /// Serves one connection of a gateway until it ends.
     pub async fn serve(self: Arc<Self>, gate: usize, mut conn: Connection) {
         let open_connections = self.connections.fetch_add(1, Ordering::Relaxed);
         let mut incarnations = self.incarnations.subscribe();
@@ -174,6 +189,7 @@
         self.connections.fetch_sub(1, Ordering::Relaxed);
     }
 
+    /// Serves the requests of one connection; `open_connections` is the number of connections open before it.
     async fn exchange(&self, gate: usize, conn: &mut Connection, open_connections: usize) {
         let world = &self.scenario.world;
         if open_connections >= world.connections {
@@ -182,15 +198,15 @@
         self.log.record(Event::Handshake { gate, worker: self.index });
         let mut first = true;
         loop {
-            // Whatever can't be read, or breaks, ends the connection.
+            // A malformed message or an error ends the connection.
             let Ok(Some(message)) = http::read(conn).await else { return };
-            let mut trip = Duration::ZERO;
+            let mut handshake = Duration::ZERO;
             if std::mem::take(&mut first) {
-                trip += Duration::from_secs_f64(world.handshake_ms / 1e3);
+                handshake += Duration::from_secs_f64(world.handshake_ms / 1e3);
             }
             let left_gateway = Instant::now();
             conn.link.wait_for_transit(FlowDirection::Out, message.body.len() + 200).await;
-            tokio::time::sleep(trip).await;
+            tokio::time::sleep(handshake).await;
             let link_delay = left_gateway.elapsed().as_micros() as Micros;
             let closes = message.closes();
             let Some(response) = self.request(gate, conn, &message, link_delay).await else { return };
@@ -200,7 +216,7 @@
         }
     }
 
-    /// Serves one request; `None`: the gateway ended the connection, or gets no answer.
+    /// Serves one request and returns the response; `None` if the gateway closed the connection or gets no response.
     async fn request(
         &self,
         gate: usize,
@@ -225,7 +241,7 @@
         self.attempt(conn, &expected, work).await
     }
 
-    /// Does the work of one attempt and answers it, unless something is wrong with this worker.
+    /// Executes one attempt and returns the response, subject to the present faults.
     async fn attempt(
         &self,
         conn: &mut Connection,
@@ -237,7 +253,7 @@
             return Some(self.reject(work));
         }
         if disturbance.is_unresponsive {
-            // Nobody hears of it again: the gateway gives it up, or the worker dies.
+            // Never answers: waits until the gateway gives the attempt up or the worker dies.
             wait_for_close(conn).await;
             work.end(Ending::Silent);
             return None;
@@ -261,22 +277,24 @@
         self.answer(conn, &expected.answer(work.txn), &disturbance, work).await
     }
 
+    /// Draws whether a request gets an error immediately.
     fn fails_at_once(&self, errors: f64) -> bool {
         errors > 0.0 && self.draw() < errors || self.draw() < self.scenario.world.errors
     }
 
+    /// Whether all cores are busy and the queue is full.
     fn is_full(&self) -> bool {
         self.cores.available_permits() == 0
             && self.waiting.load(Ordering::Relaxed) >= self.scenario.world.queue
     }
 
-    /// Rejects a request without having begun it.
+    /// Rejects a request that has not begun to run, and returns the response.
     fn reject(&self, mut work: AttemptRecord<'_>) -> Vec<u8> {
         work.end(Ending::TurnedAway);
         http::answer(503, &format!("X-Turned-Away: 1\r\n{}", self.report()), b"")
     }
 
-    /// Waits for a free core; `None` where the gateway gives the attempt up before.
+    /// Waits in the queue for a free core; `None` if the gateway gives the attempt up before.
     async fn wait_for_core(
         &self,
         conn: &mut Connection,
@@ -299,7 +317,7 @@
         core.ok()
     }
 
-    /// Works for so many seconds; `None` where the gateway gives the attempt up before.
+    /// Occupies the core for so many seconds; `None` if the gateway gives the attempt up before.
     async fn work_for(
         &self,
         conn: &mut Connection,
@@ -319,7 +337,8 @@
         Some(())
     }
 
-    /// Answers an attempt whose work is done, unless the answer is to stop or break off half way.
+    /// Returns the response to an attempt whose work is done, or sends half of it and returns `None` if a fault stops it
+    /// half way.
     async fn answer(
         &self,
         conn: &mut Connection,
@@ -342,7 +361,8 @@
     }
 }
 
-/// Sends the first half of an answer and resets the connection: at once, or once the gateway has given it up.
+/// Sends the first half of an answer and resets the connection: immediately, or if the answer stalls, once the gateway
+/// has given the attempt up.
 async fn answer_half(conn: &mut Connection, body: &str, stalls: bool) {
     let half =
         if stalls { http::first_chunk(&body.as_bytes()[..body.len() / 2]) } else { http::first_half(body) };
@@ -352,17 +372,22 @@
     conn.reset();
 }
 
-/// An attempt's stay; however it ends, that is written down once.
+/// An attempt at this worker, whose end is recorded exactly once.
 struct AttemptRecord<'a> {
     worker: &'a Worker,
     txn: u64,
+    /// Seconds in the queue.
     queued: f64,
+    /// Seconds on a core.
     worked: f64,
+    /// Whether it has been given a core.
     begun: bool,
+    /// Whether its end has been recorded.
     is_logged: bool,
 }
 
 impl AttemptRecord<'_> {
+    /// Records its end.
     fn end(&mut self, how: Ending) {
         self.is_logged = true;
         let (txn, worker) = (self.txn, self.worker.index);
@@ -372,16 +397,16 @@
 
 impl Drop for AttemptRecord<'_> {
     fn drop(&mut self) {
-        // Dropped under way: the worker has died.
+        // Dropped without an end only if the worker died.
         if !self.is_logged {
             self.end(Ending::Died);
         }
     }
 }
 
-/// Waits until the gateway ends the connection or its sending: it gives the attempt up.
+/// Waits until the gateway closes the connection or its sending half, by which it gives the attempt up.
 async fn wait_for_close(conn: &mut Connection) {
-    // Bytes before the end are no protocol of ours; they wait for their turn.
+    // Data received before the end stays in the buffer.
     while let Ok(1..) = conn.fill().await {}
     let link = conn.link.clone();
     link.wait_for_transit(FlowDirection::Out, 0).await;
