--- a/lab/src/baseline.rs
+++ b/lab/src/baseline.rs
@@ -127,19 +127,28 @@
         let gate = (customer.first + rng.random_range(0..customer.spread)) % scenario.world.gatekeepers;
         let [least, most] = clients.try_share;
         let remaining = (class.deadline_ms / 1e3 * (least + (most - least) * rng.random::<f64>())).min(left);
-        let (plan, of) = (customer.plan, arrival.customer);
+        let (plan, customer_index) = (customer.plan, arrival.customer);
         self.record(
             now,
-            Event::Try { txn, first, again, gate, customer: of, plan, class: arrival.class, remaining },
+            Event::Try {
+                txn,
+                first,
+                again,
+                gate,
+                customer: customer_index,
+                plan,
+                class: arrival.class,
+                remaining,
+            },
         );
-        let (allowed, decided) = self.allows(now, of, gate);
+        let (allowed, decided) = self.admits(now, customer_index, gate);
         let free = self.cores.peek().map_or(0, |Reverse(at)| *at) as f64 / 1e6;
         let begins = free.max(decided);
         let ends = begins + arrival.work / self.speed;
         if !allowed || ends - now > remaining.min(class.aim_ms / 1e3) {
             if allowed {
                 // It is not sent to a worker, so its unit is returned.
-                self.return_unit(of, gate);
+                self.return_unit(customer_index, gate);
             }
             self.record(decided, Event::Answer { txn, outcome: Outcome::Refused { after: 0.5 } });
             let backoff =
@@ -152,7 +161,7 @@
         }
         self.cores.pop();
         self.cores.push(Reverse(micros(ends)));
-        self.in_flight.entry(of).or_default().push(ends);
+        self.in_flight.entry(customer_index).or_default().push(ends);
         self.record(decided, Event::Attempt { txn, gate, worker: 0, intact: true, link_delay: 0 });
         let (queued, worked) = (begins - decided, ends - begins);
         self.record(ends, Event::Ended { txn, worker: 0, how: Ending::Served, queued, worked });
@@ -167,19 +176,19 @@
     }
 
     /// Decides whether a gateway admits a customer's next unit, and returns the time of the decision.
-    fn allows(&mut self, now: f64, of: usize, gate: usize) -> (bool, f64) {
-        let customer = &self.plan.customers[of];
+    fn admits(&mut self, now: f64, customer_index: usize, gate: usize) -> (bool, f64) {
+        let customer = &self.plan.customers[customer_index];
         let scenario = &self.plan.scenario;
         let (plan, counter) = (&scenario.plans[customer.plan], &scenario.counter);
         let (rate, burst, spread) = (plan.rate, plan.burst, customer.spread as f64);
         let even = |shares: &mut HashMap<(usize, usize), Bucket>| {
             let share = || Bucket::full(rate / spread, (burst / spread).max(1.0));
-            shares.entry((of, gate)).or_insert_with(share).take(now)
+            shares.entry((customer_index, gate)).or_insert_with(share).take(now)
         };
-        let in_flight = self.in_flight.entry(of).or_default();
+        let in_flight = self.in_flight.entry(customer_index).or_default();
         in_flight.retain(|ends| *ends > now);
         let is_capped = plan.open > 0 && in_flight.len() >= plan.open as usize;
-        let exact = self.exact.entry(of).or_insert_with(|| Bucket::full(rate, burst));
+        let exact = self.exact.entry(customer_index).or_insert_with(|| Bucket::full(rate, burst));
         match self.policy {
             _ if is_capped && self.policy != Policy::EvenShare => (false, now),
             Policy::Exact => (exact.take(now), now),
@@ -203,7 +212,8 @@
     use crate::judge::judge;
 
     fn figures(policy: Policy) -> crate::judge::Verdict {
-        let scenario = Scenario::parse("name = \"x\"\nlength_s = 20\n[load]\nuse = 0.6").expect("a scenario");
+        let scenario =
+            Scenario::parse("name = \"x\"\nlength_s = 20\n[load]\nuse = 0.6").expect("a valid scenario");
         judge(&play(scenario, 1, policy))
     }
 
--- a/lab/src/run_delay/tests.rs
+++ b/lab/src/run_delay/tests.rs
@@ -10,7 +10,7 @@
     series
 }
 
-#[expect(clippy::float_cmp, reason = "sums of whole microseconds come back exactly")]
+#[expect(clippy::float_cmp, reason = "sums of whole microseconds are exact")]
 #[test]
 fn a_delay_counts_only_in_spans_that_overlap_its_sample() {
     let series = delayed_once();
@@ -25,7 +25,7 @@
     assert_eq!(delayed_once().0.len(), 4);
 }
 
-#[expect(clippy::float_cmp, reason = "sums of whole microseconds come back exactly")]
+#[expect(clippy::float_cmp, reason = "sums of whole microseconds are exact")]
 #[test]
 fn a_gateway_is_not_excused_by_the_delay_of_another() {
     let delays = RunDelays { gates: vec![DelaySeries::default(), delayed_once()], ..RunDelays::default() };
--- a/lab/src/scenario/check.rs
+++ b/lab/src/scenario/check.rs
@@ -181,44 +181,44 @@
 
     /// Returns the invalid keys of one fault, each with the reason.
     fn check_fault(&self, fault: &Fault) -> Vec<(&'static str, String)> {
-        let mut wrongs = Vec::new();
+        let mut problems = Vec::new();
         if !(0.0..self.length_s).contains(&fault.at_s) {
-            wrongs.push(("at_s", "must be within the run".to_owned()));
+            problems.push(("at_s", "must be within the run".to_owned()));
         }
         if fault.for_s.is_some_and(|s| !(s > 0.0 && s.is_finite())) {
-            wrongs.push(("for_s", "must be above 0".to_owned()));
+            problems.push(("for_s", "must be above 0".to_owned()));
         }
         if !(0.0..=1.0).contains(&fault.share) || !(0.0..=1.0).contains(&fault.never) {
-            wrongs.push(("share", "must be from 0 to 1, and so must never".to_owned()));
+            problems.push(("share", "must be from 0 to 1, and so must never".to_owned()));
         }
         if !(0.01..=1000.0).contains(&fault.times) {
-            wrongs.push(("times", "must be from 0.01 to 1000".to_owned()));
+            problems.push(("times", "must be from 0.01 to 1000".to_owned()));
         }
         if !(fault.step > 0.0 && fault.step <= 1.0) {
-            wrongs.push(("step", "must be above 0 and at most 1".to_owned()));
+            problems.push(("step", "must be above 0 and at most 1".to_owned()));
         }
         if !(0.0..=60_000.0).contains(&fault.ms) || !(0.0..=60_000.0).contains(&fault.jitter_ms) {
-            wrongs.push(("ms", "must be from 0 to 60000, and so must jitter_ms".to_owned()));
+            problems.push(("ms", "must be from 0 to 60000, and so must jitter_ms".to_owned()));
         }
         if fault.what == FaultKind::Throttle && fault.bytes_per_s < 1.0 {
-            wrongs.push(("bytes_per_s", "must be 1 or more".to_owned()));
+            problems.push(("bytes_per_s", "must be 1 or more".to_owned()));
         }
         if matches!(fault.what, FaultKind::Pause | FaultKind::Roll) && fault.for_s.is_none() {
-            wrongs.push(("for_s", "is required for this kind of fault".to_owned()));
+            problems.push(("for_s", "is required for this kind of fault".to_owned()));
         }
         if fault.disk != Disk::Kept && !self.world.disk {
-            wrongs.push(("disk", "requires world.disk".to_owned()));
+            problems.push(("disk", "requires world.disk".to_owned()));
         }
         let zones = &self.world.zones;
         for (key, text) in [("gates", &fault.gates), ("workers", &fault.workers)] {
             if let Err(why) = Selection::parse(text, zones) {
-                wrongs.push((key, why.to_string()));
+                problems.push((key, why.to_string()));
             }
         }
         if let Err(why) = Peers::parse(&fault.peers, zones) {
-            wrongs.push(("peers", why.to_string()));
+            problems.push(("peers", why.to_string()));
         }
-        wrongs
+        problems
     }
 }
 
--- a/lab/src/scenario/defaults.rs
+++ b/lab/src/scenario/defaults.rs
@@ -1,7 +1,7 @@
 //! Default values of optional keys in scenario files.
 
 /// Default seeds of a scenario.
-pub(super) fn default_seeds() -> Vec<u64> {
+pub(super) fn two_seeds() -> Vec<u64> {
     vec![1, 2]
 }
 
@@ -26,7 +26,7 @@
 }
 
 /// Default of 0.1.
-pub(super) fn one_tenth() -> f64 {
+pub(super) fn tenth() -> f64 {
     0.1
 }
 
--- a/lab/src/scenario/fault.rs
+++ b/lab/src/scenario/fault.rs
@@ -1,6 +1,6 @@
 //! Faults that a scenario injects: their kinds, times and targets.
 
-use super::defaults::{all, one, one_tenth, two};
+use super::defaults::{all, one, tenth, two};
 use serde::{Deserialize, Serialize};
 
 /// The kind of a fault.
@@ -127,7 +127,7 @@
     #[serde(default)]
     pub disk: Disk,
     /// Share of the gateways that a rolling restart stops at a time.
-    #[serde(default = "one_tenth")]
+    #[serde(default = "tenth")]
     pub step: f64,
 }
 
--- a/lab/src/scenario/mod.rs
+++ b/lab/src/scenario/mod.rs
@@ -23,7 +23,7 @@
 pub use target::{Peers, Selection};
 pub use world::{CounterSpec, DiscoverySpec, World};
 
-use defaults::{default_lead, default_seeds};
+use defaults::{default_lead, two_seeds};
 use serde::{Deserialize, Serialize};
 
 /// Greatest number of gateways in a run.
@@ -42,7 +42,7 @@
     /// Duration of the load.
     pub length_s: f64,
     /// Seeds of the default runs.
-    #[serde(default = "default_seeds")]
+    #[serde(default = "two_seeds")]
     pub seeds: Vec<u64>,
     /// Length of the lead-in, which the metrics leave out, as connections and leases are established in it.
     #[serde(default = "default_lead")]
--- a/lab/src/scenario/parse.rs
+++ b/lab/src/scenario/parse.rs
@@ -37,7 +37,7 @@
     /// # Errors
     /// All errors in the table.
     pub fn from_table(table: Table) -> Result<Self, Invalid> {
-        let mut wrongs = Vec::new();
+        let mut problems = Vec::new();
         let mut unknown = BTreeSet::new();
         let mut value = Value::Table(table);
         let read = loop {
@@ -50,24 +50,24 @@
                 Ok(read) => break Some(read),
                 Err(error) => {
                     let path = track.path();
-                    wrongs.push(Problem { key: path.to_string(), why: error.message().trim().to_owned() });
+                    problems.push(Problem { key: path.to_string(), why: error.message().trim().to_owned() });
                     // Removes the invalid value and parses again, to find errors in the rest.
-                    if wrongs.len() >= MAX_ERRORS || !remove(&mut value, &path) {
+                    if problems.len() >= MAX_ERRORS || !remove(&mut value, &path) {
                         break None;
                     }
                 }
             }
         };
         let tidy = |key: String| key.replace(".?", "");
-        wrongs.extend(
+        problems.extend(
             unknown.into_iter().map(|key| Problem { key: tidy(key), why: "is no known key".to_owned() }),
         );
         if let Some(read) = &read {
-            wrongs.extend(read.check());
+            problems.extend(read.check());
         }
         match read {
-            Some(read) if wrongs.is_empty() => Ok(read),
-            _ => Err(Invalid(wrongs)),
+            Some(read) if problems.is_empty() => Ok(read),
+            _ => Err(Invalid(problems)),
         }
     }
 }
--- a/lab/src/scenario/tests.rs
+++ b/lab/src/scenario/tests.rs
@@ -21,8 +21,8 @@
         at_s = 1
         gates = "lots"
     "#;
-    let Err(Invalid(wrongs)) = Scenario::parse(text) else { panic!("the scenario is invalid") };
-    let keys: BTreeSet<&str> = wrongs.iter().map(|w| w.key.as_str()).collect();
+    let Err(Invalid(problems)) = Scenario::parse(text) else { panic!("an invalid scenario was accepted") };
+    let keys: BTreeSet<&str> = problems.iter().map(|w| w.key.as_str()).collect();
     let want = [
         "world.gatekeepers",
         "world.workers",
--- a/lab/src/world/front.rs
+++ b/lab/src/world/front.rs
@@ -48,7 +48,8 @@
 impl Front {
     pub fn new(plan: Arc<Plan>, log: Arc<Log>, gates: Vec<Arc<Gate>>) -> Arc<Self> {
         let pools = gates.iter().map(|_| Mutex::default()).collect();
-        let late = Histogram::new(3).unwrap_or_else(|_| unreachable!("three digits are allowed"));
+        let late = Histogram::new(3)
+            .unwrap_or_else(|_| unreachable!("a histogram supports three significant digits"));
         Arc::new(Self { plan, log, gates, pools, late: Mutex::new(late), sent: AtomicU64::new(0) })
     }
 
--- a/lab/src/world/plan.rs
+++ b/lab/src/world/plan.rs
@@ -99,7 +99,7 @@
     }
 }
 
-/// Hashes a number with the finaliser of SplitMix64.
+/// Hashes a number with the finaliser of `SplitMix64`.
 #[must_use]
 pub fn mix(n: u64) -> u64 {
     let mut z = n.wrapping_add(0x9E37_79B9_7F4A_7C15);
@@ -321,7 +321,7 @@
     use super::*;
 
     fn scenario(rest: &str) -> Scenario {
-        Scenario::parse(&format!("name = \"x\"\nlength_s = 20\n{rest}")).expect("a scenario")
+        Scenario::parse(&format!("name = \"x\"\nlength_s = 20\n{rest}")).expect("a valid scenario")
     }
 
     #[test]
