--- a/lab/src/judge/departures.rs
+++ b/lab/src/judge/departures.rs
@@ -33,9 +33,8 @@
         self.verdict.gone = [waited as u64, sent.len() as u64];
         let (share, least) = MAX_SENT_AFTER_DEPARTURE;
         if waited >= least && sent.len() as f64 > share * waited as f64 {
-            let found = |(at, txn)| {
-                (Rule::Gone, at, format!("{txn:016x} was sent to a worker after its client had disconnected"))
-            };
+            let found =
+                |(at, txn)| (Rule::Gone, at, format!("{txn:016x} was sent after its client disconnected"));
             self.add_violations(sent.into_iter().map(found).collect());
         }
     }
--- a/lab/src/world/worker.rs
+++ b/lab/src/world/worker.rs
@@ -144,7 +144,7 @@
         if age >= world.cold_s { 1.0 } else { world.cold_from + (1.0 - world.cold_from) * age / world.cold_s }
     }
 
-    /// Registers received work, in seconds on a nominal core. Returns the present share of its capacity, and whether the
+    /// Registers received work, in seconds on a nominal core. Returns its present capacity as a share, and whether the
     /// work received in the overload window exceeds what it withstands during the warm-up.
     fn is_overloaded(&self, work: f64) -> (f64, bool) {
         let (world, now) = (&self.scenario.world, Instant::now());
