--- a/lab/src/judge/quotas.rs
+++ b/lab/src/judge/quotas.rs
@@ -28,7 +28,7 @@
 /// Exact account of one customer.
 struct Account {
     quota: Bucket,
-    ceiling: Bucket,
+    rate_limit: Bucket,
     /// Tries in flight at workers.
     open: u32,
     /// Units admitted beyond the quota.
@@ -39,7 +39,7 @@
     fn new(plan: &PlanSpec) -> Self {
         Self {
             quota: Bucket::full(plan.rate, plan.burst),
-            ceiling: Bucket::full(plan.ceiling_rate, plan.ceiling_burst),
+            rate_limit: Bucket::full(plan.ceiling_rate, plan.ceiling_burst),
             open: 0,
             beyond: 0,
         }
@@ -50,10 +50,10 @@
         if plan.ceiling_rate <= 0.0 {
             return None;
         }
-        self.ceiling.refill(at);
-        self.ceiling.level -= 1.0;
+        self.rate_limit.refill(at);
+        self.rate_limit.level -= 1.0;
         let slack = plan.slack + RATE_LIMIT_SLACK_S * plan.ceiling_rate;
-        (self.ceiling.level < -slack).then_some(-self.ceiling.level)
+        (self.rate_limit.level < -slack).then_some(-self.rate_limit.level)
     }
 }
 
--- a/lab/src/scenario/check.rs
+++ b/lab/src/scenario/check.rs
@@ -88,9 +88,9 @@
             ("clients.try_share[0]", self.clients.try_share[0], 0.01, self.clients.try_share[1]),
             ("clients.try_share[1]", self.clients.try_share[1], 0.01, 1.0),
         ];
-        for (key, value, least, most) in ranges {
-            if !(least..=most).contains(&value) {
-                problems.add(key, &format!("must be from {least} to {most}"));
+        for (key, value, min, max) in ranges {
+            if !(min..=max).contains(&value) {
+                problems.add(key, &format!("must be from {min} to {max}"));
             }
         }
     }
