--- a/lab/src/http.rs
+++ b/lab/src/http.rs
@@ -168,13 +168,13 @@
         for cut in 0..bytes.len() {
             assert!(Message::parse(&bytes[..cut]).is_ok_and(|m| m.is_none()), "{cut} bytes are incomplete");
         }
-        let (message, used) = Message::parse(&bytes).expect("well-formed").expect("complete");
+        let (message, used) = Message::parse(&bytes).expect("readable").expect("complete");
         assert_eq!((message.status(), message.header("x-a"), used), (200, Some("b"), bytes.len()));
         assert_eq!(message.body, b"body");
         let mut bytes = first_chunk(b"bo");
         assert!(Message::parse(&bytes).is_ok_and(|m| m.is_none()), "the last chunk is missing");
         bytes.extend_from_slice(b"2\r\ndy\r\n0\r\n\r\nHTTP");
-        let (message, used) = Message::parse(&bytes).expect("well-formed").expect("complete");
+        let (message, used) = Message::parse(&bytes).expect("readable").expect("complete");
         assert_eq!((message.body.as_slice(), &bytes[used..]), (b"body".as_slice(), b"HTTP".as_slice()));
         assert!(first_half("body").ends_with(b"\r\n\r\nbo"));
         let bad: [&[u8]; 5] = [
