--- a/lab/src/tier/client.rs
+++ b/lab/src/tier/client.rs
@@ -29,7 +29,7 @@
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Counts the tries of all clients, so that no two share an id.
-static TRIES: AtomicU64 = AtomicU64::new(1);
+static NEXT_REQUEST_NUMBER: AtomicU64 = AtomicU64::new(1);
 
 /// What a client asks for.
 #[derive(Debug, Clone)]
@@ -83,27 +83,27 @@
     platform: Platform,
     zone: String,
     hash: u64,
-    tries: Arc<AtomicU64>,
-    kept: Arc<Mutex<HashMap<SocketAddr, Peer>>>,
+    sent_count: Arc<AtomicU64>,
+    idle_connections: Arc<Mutex<HashMap<SocketAddr, Peer>>>,
 }
 
 impl Client {
     /// A client; `hash` decides which gatekeeper it meets first.
     #[must_use]
     pub fn new(log: Log, platform: Platform, zone: &str, hash: u64) -> Self {
-        let (tries, kept) = (Arc::new(AtomicU64::new(0)), Arc::default());
-        Self { log, platform, zone: zone.to_owned(), hash, tries, kept }
+        let (sent_count, idle_connections) = (Arc::new(AtomicU64::new(0)), Arc::default());
+        Self { log, platform, zone: zone.to_owned(), hash, sent_count, idle_connections }
     }
 
     /// Asks, and tries again as far as the protocol lets it.
     pub async fn send(&self, spec: &RequestSpec) -> Reply {
         let until = Instant::now() + spec.deadline;
-        let mut tries = 0;
+        let mut attempts = 0;
         loop {
-            let reply = self.attempt(spec, until, tries == 0).await;
-            tries += 1;
+            let reply = self.attempt(spec, until, attempts == 0).await;
+            attempts += 1;
             let Some(pause) = may_retry(spec.route.kind, &reply.outcome, until) else { return reply };
-            if tries > spec.retries || Instant::now() + pause >= until {
+            if attempts > spec.retries || Instant::now() + pause >= until {
                 return reply;
             }
             tokio::time::sleep(pause).await;
@@ -112,8 +112,8 @@
 
     /// Sends one try to a gatekeeper of the platform's choice.
     pub async fn attempt(&self, ask: &RequestSpec, until: Instant, may_reuse: bool) -> Reply {
-        let number = self.tries.fetch_add(1, Ordering::Relaxed);
-        let id = format!("{:04x}{:06x}", self.hash, TRIES.fetch_add(1, Ordering::Relaxed));
+        let number = self.sent_count.fetch_add(1, Ordering::Relaxed);
+        let id = format!("{:04x}{:06x}", self.hash, NEXT_REQUEST_NUMBER.fetch_add(1, Ordering::Relaxed));
         let Some(entry) = self.platform.choose(&self.zone, self.hash.wrapping_add(number)) else {
             let outcome = Outcome::Closed { request_written: false };
             return Reply { request: id, outcome, events: Vec::new() };
@@ -148,14 +148,14 @@
         }
     }
 
-    fn take_kept(&self, address: SocketAddr) -> Option<Peer> {
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
+    fn take_idle_connection(&self, address: SocketAddr) -> Option<Peer> {
+        let mut idle_connections = self.idle_connections.lock().unwrap_or_else(PoisonError::into_inner);
         // Bytes that came while nothing was asked belong to no request; one that has ended serves no other.
-        kept.remove(&address).filter(Peer::is_quiet)
+        idle_connections.remove(&address).filter(Peer::is_reusable)
     }
 
-    fn keep(&self, address: SocketAddr, peer: Peer) {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner).insert(address, peer);
+    fn put_idle_connection(&self, address: SocketAddr, peer: Peer) {
+        self.idle_connections.lock().unwrap_or_else(PoisonError::into_inner).insert(address, peer);
     }
 }
 
@@ -193,8 +193,8 @@
         until: Instant,
         may_reuse: bool,
     ) -> io::Result<Outcome> {
-        let kept = if may_reuse { client.take_kept(address) } else { None };
-        let mut peer = match kept {
+        let idle = if may_reuse { client.take_idle_connection(address) } else { None };
+        let mut peer = match idle {
             Some(peer) => peer,
             None => Peer::connect(address, CONNECT_LIMIT).await?,
         };
@@ -205,7 +205,7 @@
         self.status = Some((head.status(), signature.clone()));
         let body = self.read_body(&mut peer, &head).await?;
         if !head.closes() {
-            client.keep(address, peer);
+            client.put_idle_connection(address, peer);
         }
         let retry_after = head.header("retry-after").and_then(|s| s.parse::<f64>().ok());
         let retry_after = retry_after.and_then(|s| Duration::try_from_secs_f64(s).ok());
@@ -226,7 +226,10 @@
             if let Some(budget) = turn.program.budget {
                 headers.push(("Model", "m".to_owned()));
                 headers.push(("Budget", budget.to_string()));
-                headers.push(("Token-Usage", format!("{},{}", turn.prompt_tokens, turn.program.most)));
+                headers.push((
+                    "Token-Usage",
+                    format!("{},{}", turn.prompt_tokens, turn.program.max_output_tokens),
+                ));
                 headers.push(("Prompt-Prefix", turn.prompt_prefix.clone()));
             }
             if let Some(previous) = &turn.previous {
--- a/lab/src/tier/deployment.rs
+++ b/lab/src/tier/deployment.rs
@@ -93,13 +93,14 @@
         for route in self.configuration.routes.clone() {
             let client = self.client("zone-1");
             loop {
-                let told = self.warm_up(&route).run(&client).await;
-                if told.outcome == ProgramOutcome::Completed {
+                let report = self.warm_up(&route).run(&client).await;
+                if report.outcome == ProgramOutcome::Completed {
                     break;
                 }
                 if tokio::time::Instant::now() > until {
-                    let what = format!("{} is not served: {told:?}, {}", route.name, self.last_outcomes());
-                    return Err(self.tier.timeout_error(what, START_LIMIT));
+                    let description =
+                        format!("{} is not served: {report:?}, {}", route.name, self.last_outcomes());
+                    return Err(self.tier.timeout_error(description, START_LIMIT));
                 }
             }
         }
@@ -171,7 +172,7 @@
             turns: 4,
             sub_agents: None,
             budget: 10_000,
-            most: 30,
+            max_output_tokens: 30,
             chunk_tokens: ENGINE.chunk_tokens,
             deadline: Duration::from_secs(4),
             loops: false,
@@ -225,7 +226,7 @@
     #[must_use]
     pub fn last_outcomes(&self) -> String {
         let seen = self.tier.log.observations();
-        let ended = seen.iter().rev().filter_map(|s| match &s.what {
+        let ended = seen.iter().rev().filter_map(|s| match &s.observation {
             Observation::RequestEnded {
                 request,
                 outcome: Outcome::Answered { status, body, retry_after, .. },
--- a/lab/src/tier/fault.rs
+++ b/lab/src/tier/fault.rs
@@ -11,9 +11,9 @@
 use std::{sync::Arc, time::Duration};
 
 /// How long what is killed on the usual day stays down.
-const DOWN: Duration = Duration::from_millis(800);
+const STANDARD_DOWNTIME: Duration = Duration::from_millis(800);
 /// Bounds of what is drawn for it, in milliseconds.
-const DRAWN_DOWN_MS: (u64, u64) = (50, 6000);
+const RANDOM_DOWNTIME_MS: (u64, u64) = (50, 6000);
 /// How long a machine with a disk counts as lost after it is back: no other may be lost meanwhile.
 const CATCH_UP: Duration = Duration::from_millis(4400);
 /// How long an order may take.
@@ -64,44 +64,44 @@
 /// What befalls the tier, one after the other.
 pub enum FaultSequence {
     /// As listed.
-    Usual(std::vec::IntoIter<TierFault>),
+    Standard(std::vec::IntoIter<TierFault>),
     /// Drawn, without end.
-    Drawn(Box<ChaCha8Rng>),
+    Random(Box<ChaCha8Rng>),
 }
 
 impl FaultSequence {
     /// Those of the usual day.
     #[must_use]
-    pub fn usual() -> Self {
+    pub fn standard() -> Self {
         let (killed, stopped) = ("edge-1".to_owned(), "edge-2".to_owned());
-        let usual = vec![
+        let faults = vec![
             TierFault::KillOwner,
             TierFault::ChangeConfiguration,
-            TierFault::Kill(killed, DOWN),
+            TierFault::Kill(killed, STANDARD_DOWNTIME),
             TierFault::WorkerLeaves,
             TierFault::Stop(stopped),
         ];
-        Self::Usual(usual.into_iter())
+        Self::Standard(faults.into_iter())
     }
 
     /// Those that a seed gives.
     #[must_use]
-    pub fn drawn(seed: u64) -> Self {
-        Self::Drawn(Box::new(ChaCha8Rng::seed_from_u64(seed)))
+    pub fn random(seed: u64) -> Self {
+        Self::Random(Box::new(ChaCha8Rng::seed_from_u64(seed)))
     }
 
     /// The next one, for the tier as it is now.
     pub fn next(&mut self, deployment: &Deployment) -> Option<TierFault> {
         match self {
-            Self::Usual(faults) => faults.next(),
-            Self::Drawn(rng) => Some(draw(rng, deployment)),
+            Self::Standard(faults) => faults.next(),
+            Self::Random(rng) => Some(random_fault(rng, deployment)),
         }
     }
 }
 
 impl TierFault {
     /// Whether a machine with a disk is lost for a while.
-    fn takes_disk(&self) -> bool {
+    fn affects_disk(&self) -> bool {
         match self {
             Self::KillOwner | Self::LosePower => true,
             Self::Kill(name, _)
@@ -118,25 +118,25 @@
     /// # Errors
     /// Something did not come back in time.
     pub async fn inject(&self, deployment: &mut Deployment) -> Result<(), TierError> {
-        self.begin_and_end(deployment).await?;
-        if self.takes_disk() {
+        self.inject_and_recover(deployment).await?;
+        if self.affects_disk() {
             deployment.tier.wait_for_control(START_LIMIT).await?;
             tokio::time::sleep(CATCH_UP).await;
         }
         Ok(())
     }
 
-    async fn begin_and_end(&self, deployment: &mut Deployment) -> Result<(), TierError> {
+    async fn inject_and_recover(&self, deployment: &mut Deployment) -> Result<(), TierError> {
         let tier = &mut deployment.tier;
         match self {
             Self::KillOwner => {
                 let owner = tier.machine_that_logged(OWNER_LOG).unwrap_or_else(|| "core-1".to_owned());
-                kill(deployment, &owner, DOWN).await
+                kill(deployment, &owner, STANDARD_DOWNTIME).await
             }
-            Self::Kill(name, down) => kill(deployment, name, *down).await,
-            Self::Pause(name, down) => {
+            Self::Kill(name, downtime) => kill(deployment, name, *downtime).await,
+            Self::Pause(name, downtime) => {
                 tier.pause(name)?;
-                tokio::time::sleep(*down).await;
+                tokio::time::sleep(*downtime).await;
                 tier.resume(name)
             }
             Self::Wipe(name) => {
@@ -163,7 +163,7 @@
                 lose_acknowledgement(deployment).await;
                 Ok(())
             }
-            Self::WorkerLeaves | Self::WorkerCrashes => self.worker_goes(deployment),
+            Self::WorkerLeaves | Self::WorkerCrashes => self.replace_worker(deployment),
             Self::WorkersFail(fault) => {
                 deployment.workers.iter().for_each(|w| w.inject_fault(*fault));
                 Ok(())
@@ -171,7 +171,7 @@
         }
     }
 
-    fn worker_goes(&self, deployment: &mut Deployment) -> Result<(), TierError> {
+    fn replace_worker(&self, deployment: &mut Deployment) -> Result<(), TierError> {
         if deployment.workers.is_empty() {
             return Ok(());
         }
@@ -186,9 +186,9 @@
     }
 }
 
-async fn kill(deployment: &mut Deployment, name: &str, down: Duration) -> Result<(), TierError> {
+async fn kill(deployment: &mut Deployment, name: &str, downtime: Duration) -> Result<(), TierError> {
     deployment.tier.kill(name).await?;
-    tokio::time::sleep(down).await;
+    tokio::time::sleep(downtime).await;
     deployment.tier.start_machine(name)
 }
 
@@ -219,15 +219,15 @@
     }
 }
 
-fn draw(rng: &mut ChaCha8Rng, deployment: &Deployment) -> TierFault {
+fn random_fault(rng: &mut ChaCha8Rng, deployment: &Deployment) -> TierFault {
     let names = deployment.tier.names();
     let any = names.choose(rng).cloned().unwrap_or_default();
     let is_edge = any.starts_with(Class::Edge.name());
-    let (least, most) = DRAWN_DOWN_MS;
-    let down = Duration::from_millis(rng.random_range(least..most));
+    let (min, max) = RANDOM_DOWNTIME_MS;
+    let downtime = Duration::from_millis(rng.random_range(min..max));
     match rng.random_range(0..14) {
-        0 | 1 => TierFault::Kill(any, down),
-        2 | 3 => TierFault::Pause(any, down),
+        0 | 1 => TierFault::Kill(any, downtime),
+        2 | 3 => TierFault::Pause(any, downtime),
         4 if !is_edge => TierFault::Wipe(any),
         4 | 5 => TierFault::Stop(any),
         6 => TierFault::Reload(any),
--- a/lab/src/tier/fleet.rs
+++ b/lab/src/tier/fleet.rs
@@ -59,8 +59,8 @@
     Io(#[from] io::Error),
     #[error("no machine is called {0:?}")]
     NoMachine(String),
-    #[error("{what} within {limit:?}; the last words of its processes:\n{log_tails}")]
-    Timeout { what: String, limit: Duration, log_tails: String },
+    #[error("{description} within {limit:?}; the last words of its processes:\n{log_tails}")]
+    Timeout { description: String, limit: Duration, log_tails: String },
 }
 
 /// A tier that runs.
@@ -107,7 +107,7 @@
         for (class, count) in counts.into_iter().chain([(Class::Edge, tier.spec.edges)]) {
             for number in 1..=count {
                 let zone = tier.spec.zones[(number - 1) % tier.spec.zones.len()].clone();
-                tier.lay_out(&format!("{}-{number}", class.name()), class, &zone, true)?;
+                tier.create_machine(&format!("{}-{number}", class.name()), class, &zone, true)?;
             }
         }
         tier.seeds = tier.control_addresses().into_iter().take(MAX_SEEDS).collect();
@@ -119,7 +119,13 @@
         Ok(tier)
     }
 
-    fn lay_out(&mut self, name: &str, class: Class, zone: &str, bootstrap: bool) -> Result<(), TierError> {
+    fn create_machine(
+        &mut self,
+        name: &str,
+        class: Class,
+        zone: &str,
+        bootstrap: bool,
+    ) -> Result<(), TierError> {
         let ip = Ipv4Addr::new(127, self.network, class as u8 + 1, self.next_host);
         self.next_host += 1;
         let mut machine = Machine::new(name, class, ip, zone, &self.program, self.folder.path())?;
@@ -177,7 +183,7 @@
 
     fn write_settings(&self, machine: &Machine) -> io::Result<()> {
         for role in machine.class.roles() {
-            let facts = SettingsFile {
+            let settings = SettingsFile {
                 machine: &machine.name,
                 class: machine.class,
                 role,
@@ -192,7 +198,7 @@
                 heartbeat_ms: self.spec.heartbeat.as_millis() as u64,
                 bounds: self.spec.bounds,
             };
-            fs::write(machine.settings_path(role), facts.text())?;
+            fs::write(machine.settings_path(role), settings.text())?;
         }
         Ok(())
     }
@@ -327,7 +333,7 @@
         let grace = Duration::from_millis(self.spec.bounds.grace_ms);
         let machine = self.machine(name)?;
         machine.signal(Signal::TERM);
-        Ok(machine.ended(grace).await)
+        Ok(machine.wait_for_exit(grace).await)
     }
 
     /// Kills a machine and empties its disk; it can be started again at its address.
@@ -346,7 +352,7 @@
     /// # Errors
     /// It can't be laid out or started.
     pub fn add(&mut self, name: &str, class: Class, zone: &str) -> Result<(), TierError> {
-        self.lay_out(name, class, zone, false)?;
+        self.create_machine(name, class, zone, false)?;
         self.start_machine(name)?;
         self.controls.set(self.control_addresses());
         Ok(())
@@ -421,7 +427,7 @@
     /// # Errors
     /// There is no such machine, or they did not in time.
     pub async fn wait_for_log(&self, name: &str, text: &str, limit: Duration) -> Result<(), TierError> {
-        self.wait(name, limit, text, |machine| machine.has_logged(text)).await
+        self.wait_for_machine(name, limit, text, |machine| machine.has_logged(text)).await
     }
 
     /// The same since their last start.
@@ -434,10 +440,10 @@
         text: &str,
         limit: Duration,
     ) -> Result<(), TierError> {
-        self.wait(name, limit, text, |machine| machine.has_logged_since_start(text)).await
+        self.wait_for_machine(name, limit, text, |machine| machine.has_logged_since_start(text)).await
     }
 
-    async fn wait(
+    async fn wait_for_machine(
         &self,
         name: &str,
         limit: Duration,
@@ -483,8 +489,8 @@
         self.machines.iter().map(Machine::log_tail).collect()
     }
 
-    pub(super) fn timeout_error(&self, what: String, limit: Duration) -> TierError {
-        TierError::Timeout { what, limit, log_tails: self.log_tails() }
+    pub(super) fn timeout_error(&self, description: String, limit: Duration) -> TierError {
+        TierError::Timeout { description, limit, log_tails: self.log_tails() }
     }
 }
 
--- a/lab/src/tier/judge/control.rs
+++ b/lab/src/tier/judge/control.rs
@@ -13,18 +13,18 @@
 const AFTER_GRACE_MS: u64 = 1000;
 
 pub fn check(index: &Index<'_>, bounds: &Bounds) -> Vec<Violation> {
-    let mut broken = drains(index, bounds);
-    broken.extend(old_versions(index, bounds));
-    broken.extend(never_in_force(index));
-    broken.extend(answers_to_changes(index));
-    broken.extend(reads(index));
-    broken.extend(lost_at_stops(index, bounds));
-    broken
+    let mut violations = drains(index, bounds);
+    violations.extend(old_versions(index, bounds));
+    violations.extend(never_in_force(index));
+    violations.extend(answers_to_changes(index));
+    violations.extend(reads(index));
+    violations.extend(lost_at_stops(index, bounds));
+    violations
 }
 
 fn drains(index: &Index<'_>, bounds: &Bounds) -> Vec<Violation> {
-    let mut broken = Vec::new();
-    for (left_ms, worker, leave) in &index.leaves {
+    let mut violations = Vec::new();
+    for (left_ms, worker, departure) in &index.departures {
         for (id, request) in &index.requests {
             let Some((_, sent)) = request.sent else { continue };
             let late =
@@ -32,13 +32,13 @@
             let reached =
                 request.reached.iter().find(|(at, w)| w == worker && *at > left_ms + bounds.drain_ms);
             let (Some(_), Some((at_ms, _))) = (late, reached) else { continue };
-            if index.in_touch(&sent.machine, *at_ms, bounds.contact_ms) {
-                let what = format!("{id} reached {worker} {} ms after {leave:?}", at_ms - left_ms);
-                broken.push(Violation { rule: Rule::Drain, at_ms: *at_ms, what });
+            if index.is_undisturbed(&sent.machine, *at_ms, bounds.contact_ms) {
+                let description = format!("{id} reached {worker} {} ms after {departure:?}", at_ms - left_ms);
+                violations.push(Violation { rule: Rule::Drain, at_ms: *at_ms, description });
             }
         }
     }
-    broken
+    violations
 }
 
 /// The versions that may be in force on a machine in touch for a request sent at a moment.
@@ -52,13 +52,14 @@
 fn old_versions(index: &Index<'_>, bounds: &Bounds) -> Vec<Violation> {
     let handled = |(id, request): (&&str, &Request<'_>)| {
         let (sent_ms, sent) = request.sent?;
-        if !index.in_touch(&sent.machine, sent_ms, bounds.contact_ms) {
+        if !index.is_undisturbed(&sent.machine, sent_ms, bounds.contact_ms) {
             return None;
         }
         let versions = may_be_in_force(index, sent_ms, bounds.config_apply_ms);
         let routes = versions.iter().filter_map(|v| services_for(&v.json, &sent.host, &sent.path));
         let routes: Vec<Vec<String>> = routes.collect();
-        let report = |what: String| Some(Violation { rule: Rule::Configuration, at_ms: sent_ms, what });
+        let report =
+            |description: String| Some(Violation { rule: Rule::Configuration, at_ms: sent_ms, description });
         if let Some(run) = request.runs.first()
             && !routes.iter().flatten().any(|s| s == run.service)
         {
@@ -77,7 +78,7 @@
 
 /// Runs that only a refused or invalid version allows.
 fn never_in_force(index: &Index<'_>) -> Vec<Violation> {
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for (id, request) in &index.requests {
         for run in &request.runs {
             let allows = |v: &&Version<'_>| {
@@ -86,65 +87,67 @@
             let allowing: Vec<_> = index.versions.iter().filter(allows).collect();
             let refused = |v: &&&Version<'_>| !v.valid || (400..500).contains(&v.status);
             if !allowing.is_empty() && allowing.iter().all(|v| refused(&v)) {
-                let what = format!("{id} ran as only a refused configuration allows");
-                broken.push(Violation { rule: Rule::Configuration, at_ms: run.at_ms, what });
+                let description = format!("{id} ran as only a refused configuration allows");
+                violations.push(Violation { rule: Rule::Configuration, at_ms: run.at_ms, description });
             }
         }
     }
-    broken
+    violations
 }
 
 fn answers_to_changes(index: &Index<'_>) -> Vec<Violation> {
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     let acknowledged: Vec<_> = index.versions.iter().filter(|v| v.acknowledged_ms.is_some()).collect();
     for (i, version) in acknowledged.iter().enumerate() {
         let at_ms = version.acknowledged_ms.unwrap_or(version.sent_ms);
         if !version.valid {
-            let what = format!("the invalid configuration {} was acknowledged", version.generation);
-            broken.push(Violation { rule: Rule::Configuration, at_ms, what });
+            let description = format!("the invalid configuration {} was acknowledged", version.generation);
+            violations.push(Violation { rule: Rule::Configuration, at_ms, description });
         }
         if acknowledged[..i].iter().any(|v| v.generation == version.generation) {
-            let what = format!("two changes to generation {} were acknowledged", version.generation);
-            broken.push(Violation { rule: Rule::Configuration, at_ms, what });
+            let description = format!("two changes to generation {} were acknowledged", version.generation);
+            violations.push(Violation { rule: Rule::Configuration, at_ms, description });
         }
         let later = acknowledged.iter().any(|v| v.generation > version.generation);
         if !later && (400..500).contains(&version.status) {
-            let what = format!("generation {} was refused after it was acknowledged", version.generation);
-            broken.push(Violation { rule: Rule::Configuration, at_ms, what });
+            let description =
+                format!("generation {} was refused after it was acknowledged", version.generation);
+            violations.push(Violation { rule: Rule::Configuration, at_ms, description });
         }
     }
-    broken
+    violations
 }
 
 fn reads(index: &Index<'_>) -> Vec<Violation> {
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for (at_ms, body) in &index.reads {
         let before = index.versions.iter().filter(|v| v.acknowledged_ms.is_some_and(|a| a <= *at_ms));
         let newest = before.map(|v| v.generation).max().unwrap_or(0);
-        let report = |what: String| Violation { rule: Rule::Configuration, at_ms: *at_ms, what };
+        let report =
+            |description: String| Violation { rule: Rule::Configuration, at_ms: *at_ms, description };
         let Some(body) = body else {
-            broken.push(report("no configuration could be read back".to_owned()));
+            violations.push(report("no configuration could be read back".to_owned()));
             continue;
         };
         let Ok(read) = serde_json::from_slice::<serde_json::Value>(body) else {
-            broken.push(report("what was read back is no configuration".to_owned()));
+            violations.push(report("what was read back is no configuration".to_owned()));
             continue;
         };
         let generation = read["generation"].as_u64().unwrap_or(0);
         if generation < newest {
-            broken
+            violations
                 .push(report(format!("read back {generation}, older than {newest}, which was acknowledged")));
         }
         if newest > 0 && !index.versions.iter().any(|v| v.valid && v.json == read) {
-            broken.push(report(format!("what was read back as {generation} was never sent so")));
+            violations.push(report(format!("what was read back as {generation} was never sent so")));
         }
     }
-    broken
+    violations
 }
 
 /// Requests whose connection ended without a whole answer round the planned stop of the machine that took them.
 fn lost_at_stops(index: &Index<'_>, bounds: &Bounds) -> Vec<Violation> {
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     let terminated = index.machines.iter().filter(|m| m.2 == MachineEvent::Terminated);
     for (stopped_ms, machine, _) in terminated {
         for (id, request) in &index.requests {
@@ -162,11 +165,12 @@
             if by_worker || unplanned(index, machine, sent_ms, at_ms, bounds) {
                 continue;
             }
-            let what = format!("{id} was cut off {} ms after SIGTERM of {machine}", at_ms - stopped_ms);
-            broken.push(Violation { rule: Rule::Lost, at_ms, what });
+            let description =
+                format!("{id} was cut off {} ms after SIGTERM of {machine}", at_ms - stopped_ms);
+            violations.push(Violation { rule: Rule::Lost, at_ms, description });
         }
     }
-    broken
+    violations
 }
 
 /// Whether unplanned trouble befell a machine from shortly before a request until its end.
--- a/lab/src/tier/judge/index.rs
+++ b/lab/src/tier/judge/index.rs
@@ -59,17 +59,17 @@
 pub struct Index<'a> {
     pub requests: BTreeMap<&'a str, Request<'a>>,
     pub versions: Vec<Version<'a>>,
-    pub leaves: Vec<(u64, &'a str, Departure)>,
+    pub departures: Vec<(u64, &'a str, Departure)>,
     pub crashes: Vec<(u64, &'a str)>,
     pub machines: Vec<(u64, &'a str, MachineEvent)>,
     pub reads: Vec<(u64, Option<&'a [u8]>)>,
 }
 
 impl<'a> Index<'a> {
-    pub fn new(seen: &'a [TimedObservation]) -> Self {
+    pub fn new(observations: &'a [TimedObservation]) -> Self {
         let mut index = Self::default();
-        for TimedObservation { at_ms, what } in seen {
-            index.add(*at_ms, what);
+        for TimedObservation { at_ms, observation } in observations {
+            index.add(*at_ms, observation);
         }
         index
     }
@@ -78,8 +78,8 @@
         self.requests.entry(id).or_default()
     }
 
-    fn add(&mut self, at_ms: u64, what: &'a Observation) {
-        match what {
+    fn add(&mut self, at_ms: u64, observation: &'a Observation) {
+        match observation {
             Observation::RequestSent(sent) => self.request(&sent.request).sent = Some((at_ms, sent)),
             Observation::EventReceived { request, event } => self.request(request).received.push(event),
             Observation::RequestEnded { request, outcome } => {
@@ -114,7 +114,9 @@
                 self.request(request).heads.push((*status, signature));
             }
             Observation::WorkerCrashed { worker } => self.crashes.push((at_ms, worker)),
-            Observation::LeaveAcknowledged { worker, leave } => self.leaves.push((at_ms, worker, *leave)),
+            Observation::DepartureAcknowledged { worker, departure } => {
+                self.departures.push((at_ms, worker, *departure))
+            }
             Observation::ConfigurationSent { generation, body, valid } => {
                 self.configuration_sent(at_ms, *generation, body, *valid);
             }
@@ -150,7 +152,7 @@
     }
 
     /// Whether a machine had no trouble for a time before a moment.
-    pub fn in_touch(&self, machine: &str, at_ms: u64, contact_ms: u64) -> bool {
+    pub fn is_undisturbed(&self, machine: &str, at_ms: u64, contact_ms: u64) -> bool {
         let from = at_ms.saturating_sub(contact_ms);
         let mut frozen = false;
         for (when, name, event) in self.machines.iter().filter(|m| m.1 == machine && m.0 <= at_ms) {
--- a/lab/src/tier/judge/mod.rs
+++ b/lab/src/tier/judge/mod.rs
@@ -35,13 +35,13 @@
     pub rule: Rule,
     /// Milliseconds since the log began.
     pub at_ms: u64,
-    pub what: String,
+    pub description: String,
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let name = format!("{:?}", self.rule).to_uppercase();
-        write!(f, "{name} at {:.3} s: {}", self.at_ms as f64 / 1e3, self.what)
+        write!(f, "{name} at {:.3} s: {}", self.at_ms as f64 / 1e3, self.description)
     }
 }
 
@@ -74,18 +74,18 @@
 
 /// Turns that were answered 402 though their program's budget held them.
 #[must_use]
-pub fn premature_refusals(seen: &[TimedObservation], bounds: &Bounds) -> Vec<PrematureRefusal> {
-    programs::premature_refusals(&Index::new(seen), bounds.settle_ms)
+pub fn premature_refusals(observations: &[TimedObservation], bounds: &Bounds) -> Vec<PrematureRefusal> {
+    programs::premature_refusals(&Index::new(observations), bounds.settle_ms)
 }
 
 /// Every broken rule, in the order of time.
 #[must_use]
-pub fn judge(seen: &[TimedObservation], bounds: &Bounds) -> Vec<Violation> {
-    let index = Index::new(seen);
-    let mut broken = requests::check(&index);
-    broken.extend(streams::check(&index));
-    broken.extend(programs::check(&index, bounds));
-    broken.extend(control::check(&index, bounds));
-    broken.sort_by_key(|b| b.at_ms);
-    broken
+pub fn judge(observations: &[TimedObservation], bounds: &Bounds) -> Vec<Violation> {
+    let index = Index::new(observations);
+    let mut violations = requests::check(&index);
+    violations.extend(streams::check(&index));
+    violations.extend(programs::check(&index, bounds));
+    violations.extend(control::check(&index, bounds));
+    violations.sort_by_key(|b| b.at_ms);
+    violations
 }
--- a/lab/src/tier/judge/programs.rs
+++ b/lab/src/tier/judge/programs.rs
@@ -1,4 +1,4 @@
-//! BUDGET of programs, and LOST where a turn that is kept is said not to exist.
+//! BUDGET of programs, and LOST where a turn that is kept is turn_bytes not to exist.
 
 use super::{Bounds, Rule, Violation, index::Index};
 use crate::tier::observation::Outcome;
@@ -7,15 +7,15 @@
 /// What was seen of a program.
 struct Units {
     budget: u64,
-    most: u64,
+    max_output_tokens: u64,
     received: u64,
     last_ms: u64,
 }
 
 pub fn check(index: &Index<'_>, bounds: &Bounds) -> Vec<Violation> {
-    let mut broken = budgets(index);
-    broken.extend(lost_turns(index, bounds));
-    broken
+    let mut violations = budgets(index);
+    violations.extend(lost_turns(index, bounds));
+    violations
 }
 
 fn budgets(index: &Index<'_>) -> Vec<Violation> {
@@ -24,17 +24,20 @@
         let Some((sent_ms, sent)) = request.sent else { continue };
         let Some(program) = &sent.program else { continue };
         let Some(budget) = program.budget else { continue };
-        let none = Units { budget, most: 0, received: 0, last_ms: 0 };
+        let none = Units { budget, max_output_tokens: 0, received: 0, last_ms: 0 };
         let units = programs.entry(&program.name).or_insert(none);
-        units.most = units.most.max(program.most);
+        units.max_output_tokens = units.max_output_tokens.max(program.max_output_tokens);
         units.received += request.received.len() as u64 * program.chunk_tokens;
         units.last_ms = units.last_ms.max(request.ended.map_or(sent_ms, |e| e.0));
     }
-    let beyond = programs.iter().filter(|(_, u)| u.received > u.budget + u.most);
+    let beyond = programs.iter().filter(|(_, u)| u.received > u.budget + u.max_output_tokens);
     let report = |(name, u): (&&str, &Units)| Violation {
         rule: Rule::Budget,
         at_ms: u.last_ms,
-        what: format!("program {name} got {} units of a budget of {} (+ {})", u.received, u.budget, u.most),
+        description: format!(
+            "program {name} got {} units of a budget of {} (+ {})",
+            u.received, u.budget, u.max_output_tokens
+        ),
     };
     beyond.map(report).collect()
 }
@@ -46,7 +49,7 @@
     pub program: String,
     /// Units that may have been spent by then.
     pub spent: u64,
-    pub most: u64,
+    pub max_output_tokens: u64,
     pub budget: u64,
 }
 
@@ -58,9 +61,9 @@
         let Some(program) = request.sent.and_then(|(_, sent)| sent.program.as_ref()) else { continue };
         let Some(budget) = program.budget else { continue };
         let spent = spent_by(index, &program.name, at_ms, settle_ms);
-        if spent + program.most <= budget {
-            let (program, most) = (program.name.clone(), program.most);
-            stops.push(PrematureRefusal { at_ms, program, spent, most, budget });
+        if spent + program.max_output_tokens <= budget {
+            let (program, max_output_tokens) = (program.name.clone(), program.max_output_tokens);
+            stops.push(PrematureRefusal { at_ms, program, spent, max_output_tokens, budget });
         }
     }
     stops
@@ -86,7 +89,7 @@
             Some((_, Outcome::Answered { status: 400..=499 | 503, .. })) => 0,
             // What asks now is not counted against itself.
             None if matches!(request.ended, Some((_, Outcome::Answered { status: 402, .. }))) => 0,
-            _ => program.most,
+            _ => program.max_output_tokens,
         };
     }
     spent
@@ -94,7 +97,7 @@
 
 /// Turns answered 404 or 410 though what they continue was answered whole less than the retention ago.
 fn lost_turns(index: &Index<'_>, bounds: &Bounds) -> Vec<Violation> {
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for (id, request) in &index.requests {
         let Some((at_ms, Outcome::Answered { status: status @ (404 | 410), .. })) = request.ended else {
             continue;
@@ -103,9 +106,10 @@
         let Some(kept) = index.requests.get(previous) else { continue };
         let Some((ended_ms, outcome)) = kept.ended else { continue };
         if outcome.is_success() && at_ms < ended_ms + bounds.retention_ms {
-            let what = format!("{id} was answered {status}, and {previous}, which it continues, is kept");
-            broken.push(Violation { rule: Rule::Lost, at_ms, what });
+            let description =
+                format!("{id} was answered {status}, and {previous}, which it continues, is kept");
+            violations.push(Violation { rule: Rule::Lost, at_ms, description });
         }
     }
-    broken
+    violations
 }
--- a/lab/src/tier/judge/requests.rs
+++ b/lab/src/tier/judge/requests.rs
@@ -19,29 +19,29 @@
 const MAX_CHAIN_TURNS: usize = 1000;
 
 pub fn check(index: &Index<'_>) -> Vec<Violation> {
-    let mut broken = Vec::new();
-    let (mut beyond_attempts, mut all_denied) = (Vec::new(), Vec::new());
+    let mut violations = Vec::new();
+    let (mut excess_attempts, mut denials) = (Vec::new(), Vec::new());
     for (id, request) in &index.requests {
-        broken.extend(unasked(index, id, request));
-        broken.extend(twice(id, request));
-        broken.extend(refused(id, request));
-        broken.extend(mixed(id, request));
-        broken.extend(route(index, id, request));
-        beyond_attempts.extend(attempts(index, id, request));
-        all_denied.extend(denied(index, id, request));
+        violations.extend(unasked(index, id, request));
+        violations.extend(twice(id, request));
+        violations.extend(refused(id, request));
+        violations.extend(mixed(id, request));
+        violations.extend(route(index, id, request));
+        excess_attempts.extend(attempts(index, id, request));
+        denials.extend(denied(index, id, request));
     }
-    if all_denied.len() > DENIED_ALLOWANCE + index.requests.len() / DENIED_ONE_IN {
-        broken.extend(all_denied);
+    if denials.len() > DENIED_ALLOWANCE + index.requests.len() / DENIED_ONE_IN {
+        violations.extend(denials);
     }
-    if beyond_attempts.len() > ATTEMPTS_ALLOWANCE {
-        broken.extend(beyond_attempts);
+    if excess_attempts.len() > ATTEMPTS_ALLOWANCE {
+        violations.extend(excess_attempts);
     }
-    broken
+    violations
 }
 
 fn unasked(index: &Index<'_>, id: &str, request: &Request<'_>) -> Option<Violation> {
     let run = request.runs.first()?;
-    let report = |what: String| Some(Violation { rule: Rule::Unasked, at_ms: run.at_ms, what });
+    let report = |description: String| Some(Violation { rule: Rule::Unasked, at_ms: run.at_ms, description });
     let Some((_, sent)) = request.sent else {
         return report(format!("{id} ran at {} and no client sent it", run.worker));
     };
@@ -49,17 +49,17 @@
         None => Some(Vec::new()),
         Some(previous) => chain_of(index, previous),
     };
-    let Some(mut wanted) = chain else {
+    let Some(mut expected) = chain else {
         return report(format!("{id} ran though it continues a turn that there is not"));
     };
-    wanted.extend_from_slice(&sent.body);
+    expected.extend_from_slice(&sent.body);
     for run in &request.runs {
         let asked = (sent.method.as_str(), sent.host.as_str(), sent.path.as_str());
         if (run.method, run.host, run.path) != asked {
             return report(format!("{id} ran as {} {}{}, not as {asked:?}", run.method, run.host, run.path));
         }
-        if run.body != wanted {
-            let (got, want) = (run.body.len(), wanted.len());
+        if run.body != expected {
+            let (got, want) = (run.body.len(), expected.len());
             return report(format!("{id} ran with {got} bytes that are not the {want} wanted"));
         }
     }
@@ -76,12 +76,12 @@
         if !request.ended.is_some_and(|(_, outcome)| outcome.is_success()) {
             return None;
         }
-        let mut said = sent.body.clone();
+        let mut turn_bytes = sent.body.clone();
         for event in &request.received {
-            said.extend_from_slice(&event.data);
-            said.push(b'\n');
+            turn_bytes.extend_from_slice(&event.data);
+            turn_bytes.push(b'\n');
         }
-        turns.push(said);
+        turns.push(turn_bytes);
         if turns.len() > MAX_CHAIN_TURNS {
             return None;
         }
@@ -95,8 +95,8 @@
     if request.kind().is_idempotent() {
         return None;
     }
-    let what = format!("{id} ran {} times, and may run once", request.runs.len());
-    Some(Violation { rule: Rule::Twice, at_ms: second.at_ms, what })
+    let description = format!("{id} ran {} times, and may run once", request.runs.len());
+    Some(Violation { rule: Rule::Twice, at_ms: second.at_ms, description })
 }
 
 fn refused(id: &str, request: &Request<'_>) -> Option<Violation> {
@@ -111,13 +111,13 @@
         return None;
     }
     let run = request.runs.first()?;
-    let what = format!("{id} was answered {status} and ran at {}", run.worker);
-    Some(Violation { rule: Rule::Refused, at_ms, what })
+    let description = format!("{id} was answered {status} and ran at {}", run.worker);
+    Some(Violation { rule: Rule::Refused, at_ms, description })
 }
 
 fn mixed(id: &str, request: &Request<'_>) -> Option<Violation> {
     let (at_ms, outcome) = request.ended?;
-    let report = |what: String| Some(Violation { rule: Rule::Mixed, at_ms, what });
+    let report = |description: String| Some(Violation { rule: Rule::Mixed, at_ms, description });
     match outcome {
         Outcome::Answered { status, signature, body, .. } => {
             let success = (200..300).contains(status);
@@ -152,14 +152,14 @@
 }
 
 fn route(index: &Index<'_>, id: &str, request: &Request<'_>) -> Option<Violation> {
-    let strays = request.runs.iter().find(|run| {
+    let stray = request.runs.iter().find(|run| {
         let allowed = |v: &super::index::Version<'_>| {
             services_for(&v.json, run.host, run.path).is_some_and(|s| s.iter().any(|s| s == run.service))
         };
         !index.versions.iter().any(allowed)
     })?;
-    let what = format!("{id} ran at the service {}, which no configuration allows", strays.service);
-    Some(Violation { rule: Rule::Route, at_ms: strays.at_ms, what })
+    let description = format!("{id} ran at the service {}, which no configuration allows", stray.service);
+    Some(Violation { rule: Rule::Route, at_ms: stray.at_ms, description })
 }
 
 fn attempts(index: &Index<'_>, id: &str, request: &Request<'_>) -> Option<Violation> {
@@ -170,8 +170,8 @@
     if workers.len() <= sent.max_attempts {
         return None;
     }
-    let what = format!("{id} ran at {} workers, of {} allowed", workers.len(), sent.max_attempts);
-    Some(Violation { rule: Rule::Budget, at_ms: last.at_ms, what })
+    let description = format!("{id} ran at {} workers, of {} allowed", workers.len(), sent.max_attempts);
+    Some(Violation { rule: Rule::Budget, at_ms: last.at_ms, description })
 }
 
 /// A 3xx or 4xx of the tier's own to a request that every configuration so far allows. A 402 has rules of its own, and so
@@ -185,5 +185,5 @@
     if !own || !proper || sent.previous.is_some() {
         return None;
     }
-    Some(Violation { rule: Rule::Denied, at_ms, what: format!("{id} was answered {status}") })
+    Some(Violation { rule: Rule::Denied, at_ms, description: format!("{id} was answered {status}") })
 }
--- a/lab/src/tier/judge/streams.rs
+++ b/lab/src/tier/judge/streams.rs
@@ -13,7 +13,7 @@
 fn stream(id: &str, request: &Request<'_>) -> Option<Violation> {
     let RouteKind::Streaming { resumable } = request.kind() else { return None };
     let (at_ms, outcome) = request.ended?;
-    let report = |what: String| Some(Violation { rule: Rule::Order, at_ms, what });
+    let report = |description: String| Some(Violation { rule: Rule::Order, at_ms, description });
     for pair in request.received.windows(2) {
         if pair[1].id != pair[0].id + 1 {
             return report(format!("{id}: the event {} follows the event {}", pair[1].id, pair[0].id));
--- a/lab/src/tier/judge/tests.rs
+++ b/lab/src/tier/judge/tests.rs
@@ -14,21 +14,21 @@
 
 /// A list of observations that grows by 10 ms with each.
 #[derive(Default)]
-struct Story {
-    seen: Vec<TimedObservation>,
+struct Timeline {
+    observations: Vec<TimedObservation>,
     at_ms: u64,
 }
 
-impl Story {
+impl Timeline {
     fn new() -> Self {
-        let mut story = Self::default();
-        story.configuration(1, &[("/safe/", "plain"), ("/turn/", "model")]);
-        story
+        let mut timeline = Self::default();
+        timeline.configuration(1, &[("/safe/", "plain"), ("/turn/", "model")]);
+        timeline
     }
 
-    fn record(&mut self, what: Observation) -> &mut Self {
+    fn record(&mut self, observation: Observation) -> &mut Self {
         self.at_ms += 10;
-        self.seen.push(TimedObservation { at_ms: self.at_ms, what });
+        self.observations.push(TimedObservation { at_ms: self.at_ms, observation });
         self
     }
 
@@ -98,7 +98,7 @@
         self.ran_with(request, worker, "plain", "/safe/1", request.as_bytes())
     }
 
-    fn made(&mut self, request: &str, worker: &str, body: &str) -> &mut Self {
+    fn worker_answered(&mut self, request: &str, worker: &str, body: &str) -> &mut Self {
         self.record(Observation::WorkerAnswered {
             request: request.to_owned(),
             worker: worker.to_owned(),
@@ -109,7 +109,7 @@
         })
     }
 
-    fn got(&mut self, request: &str, signature: Option<&str>, body: &str) -> &mut Self {
+    fn client_received(&mut self, request: &str, signature: Option<&str>, body: &str) -> &mut Self {
         let signature = signature.map(str::to_owned);
         self.ended(
             request,
@@ -145,11 +145,11 @@
             let (request, worker) = (request.to_owned(), "m".to_owned());
             self.record(Observation::EventMade { request, worker, event: event(id) });
         }
-        self.made(request, "m", "");
+        self.worker_answered(request, "m", "");
         for id in got {
             self.record(Observation::EventReceived { request: request.to_owned(), event: event(*id) });
         }
-        self.got(request, Some(&format!("{request}@m")), "")
+        self.client_received(request, Some(&format!("{request}@m")), "")
     }
 
     fn machine(&mut self, event: MachineEvent) -> &mut Self {
@@ -157,29 +157,33 @@
     }
 
     fn rules(&self) -> Vec<Rule> {
-        judge(&self.seen, &Bounds::default()).into_iter().map(|b| b.rule).collect()
+        judge(&self.observations, &Bounds::default()).into_iter().map(|b| b.rule).collect()
     }
 }
 
 #[test]
 fn a_day_that_keeps_the_rules_breaks_none() {
-    let mut story = Story::new();
-    story.sent("a", RouteKind::Unsafe).ran("a", "w").made("a", "w", "said").got("a", Some("a@w"), "said");
-    story.sent("b", RouteKind::Unsafe).refused("b", 503);
-    story.turn("t", None, "t", 2, &[1, 2]).turn("u", Some("t"), "tt1\nt2\nu", 1, &[1]);
-    assert_eq!(story.rules(), []);
+    let mut timeline = Timeline::new();
+    timeline.sent("a", RouteKind::Unsafe).ran("a", "w").worker_answered("a", "w", "said").client_received(
+        "a",
+        Some("a@w"),
+        "said",
+    );
+    timeline.sent("b", RouteKind::Unsafe).refused("b", 503);
+    timeline.turn("t", None, "t", 2, &[1, 2]).turn("u", Some("t"), "tt1\nt2\nu", 1, &[1]);
+    assert_eq!(timeline.rules(), []);
 }
 
 #[test]
 fn mixed_answers_are_found() {
     let ran = || {
-        let mut story = Story::new();
-        story.sent("a", RouteKind::Unsafe).ran("a", "w").made("a", "w", "said");
-        story
+        let mut timeline = Timeline::new();
+        timeline.sent("a", RouteKind::Unsafe).ran("a", "w").worker_answered("a", "w", "said");
+        timeline
     };
-    assert_eq!(ran().got("a", None, "said").rules(), [Rule::Mixed], "no signature");
-    assert_eq!(ran().got("a", Some("b@w"), "said").rules(), [Rule::Mixed], "another's signature");
-    assert_eq!(ran().got("a", Some("a@w"), "sai").rules(), [Rule::Mixed], "cut short");
+    assert_eq!(ran().client_received("a", None, "said").rules(), [Rule::Mixed], "no signature");
+    assert_eq!(ran().client_received("a", Some("b@w"), "said").rules(), [Rule::Mixed], "another's signature");
+    assert_eq!(ran().client_received("a", Some("a@w"), "sai").rules(), [Rule::Mixed], "cut short");
     assert_eq!(ran().ended("a", Outcome::Malformed).rules(), [Rule::Mixed], "no answer");
     let (signature, body) = (Some("a@w".to_owned()), Vec::new());
     let failed = Outcome::Answered { status: 500, signature, body, retry_after: None };
@@ -188,47 +192,47 @@
 
 #[test]
 fn requests_that_nobody_asked_for_are_found() {
-    assert_eq!(Story::new().ran("a", "w").rules(), [Rule::Unasked], "no client sent it");
-    let mut story = Story::new();
-    story.sent("a", RouteKind::Safe).ran_with("a", "w", "plain", "/safe/2", b"a");
-    assert!(story.rules().contains(&Rule::Unasked), "another path");
-    let mut story = Story::new();
-    story.turn("t", None, "t", 2, &[1, 2]).turn("u", Some("t"), "tt1\nu", 1, &[1]);
-    assert_eq!(story.rules(), [Rule::Unasked], "a chain that lacks an event");
-    let mut story = Story::new();
-    story.turn("u", Some("none"), "u", 1, &[1]);
-    assert_eq!(story.rules(), [Rule::Unasked], "no such turn");
+    assert_eq!(Timeline::new().ran("a", "w").rules(), [Rule::Unasked], "no client sent it");
+    let mut timeline = Timeline::new();
+    timeline.sent("a", RouteKind::Safe).ran_with("a", "w", "plain", "/safe/2", b"a");
+    assert!(timeline.rules().contains(&Rule::Unasked), "another path");
+    let mut timeline = Timeline::new();
+    timeline.turn("t", None, "t", 2, &[1, 2]).turn("u", Some("t"), "tt1\nu", 1, &[1]);
+    assert_eq!(timeline.rules(), [Rule::Unasked], "a chain that lacks an event");
+    let mut timeline = Timeline::new();
+    timeline.turn("u", Some("none"), "u", 1, &[1]);
+    assert_eq!(timeline.rules(), [Rule::Unasked], "no such turn");
 }
 
 #[test]
 fn requests_that_ran_though_they_might_not_are_found() {
-    let mut story = Story::new();
-    story.sent("a", RouteKind::Unsafe).ran("a", "v").ran("a", "w");
-    assert_eq!(story.rules(), [Rule::Twice]);
-    let mut story = Story::new();
-    story.sent("a", RouteKind::Safe).ran("a", "v").ran("a", "w");
-    assert_eq!(story.rules(), [], "three may, as may those that can be repeated");
-    let mut story = Story::new();
-    story.sent("a", RouteKind::Unsafe).refused("a", 503).ran("a", "w");
-    assert_eq!(story.rules(), [Rule::Refused]);
-    let mut story = Story::new();
+    let mut timeline = Timeline::new();
+    timeline.sent("a", RouteKind::Unsafe).ran("a", "v").ran("a", "w");
+    assert_eq!(timeline.rules(), [Rule::Twice]);
+    let mut timeline = Timeline::new();
+    timeline.sent("a", RouteKind::Safe).ran("a", "v").ran("a", "w");
+    assert_eq!(timeline.rules(), [], "three may, as may those that can be repeated");
+    let mut timeline = Timeline::new();
+    timeline.sent("a", RouteKind::Unsafe).refused("a", 503).ran("a", "w");
+    assert_eq!(timeline.rules(), [Rule::Refused]);
+    let mut timeline = Timeline::new();
     for request in ["a", "b", "c", "d"] {
-        story.sent(request, RouteKind::Safe).ran(request, "v").ran(request, "w");
+        timeline.sent(request, RouteKind::Safe).ran(request, "v").ran(request, "w");
     }
-    assert_eq!(story.rules(), [Rule::Budget; 4]);
-    let mut story = Story::new();
-    story.sent("a", RouteKind::Safe).ran_with("a", "w", "model", "/safe/1", b"a");
-    assert!(story.rules().contains(&Rule::Route));
+    assert_eq!(timeline.rules(), [Rule::Budget; 4]);
+    let mut timeline = Timeline::new();
+    timeline.sent("a", RouteKind::Safe).ran_with("a", "w", "model", "/safe/1", b"a");
+    assert!(timeline.rules().contains(&Rule::Route));
 }
 
 #[test]
 fn streams_out_of_order_are_found() {
     for (made, got) in [(3, &[1, 3][..]), (3, &[1, 2, 2, 3]), (3, &[1, 2])] {
-        let mut story = Story::new();
-        story.turn("t", None, "t", made, got);
-        assert_eq!(story.rules(), [Rule::Order], "{got:?} of {made}");
+        let mut timeline = Timeline::new();
+        timeline.turn("t", None, "t", made, got);
+        assert_eq!(timeline.rules(), [Rule::Order], "{got:?} of {made}");
     }
-    assert_eq!(Story::new().turn("t", None, "t", 3, &[1, 2, 3]).rules(), []);
+    assert_eq!(Timeline::new().turn("t", None, "t", 3, &[1, 2, 3]).rules(), []);
 }
 
 #[test]
@@ -236,25 +240,25 @@
     let resumable = RouteKind::Streaming { resumable: true };
     let event = |id: u64| StreamEvent { id, data: id.to_string().into_bytes() };
     let resumed = |second_made: &[u64]| {
-        let mut story = Story::new();
-        story.sent_with("t", resumable, |t| {
+        let mut timeline = Timeline::new();
+        timeline.sent_with("t", resumable, |t| {
             t.path = "/turn/1".to_owned();
             t.max_attempts = 2;
         });
         for (worker, made) in [("v", &[1, 2][..]), ("w", second_made)] {
-            story.ran_with("t", worker, "model", "/turn/1", b"t");
+            timeline.ran_with("t", worker, "model", "/turn/1", b"t");
             let (request, status, signature) = ("t".to_owned(), 200, format!("t@{worker}"));
-            story.record(Observation::AnswerBegun { request, status, signature });
+            timeline.record(Observation::AnswerBegun { request, status, signature });
             for id in made {
                 let (request, worker) = ("t".to_owned(), worker.to_owned());
-                story.record(Observation::EventMade { request, worker, event: event(*id) });
+                timeline.record(Observation::EventMade { request, worker, event: event(*id) });
             }
         }
-        story.made("t", "w", "");
+        timeline.worker_answered("t", "w", "");
         for id in 1..=4 {
-            story.record(Observation::EventReceived { request: "t".to_owned(), event: event(id) });
+            timeline.record(Observation::EventReceived { request: "t".to_owned(), event: event(id) });
         }
-        story.got("t", Some("t@v"), "").rules()
+        timeline.client_received("t", Some("t@v"), "").rules()
     };
     assert_eq!(resumed(&[3, 4]), []);
     assert_eq!(resumed(&[3, 4, 5]), [Rule::Order], "it ended before its last event");
@@ -264,16 +268,20 @@
 #[test]
 fn programs_beyond_their_budget_are_found() {
     let of = |budget: u64| {
-        let mut story = Story::new();
-        let facts =
-            ProgramDescription { name: "p".to_owned(), budget: Some(budget), most: 6, chunk_tokens: 3 };
-        story.turn("t", None, "t", 4, &[1, 2, 3, 4]);
-        for seen in &mut story.seen {
-            if let Observation::RequestSent(sent) = &mut seen.what {
+        let mut timeline = Timeline::new();
+        let facts = ProgramDescription {
+            name: "p".to_owned(),
+            budget: Some(budget),
+            max_output_tokens: 6,
+            chunk_tokens: 3,
+        };
+        timeline.turn("t", None, "t", 4, &[1, 2, 3, 4]);
+        for entry in &mut timeline.observations {
+            if let Observation::RequestSent(sent) = &mut entry.observation {
                 Arc::make_mut(sent).program = Some(facts.clone());
             }
         }
-        story.rules()
+        timeline.rules()
     };
     assert_eq!(of(6), []);
     assert_eq!(of(5), [Rule::Budget]);
@@ -282,10 +290,10 @@
 #[test]
 fn turns_that_are_kept_and_not_found_are_lost() {
     let asked = |previous: &'static str, later_ms: u64| {
-        let mut story = Story::new();
-        story.turn("t", None, "t", 1, &[1]).later(later_ms);
-        story.sent_with("u", STREAMING, |t| t.previous = Some(previous.to_owned())).refused("u", 404);
-        story.rules()
+        let mut timeline = Timeline::new();
+        timeline.turn("t", None, "t", 1, &[1]).later(later_ms);
+        timeline.sent_with("u", STREAMING, |t| t.previous = Some(previous.to_owned())).refused("u", 404);
+        timeline.rules()
     };
     assert_eq!(asked("t", 0), [Rule::Lost]);
     assert_eq!(asked("t", 61_000), []);
@@ -295,11 +303,11 @@
 #[test]
 fn workers_that_have_left_get_nothing_new() {
     let ran = |later_ms: u64| {
-        let mut story = Story::new();
+        let mut timeline = Timeline::new();
         let worker = "w".to_owned();
-        story.record(Observation::LeaveAcknowledged { worker, leave: Departure::Draining });
-        story.later(later_ms).sent("a", RouteKind::Safe).ran("a", "w");
-        story.rules()
+        timeline.record(Observation::DepartureAcknowledged { worker, departure: Departure::Draining });
+        timeline.later(later_ms).sent("a", RouteKind::Safe).ran("a", "w");
+        timeline.rules()
     };
     assert_eq!(ran(0), []);
     assert_eq!(ran(2000), [Rule::Drain]);
@@ -308,42 +316,42 @@
 #[test]
 fn configurations_are_in_force_in_time_and_only_those() {
     let dropped = |later_ms: u64| {
-        let mut story = Story::new();
-        story.configuration(2, &[("/turn/", "model")]);
-        story.later(later_ms).sent("a", RouteKind::Safe).ran("a", "w");
-        story.rules()
+        let mut timeline = Timeline::new();
+        timeline.configuration(2, &[("/turn/", "model")]);
+        timeline.later(later_ms).sent("a", RouteKind::Safe).ran("a", "w");
+        timeline.rules()
     };
     assert_eq!(dropped(0), []);
     assert_eq!(dropped(2000), [Rule::Configuration], "it runs by a dropped route");
-    let mut story = Story::new();
-    story.later(3000).sent("a", RouteKind::Safe).refused("a", 404);
-    assert_eq!(story.rules(), [Rule::Configuration], "its route is there");
-    let mut story = Story::new();
-    let body = Story::body(2, &[("/safe/", "other")]);
-    story.record(Observation::ConfigurationSent { generation: 2, body: body.clone(), valid: true });
-    story.answered(2, &body, 412);
-    story.sent("a", RouteKind::Safe).ran_with("a", "w", "other", "/safe/1", b"a");
-    assert!(story.rules().contains(&Rule::Configuration), "it was refused");
-    let mut story = Story::new();
-    story.configuration(2, &[("/a/", "plain")]);
-    story.configuration(2, &[("/b/", "plain")]);
-    assert_eq!(story.rules(), [Rule::Configuration], "two of one generation");
-    let mut story = Story::new();
-    let body = story.configuration(2, &[("/a/", "plain")]);
-    story.answered(2, &body, 409);
-    assert_eq!(story.rules(), [Rule::Configuration], "a resend was refused");
+    let mut timeline = Timeline::new();
+    timeline.later(3000).sent("a", RouteKind::Safe).refused("a", 404);
+    assert_eq!(timeline.rules(), [Rule::Configuration], "its route is there");
+    let mut timeline = Timeline::new();
+    let body = Timeline::body(2, &[("/safe/", "other")]);
+    timeline.record(Observation::ConfigurationSent { generation: 2, body: body.clone(), valid: true });
+    timeline.answered(2, &body, 412);
+    timeline.sent("a", RouteKind::Safe).ran_with("a", "w", "other", "/safe/1", b"a");
+    assert!(timeline.rules().contains(&Rule::Configuration), "it was refused");
+    let mut timeline = Timeline::new();
+    timeline.configuration(2, &[("/a/", "plain")]);
+    timeline.configuration(2, &[("/b/", "plain")]);
+    assert_eq!(timeline.rules(), [Rule::Configuration], "two of one generation");
+    let mut timeline = Timeline::new();
+    let body = timeline.configuration(2, &[("/a/", "plain")]);
+    timeline.answered(2, &body, 409);
+    assert_eq!(timeline.rules(), [Rule::Configuration], "a resend was refused");
 }
 
 #[test]
 fn what_is_read_back_is_the_newest() {
     let read = |body: Option<Vec<u8>>| {
-        let mut story = Story::new();
-        story.configuration(2, &[("/a/", "plain")]);
-        story.record(Observation::ConfigurationRead { body });
-        story.rules()
+        let mut timeline = Timeline::new();
+        timeline.configuration(2, &[("/a/", "plain")]);
+        timeline.record(Observation::ConfigurationRead { body });
+        timeline.rules()
     };
-    let newest = Story::body(2, &[("/a/", "plain")]).to_vec();
-    let old = Story::body(1, &[("/safe/", "plain"), ("/turn/", "model")]).to_vec();
+    let newest = Timeline::body(2, &[("/a/", "plain")]).to_vec();
+    let old = Timeline::body(1, &[("/safe/", "plain"), ("/turn/", "model")]).to_vec();
     assert_eq!(read(Some(newest)), []);
     assert_eq!(read(Some(old)), [Rule::Configuration]);
     assert_eq!(read(Some(b"{".to_vec())), [Rule::Configuration]);
@@ -354,26 +362,26 @@
 fn requests_cut_off_by_a_planned_stop_are_lost() {
     let closed = || Outcome::Closed { request_written: true };
     let stopped = |event: MachineEvent| {
-        let mut story = Story::new();
-        story.sent("a", RouteKind::Unsafe).ran("a", "w").machine(event).ended("a", closed());
-        story.rules()
+        let mut timeline = Timeline::new();
+        timeline.sent("a", RouteKind::Unsafe).ran("a", "w").machine(event).ended("a", closed());
+        timeline.rules()
     };
     assert_eq!(stopped(MachineEvent::Terminated), [Rule::Lost]);
     assert_eq!(stopped(MachineEvent::Killed), []);
-    let mut story = Story::new();
-    story.sent("a", RouteKind::Unsafe).machine(MachineEvent::Terminated).ended("a", closed());
-    assert_eq!(story.rules(), [], "it was not passed on");
+    let mut timeline = Timeline::new();
+    timeline.sent("a", RouteKind::Unsafe).machine(MachineEvent::Terminated).ended("a", closed());
+    assert_eq!(timeline.rules(), [], "it was not passed on");
 }
 
 #[test]
 fn denied_requests_count_once_they_are_many() {
     let denied = |count: usize| {
-        let mut story = Story::new();
+        let mut timeline = Timeline::new();
         for number in 0..count {
             let request = format!("r{number}");
-            story.sent(&request, RouteKind::Safe).refused(&request, 400);
+            timeline.sent(&request, RouteKind::Safe).refused(&request, 400);
         }
-        story.rules()
+        timeline.rules()
     };
     assert_eq!(denied(5), []);
     assert_eq!(denied(6), [Rule::Denied; 6]);
@@ -382,17 +390,24 @@
 #[test]
 fn a_402_is_early_while_the_budget_holds_another_turn() {
     let stops = |budget: u64, later_ms: u64| {
-        let facts =
-            ProgramDescription { name: "p".to_owned(), budget: Some(budget), most: 30, chunk_tokens: 3 };
-        let mut story = Story::new();
-        story.turn("t", None, "t", 2, &[1, 2]).later(later_ms);
-        story.sent("u", STREAMING).refused("u", 402);
-        for seen in &mut story.seen {
-            if let Observation::RequestSent(sent) = &mut seen.what {
+        let facts = ProgramDescription {
+            name: "p".to_owned(),
+            budget: Some(budget),
+            max_output_tokens: 30,
+            chunk_tokens: 3,
+        };
+        let mut timeline = Timeline::new();
+        timeline.turn("t", None, "t", 2, &[1, 2]).later(later_ms);
+        timeline.sent("u", STREAMING).refused("u", 402);
+        for entry in &mut timeline.observations {
+            if let Observation::RequestSent(sent) = &mut entry.observation {
                 Arc::make_mut(sent).program = Some(facts.clone());
             }
         }
-        premature_refusals(&story.seen, &Bounds::default()).into_iter().map(|s| s.spent).collect::<Vec<_>>()
+        premature_refusals(&timeline.observations, &Bounds::default())
+            .into_iter()
+            .map(|s| s.spent)
+            .collect::<Vec<_>>()
     };
     assert_eq!(stops(36, 1000), [6], "two events were spent, and thirty units are left");
     assert!(stops(35, 1000).is_empty());
--- a/lab/src/tier/machine.rs
+++ b/lab/src/tier/machine.rs
@@ -117,7 +117,7 @@
     pub async fn kill(&mut self) {
         self.signal(Signal::KILL);
         for process in &mut self.processes {
-            process.gone().await;
+            process.reap().await;
         }
     }
 
@@ -125,7 +125,7 @@
     pub async fn kill_role(&mut self, role: &str) {
         for process in self.processes.iter_mut().filter(|p| p.role == role) {
             process.signal(Signal::KILL);
-            process.gone().await;
+            process.reap().await;
         }
     }
 
@@ -135,12 +135,12 @@
     }
 
     /// Waits until every process has ended by itself, and kills those that have not in time; whether all did so well.
-    pub async fn ended(&mut self, limit: Duration) -> bool {
-        let mut well = true;
+    pub async fn wait_for_exit(&mut self, limit: Duration) -> bool {
+        let mut all_succeeded = true;
         for process in &mut self.processes {
-            well &= process.ended(limit).await.is_some_and(|status| status.success());
+            all_succeeded &= process.wait_for_exit(limit).await.is_some_and(|status| status.success());
         }
-        well
+        all_succeeded
     }
 
     /// Empties the disk of a machine that does not run.
@@ -161,15 +161,15 @@
 
     /// Processes that have ended though nobody ended them.
     pub fn unexpected_exits(&mut self) -> Vec<String> {
-        let mut fallen = Vec::new();
+        let mut exits = Vec::new();
         for process in &mut self.processes {
             if let Some(child) = &mut process.child
                 && let Ok(Some(status)) = child.try_wait()
             {
-                fallen.push(format!("{} of {}: {status}", process.role, self.name));
+                exits.push(format!("{} of {}: {status}", process.role, self.name));
             }
         }
-        fallen
+        exits
     }
 
     /// Whether one of its processes has logged something since it was started last.
@@ -202,7 +202,7 @@
     fn drop(&mut self) {
         self.signal(Signal::KILL);
         for process in &mut self.processes {
-            process.wait_until_gone();
+            process.wait_for_killed();
         }
     }
 }
@@ -236,7 +236,7 @@
         }
     }
 
-    async fn gone(&mut self) {
+    async fn reap(&mut self) {
         if let Some(mut child) = self.child.take() {
             // It was killed: what it ends with does not matter.
             let _ = child.wait().await;
@@ -244,7 +244,7 @@
     }
 
     /// Waits for the end of a process that was killed, without the runtime, for `KILL_TIMEOUT` at most.
-    fn wait_until_gone(&mut self) {
+    fn wait_for_killed(&mut self) {
         let Some(mut child) = self.child.take() else { return };
         let deadline = Instant::now() + KILL_TIMEOUT;
         while matches!(child.try_wait(), Ok(None)) && Instant::now() < deadline {
@@ -253,7 +253,7 @@
     }
 
     /// Waits for its end; `None`: it had to be killed.
-    async fn ended(&mut self, limit: Duration) -> Option<ExitStatus> {
+    async fn wait_for_exit(&mut self, limit: Duration) -> Option<ExitStatus> {
         let mut child = self.child.take()?;
         let ended = timeout(limit, child.wait()).await;
         if ended.is_err() {
--- a/lab/src/tier/observation.rs
+++ b/lab/src/tier/observation.rs
@@ -53,7 +53,7 @@
     /// Units that all its turns may emit; `None` for calls of tools.
     pub budget: Option<u64>,
     /// The most that this turn emits.
-    pub most: u64,
+    pub max_output_tokens: u64,
     /// Units in each event.
     pub chunk_tokens: u64,
 }
@@ -163,9 +163,9 @@
     WorkerCrashed {
         worker: String,
     },
-    LeaveAcknowledged {
+    DepartureAcknowledged {
         worker: String,
-        leave: Departure,
+        departure: Departure,
     },
     ConfigurationSent {
         generation: u64,
@@ -192,7 +192,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TimedObservation {
     pub at_ms: u64,
-    pub what: Observation,
+    pub observation: Observation,
 }
 
 /// The list that all stand-ins of one tier write to.
@@ -216,11 +216,11 @@
     }
 
     /// Notes an observation as of now.
-    pub fn record(&self, what: Observation) {
+    pub fn record(&self, observation: Observation) {
         let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
         // The time is taken under the lock, so that the list is in the order of time.
         let at_ms = self.now_ms();
-        seen.push(TimedObservation { at_ms, what });
+        seen.push(TimedObservation { at_ms, observation });
     }
 
     /// All that was seen so far.
--- a/lab/src/tier/peer.rs
+++ b/lab/src/tier/peer.rs
@@ -107,7 +107,7 @@
         match *framing {
             Framing::Ended => Ok(None),
             Framing::Length(left) => {
-                self.need(1).await?;
+                self.read_at_least(1).await?;
                 let chunk: Vec<u8> = self.buffer.drain(..left.min(self.buffer.len())).collect();
                 let left = left - chunk.len();
                 *framing = if left == 0 { Framing::Ended } else { Framing::Length(left) };
@@ -125,11 +125,11 @@
             if self.buffer.len() > MAX_CHUNK_LINE_BYTES {
                 return Err(invalid_message());
             }
-            self.need(self.buffer.len() + 1).await?;
+            self.read_at_least(self.buffer.len() + 1).await?;
         };
         let size = std::str::from_utf8(&line).map_err(|_| invalid_message())?;
         let size = usize::from_str_radix(size.trim(), 16).map_err(|_| invalid_message())?;
-        self.need(size + 2).await?;
+        self.read_at_least(size + 2).await?;
         let chunk: Vec<u8> = self.buffer.drain(..size).collect();
         let end: Vec<u8> = self.buffer.drain(..2).collect();
         if end != b"\r\n" {
@@ -143,7 +143,7 @@
     }
 
     /// Reads until the buffer holds so many bytes.
-    async fn need(&mut self, bytes: usize) -> io::Result<()> {
+    async fn read_at_least(&mut self, bytes: usize) -> io::Result<()> {
         while self.buffer.len() < bytes {
             if self.fill().await? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
@@ -159,7 +159,7 @@
 
     /// Whether the connection is up and nothing has come that nobody asked for.
     #[must_use]
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_reusable(&self) -> bool {
         let nothing = |error: &io::Error| error.kind() == io::ErrorKind::WouldBlock;
         self.buffer.is_empty() && self.stream.try_read(&mut [0]).is_err_and(|e| nothing(&e))
     }
--- a/lab/src/tier/program.rs
+++ b/lab/src/tier/program.rs
@@ -27,7 +27,7 @@
     pub sub_agents: Option<(usize, usize, usize)>,
     pub budget: u64,
     /// The most that a turn emits, in tokens.
-    pub most: u64,
+    pub max_output_tokens: u64,
     pub chunk_tokens: u64,
     pub deadline: Duration,
     /// Once its turns are through it starts sub-agents without end, until it is stopped.
@@ -85,48 +85,54 @@
 impl Program {
     /// Plays it to its end.
     pub async fn run(&self, client: &Client) -> ProgramReport {
-        let mut told = ProgramReport { outcome: ProgramOutcome::Completed, turns: 0, calls: 0 };
-        let mut line = PromptHistory::new(&self.name);
+        let mut report = ProgramReport { outcome: ProgramOutcome::Completed, turns: 0, calls: 0 };
+        let mut history = PromptHistory::new(&self.name);
         if self.turns == 0 {
-            self.tools(client, &mut told).await;
+            self.tools(client, &mut report).await;
         }
         for number in 0..self.turns {
-            if !self.turn(client, &mut line, number, &mut told).await || !self.tools(client, &mut told).await
+            if !self.turn(client, &mut history, number, &mut report).await
+                || !self.tools(client, &mut report).await
             {
-                return told;
+                return report;
             }
             if let Some((after, count, turns)) = self.sub_agents
                 && after == number
             {
-                self.sub_agents(client, &line, count, turns, &mut told).await;
+                self.sub_agents(client, &history, count, turns, &mut report).await;
             }
-            if told.outcome != ProgramOutcome::Completed {
-                return told;
+            if report.outcome != ProgramOutcome::Completed {
+                return report;
             }
         }
         let mut round = 0;
-        while self.loops && told.outcome == ProgramOutcome::Completed {
+        while self.loops && report.outcome == ProgramOutcome::Completed {
             round += 1;
-            self.sub_agents(client, &line.branch(round), 2, 2, &mut told).await;
+            self.sub_agents(client, &history.branch(round), 2, 2, &mut report).await;
         }
-        told
+        report
     }
 
     /// Asks for one more turn of a line, which gets longer if it is answered.
-    pub async fn run_turn(&self, client: &Client, line: &mut PromptHistory, number: usize) -> ProgramOutcome {
-        let mut told = ProgramReport { outcome: ProgramOutcome::Completed, turns: 0, calls: 0 };
-        self.turn(client, line, number, &mut told).await;
-        told.outcome
+    pub async fn run_turn(
+        &self,
+        client: &Client,
+        history: &mut PromptHistory,
+        number: usize,
+    ) -> ProgramOutcome {
+        let mut report = ProgramReport { outcome: ProgramOutcome::Completed, turns: 0, calls: 0 };
+        self.turn(client, history, number, &mut report).await;
+        report.outcome
     }
 
     async fn turn(
         &self,
         client: &Client,
-        line: &mut PromptHistory,
+        history: &mut PromptHistory,
         number: usize,
-        told: &mut ProgramReport,
+        report: &mut ProgramReport,
     ) -> bool {
-        let ask = self.turn_ask(line, number);
+        let ask = self.turn_ask(history, number);
         let mut refusals = 0;
         let mut failures = 0;
         let reply = loop {
@@ -139,47 +145,47 @@
             }
             tokio::time::sleep(RESEND_DELAY).await;
         };
-        self.after_turn(line, &ask, &reply, told)
+        self.after_turn(history, &ask, &reply, report)
     }
 
     fn after_turn(
         &self,
-        line: &mut PromptHistory,
+        history: &mut PromptHistory,
         ask: &RequestSpec,
         reply: &Reply,
-        told: &mut ProgramReport,
+        report: &mut ProgramReport,
     ) -> bool {
         match reply.status() {
             200 => {}
-            402 => told.outcome = ProgramOutcome::BudgetExhausted,
-            status => told.outcome = ProgramOutcome::Failed { status },
+            402 => report.outcome = ProgramOutcome::BudgetExhausted,
+            status => report.outcome = ProgramOutcome::Failed { status },
         }
         if reply.status() != 200 {
             return false;
         }
-        told.turns += 1;
+        report.turns += 1;
         let out = reply.events.len() as u64 * self.chunk_tokens;
-        line.prompt_tokens += ask.body.len() as u64 / 4 + out;
-        line.parts.push(format!("{}:{}", reply.request, ask.body.len() as u64 / 4 + out));
-        line.previous = Some(reply.request.clone());
+        history.prompt_tokens += ask.body.len() as u64 / 4 + out;
+        history.parts.push(format!("{}:{}", reply.request, ask.body.len() as u64 / 4 + out));
+        history.previous = Some(reply.request.clone());
         true
     }
 
-    fn turn_ask(&self, line: &PromptHistory, number: usize) -> RequestSpec {
-        let body = format!("{} says {number}: what is next?\n", line.session).into_bytes();
+    fn turn_ask(&self, history: &PromptHistory, number: usize) -> RequestSpec {
+        let body = format!("{} says {number}: what is next?\n", history.session).into_bytes();
         let retained = self.turns_route.retention.is_some();
         let turn = TurnHeaders {
             program: ProgramDescription {
                 name: self.name.clone(),
                 budget: Some(self.budget),
-                most: self.most,
+                max_output_tokens: self.max_output_tokens,
                 chunk_tokens: self.chunk_tokens,
             },
-            session: line.session.clone(),
+            session: history.session.clone(),
             finish: self.deadline * 4,
-            previous: line.previous.clone().filter(|_| retained),
-            prompt_tokens: line.prompt_tokens,
-            prompt_prefix: line.parts.join(","),
+            previous: history.previous.clone().filter(|_| retained),
+            prompt_tokens: history.prompt_tokens,
+            prompt_prefix: history.parts.join(","),
         };
         RequestSpec {
             route: self.turns_route.clone(),
@@ -192,7 +198,7 @@
     }
 
     /// Calls all tools side by side; whether none failed.
-    async fn tools(&self, client: &Client, told: &mut ProgramReport) -> bool {
+    async fn tools(&self, client: &Client, report: &mut ProgramReport) -> bool {
         let calls = self.tools.iter().map(|route| {
             let (client, ask) = (client.clone(), self.tool_ask(route));
             tokio::spawn(async move { client.send(&ask).await })
@@ -201,18 +207,18 @@
         for call in calls {
             let status = call.await.map_or(0, |reply| reply.status());
             match status {
-                200..=299 => told.calls += 1,
-                status => told.outcome = ProgramOutcome::Failed { status },
+                200..=299 => report.calls += 1,
+                status => report.outcome = ProgramOutcome::Failed { status },
             }
         }
-        told.outcome == ProgramOutcome::Completed
+        report.outcome == ProgramOutcome::Completed
     }
 
     fn tool_ask(&self, route: &Route) -> RequestSpec {
         let program = ProgramDescription {
             name: self.name.clone(),
             budget: None,
-            most: 0,
+            max_output_tokens: 0,
             chunk_tokens: self.chunk_tokens,
         };
         let turn = TurnHeaders {
@@ -232,30 +238,30 @@
     fn sub_agents<'a>(
         &'a self,
         client: &'a Client,
-        line: &'a PromptHistory,
+        history: &'a PromptHistory,
         count: usize,
         turns: usize,
-        told: &'a mut ProgramReport,
+        report: &'a mut ProgramReport,
     ) -> Boxed<'a, ()> {
         Box::pin(async move {
             let agents = (1..=count).map(|number| {
-                let (program, client, mut line) = (self.clone(), client.clone(), line.branch(number));
+                let (program, client, mut history) = (self.clone(), client.clone(), history.branch(number));
                 tokio::spawn(async move {
-                    let mut told = ProgramReport { outcome: ProgramOutcome::Completed, turns: 0, calls: 0 };
+                    let mut report = ProgramReport { outcome: ProgramOutcome::Completed, turns: 0, calls: 0 };
                     for number in 0..turns {
-                        if !program.turn(&client, &mut line, number, &mut told).await {
+                        if !program.turn(&client, &mut history, number, &mut report).await {
                             break;
                         }
                     }
-                    told
+                    report
                 })
             });
             let agents: Vec<_> = agents.collect();
             for agent in agents {
                 let Ok(part) = agent.await else { continue };
-                told.turns += part.turns;
+                report.turns += part.turns;
                 if part.outcome != ProgramOutcome::Completed {
-                    told.outcome = part.outcome;
+                    report.outcome = part.outcome;
                 }
             }
         })
--- a/lab/src/tier/run.rs
+++ b/lab/src/tier/run.rs
@@ -45,16 +45,16 @@
     pub turns: usize,
     pub calls: usize,
     /// How tries ended.
-    pub tries: BTreeMap<String, usize>,
+    pub request_outcomes: BTreeMap<String, usize>,
     /// Time to the end of answered tries, in milliseconds: at 50%, 99% and the longest.
     pub latency_ms: [u64; 3],
     /// What befell machines, and when.
     pub events: Vec<(u64, String)>,
-    pub broken: Vec<Violation>,
+    pub violations: Vec<Violation>,
     /// Turns answered 402 though the budget held them.
     pub premature_refusals: Vec<PrematureRefusal>,
     /// Processes that ended by themselves.
-    pub fallen: Vec<String>,
+    pub unexpected_exits: Vec<String>,
     /// For each second: tries answered by success, refused, and failed.
     pub seconds: Vec<[usize; 3]>,
     /// What befell the tier, in order.
@@ -67,7 +67,7 @@
     /// Whether every rule was kept and every process lived.
     #[must_use]
     pub fn passed(&self) -> bool {
-        self.broken.is_empty() && self.fallen.is_empty()
+        self.violations.is_empty() && self.unexpected_exits.is_empty()
     }
 
     /// The last line of a play.
@@ -76,7 +76,11 @@
         if self.passed() {
             "PASS".to_owned()
         } else {
-            format!("FAIL: {} broken rules, {} processes ended", self.broken.len(), self.fallen.len())
+            format!(
+                "FAIL: {} broken rules, {} processes ended",
+                self.violations.len(),
+                self.unexpected_exits.len()
+            )
         }
     }
 }
@@ -86,27 +90,27 @@
         let counts = |counts: &BTreeMap<String, usize>| {
             counts.iter().map(|(name, n)| format!("{name} {n}")).collect::<Vec<_>>().join(", ")
         };
-        let [half, most, longest] = self.latency_ms;
+        let [median, p99, max] = self.latency_ms;
         writeln!(f, "{:<28}{}", "machines", self.machines)?;
         writeln!(f, "{:<28}{}", "programs", counts(&self.programs))?;
         writeln!(f, "{:<28}{}, {}", "turns, calls of tools", self.turns, self.calls)?;
-        writeln!(f, "{:<28}{}", "tries", counts(&self.tries))?;
-        writeln!(f, "{:<28}{half}, {most}, {longest}", "answered ms (50, 99%, most)")?;
+        writeln!(f, "{:<28}{}", "client requests", counts(&self.request_outcomes))?;
+        writeln!(f, "{:<28}{median}, {p99}, {max}", "answered ms (50, 99%, most)")?;
         for (at_ms, event) in &self.events {
             writeln!(f, "{:<28}{event}", format!("{:.1} s", *at_ms as f64 / 1e3))?;
         }
         writeln!(f, "{:<28}{}", "struck by", self.faults.join(", "))?;
         writeln!(f, "{:<28}{}", "402 while budget was left", self.premature_refusals.len())?;
         for stop in self.premature_refusals.iter().take(MAX_REFUSALS_SHOWN) {
-            let PrematureRefusal { at_ms, program, spent, most, budget } = stop;
+            let PrematureRefusal { at_ms, program, spent, max_output_tokens, budget } = stop;
             let at_s = *at_ms as f64 / 1e3;
-            writeln!(f, "{:<28}{program} at {at_s:.3} s: {spent} + {most} of {budget}", "")?;
+            writeln!(f, "{:<28}{program} at {at_s:.3} s: {spent} + {max_output_tokens} of {budget}", "")?;
         }
-        for fallen in &self.fallen {
-            writeln!(f, "{:<28}{fallen}", "ended by itself")?;
+        for exit in &self.unexpected_exits {
+            writeln!(f, "{:<28}{exit}", "ended by itself")?;
         }
-        for broken in self.broken.iter().take(MAX_VIOLATIONS_SHOWN) {
-            writeln!(f, "{:<28}{broken}", "broken")?;
+        for violation in self.violations.iter().take(MAX_VIOLATIONS_SHOWN) {
+            writeln!(f, "{:<28}{violation}", "violation")?;
         }
         f.write_str(&self.log_tails)
     }
@@ -123,18 +127,18 @@
         let from = deployment.tier.log.observations().len();
         let arrivals = Arrivals::start(&deployment);
         let faults = self.inject_faults(&mut deployment).await?;
-        let injected = arrivals.end().await;
+        let reports = arrivals.end().await;
         deployment.operator.read(ORDER_LIMIT).await;
-        let seen = deployment.tier.log.observations();
+        let observations = deployment.tier.log.observations();
         let mut summary = summary(
             machines,
-            &injected,
-            &seen[from..],
+            &reports,
+            &observations[from..],
             deployment.violations(),
             deployment.tier.unexpected_exits(),
         );
         summary.faults = faults;
-        summary.premature_refusals = premature_refusals(&seen, &self.tier.bounds);
+        summary.premature_refusals = premature_refusals(&observations, &self.tier.bounds);
         if !summary.passed() {
             summary.log_tails = deployment.tier.log_tails();
         }
@@ -144,7 +148,7 @@
     /// FaultSequence, spread over the day, and ends with it.
     async fn inject_faults(&self, deployment: &mut Deployment) -> Result<Vec<String>, TierError> {
         let end = Instant::now() + self.length;
-        let mut faults = self.seed.map_or_else(FaultSequence::usual, FaultSequence::drawn);
+        let mut sequence = self.seed.map_or_else(FaultSequence::standard, FaultSequence::random);
         let interval = self.length / FAULT_INTERVALS;
         let mut injected = Vec::new();
         loop {
@@ -152,7 +156,7 @@
             if Instant::now() >= end {
                 return Ok(injected);
             }
-            let Some(fault) = faults.next(deployment) else { continue };
+            let Some(fault) = sequence.next(deployment) else { continue };
             injected.push(format!("{fault:?}"));
             fault.inject(deployment).await?;
         }
@@ -161,14 +165,14 @@
 
 fn summary(
     machines: usize,
-    injected: &[ProgramReport],
-    seen: &[TimedObservation],
-    broken: Vec<Violation>,
-    fallen: Vec<String>,
+    reports: &[ProgramReport],
+    observations: &[TimedObservation],
+    violations: Vec<Violation>,
+    unexpected_exits: Vec<String>,
 ) -> Summary {
     let mut programs = BTreeMap::new();
-    for injected in injected {
-        let name = match injected.outcome {
+    for report in reports {
+        let name = match report.outcome {
             ProgramOutcome::Completed => "completed".to_owned(),
             ProgramOutcome::BudgetExhausted => "stopped by their budget".to_owned(),
             ProgramOutcome::Failed { status: 0 } => "failed without an answer".to_owned(),
@@ -176,21 +180,22 @@
         };
         *programs.entry(name).or_insert(0) += 1;
     }
-    let mut collected = Collected { began_ms: seen.first().map_or(0, |s| s.at_ms), ..Collected::default() };
-    for observation in seen {
+    let mut collected =
+        Collected { start_ms: observations.first().map_or(0, |s| s.at_ms), ..Collected::default() };
+    for observation in observations {
         collected.add(observation);
     }
     Summary {
         machines,
         programs,
-        turns: injected.iter().map(|t| t.turns).sum(),
-        calls: injected.iter().map(|t| t.calls).sum(),
+        turns: reports.iter().map(|t| t.turns).sum(),
+        calls: reports.iter().map(|t| t.calls).sum(),
         latency_ms: collected.latencies(),
-        tries: collected.tries,
+        request_outcomes: collected.request_outcomes,
         events: collected.events,
         seconds: collected.seconds,
-        broken,
-        fallen,
+        violations,
+        unexpected_exits,
         faults: Vec::new(),
         premature_refusals: Vec::new(),
         log_tails: String::new(),
@@ -200,21 +205,21 @@
 /// Counts over the list of observations.
 #[derive(Default)]
 struct Collected<'a> {
-    began_ms: u64,
+    start_ms: u64,
     sent: BTreeMap<&'a str, u64>,
-    took_ms: Vec<u64>,
-    tries: BTreeMap<String, usize>,
+    latencies_ms: Vec<u64>,
+    request_outcomes: BTreeMap<String, usize>,
     events: Vec<(u64, String)>,
     seconds: Vec<[usize; 3]>,
 }
 
 impl<'a> Collected<'a> {
     fn add(&mut self, seen: &'a TimedObservation) {
-        match &seen.what {
+        match &seen.observation {
             Observation::RequestSent(sent) => {
                 self.sent.insert(&sent.request, seen.at_ms);
             }
-            Observation::RequestEnded { request, outcome } => self.ended(seen.at_ms, request, outcome),
+            Observation::RequestEnded { request, outcome } => self.add_outcome(seen.at_ms, request, outcome),
             Observation::Machine { machine, event } => {
                 let name = match event {
                     MachineEvent::Terminated => "stopped by SIGTERM".to_owned(),
@@ -225,14 +230,14 @@
             Observation::ConfigurationAnswered { generation, status, .. } => {
                 self.events.push((seen.at_ms, format!("configuration {generation} answered {status}")));
             }
-            Observation::LeaveAcknowledged { worker, leave } => {
-                self.events.push((seen.at_ms, format!("worker {worker} {leave:?}").to_lowercase()));
+            Observation::DepartureAcknowledged { worker, departure } => {
+                self.events.push((seen.at_ms, format!("worker {worker} {departure:?}").to_lowercase()));
             }
             _ => {}
         }
     }
 
-    fn ended(&mut self, at_ms: u64, request: &str, outcome: &Outcome) {
+    fn add_outcome(&mut self, at_ms: u64, request: &str, outcome: &Outcome) {
         let (name, kind) = match outcome {
             Outcome::Answered { status: status @ 200..=299, .. } => (status.to_string(), 0),
             Outcome::Answered { status, .. } => (status.to_string(), 1),
@@ -244,10 +249,10 @@
         if outcome.is_success()
             && let Some(sent_ms) = self.sent.get(request)
         {
-            self.took_ms.push(at_ms - sent_ms);
+            self.latencies_ms.push(at_ms - sent_ms);
         }
-        *self.tries.entry(name).or_insert(0) += 1;
-        let second = usize::try_from((at_ms - self.began_ms) / 1000).unwrap_or_default();
+        *self.request_outcomes.entry(name).or_insert(0) += 1;
+        let second = usize::try_from((at_ms - self.start_ms) / 1000).unwrap_or_default();
         if self.seconds.len() <= second {
             self.seconds.resize(second + 1, [0; 3]);
         }
@@ -255,8 +260,8 @@
     }
 
     fn latencies(&mut self) -> [u64; 3] {
-        self.took_ms.sort_unstable();
-        let last = self.took_ms.len().saturating_sub(1);
-        [last / 2, last * 99 / 100, last].map(|at| self.took_ms.get(at).copied().unwrap_or(0))
+        self.latencies_ms.sort_unstable();
+        let last = self.latencies_ms.len().saturating_sub(1);
+        [last / 2, last * 99 / 100, last].map(|at| self.latencies_ms.get(at).copied().unwrap_or(0))
     }
 }
--- a/lab/src/tier/tests.rs
+++ b/lab/src/tier/tests.rs
@@ -35,8 +35,8 @@
 /// A process that acknowledges everything, and writes down what it was sent.
 async fn control() -> (SocketAddr, Arc<Mutex<Vec<String>>>) {
     let listener = TcpListener::bind((LOCAL, 0)).await.expect("a port");
-    let (address, told) = (listener.local_addr().expect("an address"), Arc::new(Mutex::new(Vec::new())));
-    let lines = told.clone();
+    let (address, received) = (listener.local_addr().expect("an address"), Arc::new(Mutex::new(Vec::new())));
+    let lines = received.clone();
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             let mut peer = Peer::new(stream);
@@ -46,7 +46,7 @@
             let _ = peer.write(&http::answer(200, "", b"{}")).await;
         }
     });
-    (address, told)
+    (address, received)
 }
 
 /// A worker that clients meet directly.
@@ -55,12 +55,12 @@
     worker: Arc<Worker>,
     platform: Platform,
     route: Route,
-    told: Arc<Mutex<Vec<String>>>,
+    received: Arc<Mutex<Vec<String>>>,
 }
 
 impl World {
     async fn new(kind: RouteKind, work: Work) -> Self {
-        let (control, told) = control().await;
+        let (control, received) = control().await;
         let (log, controls) = (Log::default(), ControlAddresses::default());
         controls.set(vec![control]);
         let spec = WorkerSpec {
@@ -81,7 +81,7 @@
             Configuration { generation: 1, routes: vec![route.clone()], services: Vec::new() };
         let operator = Operator::new(log.clone(), controls, 0);
         assert_eq!(operator.configure(&Arc::new(configuration.body()), 0, true, LIMIT).await, 200);
-        Self { log, worker, platform, route, told }
+        Self { log, worker, platform, route, received }
     }
 
     fn client(&self) -> Client {
@@ -155,13 +155,13 @@
 async fn a_worker_that_leaves_says_so_first() {
     let world = World::new(RouteKind::Safe, PLAIN).await;
     assert!(world.worker.leave(LIMIT).await);
-    let leaves = world.log.observations().into_iter().filter_map(|s| match s.what {
-        Observation::LeaveAcknowledged { leave, .. } => Some(leave),
+    let leaves = world.log.observations().into_iter().filter_map(|s| match s.observation {
+        Observation::DepartureAcknowledged { departure, .. } => Some(departure),
         _ => None,
     });
     assert_eq!(leaves.collect::<Vec<_>>(), [Departure::Draining, Departure::Deregistered]);
-    let told = world.told.lock().expect("a list");
-    let last = told.iter().rev().take(2).map(String::as_str).collect::<Vec<_>>();
+    let received = world.received.lock().expect("a list");
+    let last = received.iter().rev().take(2).map(String::as_str).collect::<Vec<_>>();
     assert!(last[0].starts_with("DELETE /opalrun/instances/i-1"), "{last:?}");
     assert!(last[1].contains("\"state\":\"draining\""), "{last:?}");
 }
@@ -173,7 +173,8 @@
     let answer = super::peer::call(world.worker.address, "GET", "/route/1", &headers, b"", LIMIT).await;
     let answer = answer.expect("an answer");
     assert_eq!((answer.status(), answer.header("instance-id")), (421, Some("i-1")));
-    let ran = |seen: &super::observation::TimedObservation| matches!(seen.what, Observation::Ran { .. });
+    let ran =
+        |seen: &super::observation::TimedObservation| matches!(seen.observation, Observation::Ran { .. });
     assert!(!world.log.observations().iter().any(ran));
 }
 
--- a/lab/src/tier/worker/engine.rs
+++ b/lab/src/tier/worker/engine.rs
@@ -30,7 +30,7 @@
     /// The parts of the prompt and their tokens, in order.
     pub parts: Vec<(String, u64)>,
     /// Tokens that it will emit.
-    pub out: u64,
+    pub output_tokens: u64,
     /// 0 is the most urgent.
     pub priority: u8,
 }
@@ -67,7 +67,7 @@
 struct CachedPart {
     tokens: u64,
     /// The step in which it was used last.
-    used: u64,
+    last_used_step: u64,
 }
 
 /// An engine's state.
@@ -103,7 +103,7 @@
     pub fn admit(&mut self, prompt: Prompt) -> Result<u64, Full> {
         let slots = self.spec.capacity + self.spec.queue;
         if self.running.len() + self.waiting.len() >= slots
-            || prompt.tokens() + prompt.out > self.spec.kv_capacity
+            || prompt.tokens() + prompt.output_tokens > self.spec.kv_capacity
         {
             return Err(Full);
         }
@@ -195,7 +195,7 @@
         let mut all_before = true;
         for (id, tokens) in &job.prompt.parts {
             match self.cached.get_mut(id) {
-                Some(part) if all_before => part.used = self.steps,
+                Some(part) if all_before => part.last_used_step = self.steps,
                 _ => {
                     all_before = false;
                     job.prefill_left += tokens;
@@ -221,7 +221,7 @@
             }
         }
         for (id, tokens) in read {
-            self.cached.insert(id, CachedPart { tokens, used: self.steps });
+            self.cached.insert(id, CachedPart { tokens, last_used_step: self.steps });
         }
     }
 
@@ -237,7 +237,7 @@
         let at = self.running.iter().position(|j| j.ticket == ticket)?;
         let job = &mut self.running[at];
         job.generated += 1;
-        let last = job.generated >= job.prompt.out;
+        let last = job.generated >= job.prompt.output_tokens;
         if last {
             self.running.remove(at);
         }
@@ -277,7 +277,8 @@
             if tokens_in_use + kept + tokens <= self.spec.kv_capacity {
                 return true;
             }
-            let Some(oldest) = free.iter().min_by_key(|(_, p)| p.used).map(|(id, _)| (*id).clone()) else {
+            let Some(oldest) = free.iter().min_by_key(|(_, p)| p.last_used_step).map(|(id, _)| (*id).clone())
+            else {
                 return true;
             };
             self.cached.remove(&oldest);
--- a/lab/src/tier/worker/engine_tests.rs
+++ b/lab/src/tier/worker/engine_tests.rs
@@ -12,8 +12,8 @@
     prefill_per_step: 20,
 };
 
-fn prompt(parts: &[(&str, u64)], out: u64, priority: u8) -> Prompt {
-    Prompt { parts: parts.iter().map(|(id, t)| ((*id).to_owned(), *t)).collect(), out, priority }
+fn prompt(parts: &[(&str, u64)], output_tokens: u64, priority: u8) -> Prompt {
+    Prompt { parts: parts.iter().map(|(id, t)| ((*id).to_owned(), *t)).collect(), output_tokens, priority }
 }
 
 /// Steps until a request has emitted its last token; how many it took.
--- a/lab/src/tier/worker/mod.rs
+++ b/lab/src/tier/worker/mod.rs
@@ -72,7 +72,7 @@
 
 /// What becomes of a connection after an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum After {
+enum ConnectionAction {
     KeepOpen,
     Close,
     Reset,
@@ -112,7 +112,7 @@
             }
             Work::Model(engine) => Kind::Model(Box::new(model::Model::new(engine))),
         };
-        let facts = WorkerDescription {
+        let description = WorkerDescription {
             id: id.to_owned(),
             service: spec.service.clone(),
             address,
@@ -127,7 +127,7 @@
             log,
             kind,
             faults: Faults::default(),
-            registration: Mutex::new(Registration::new(facts, controls)),
+            registration: Mutex::new(Registration::new(description, controls)),
             draining: AtomicBool::new(false),
             connections: AtomicUsize::new(0),
             answers: AtomicU64::new(0),
@@ -168,8 +168,8 @@
         self.draining.store(true, Ordering::Relaxed);
         let acknowledged = self.registration.lock().await.heartbeat_until(true, limit).await;
         if acknowledged {
-            let (worker, leave) = (self.id.clone(), Departure::Draining);
-            self.log.record(Observation::LeaveAcknowledged { worker, leave });
+            let (worker, departure) = (self.id.clone(), Departure::Draining);
+            self.log.record(Observation::DepartureAcknowledged { worker, departure });
         }
         acknowledged
     }
@@ -179,8 +179,8 @@
         let mut acknowledged = self.drain(limit).await;
         tokio::time::sleep(self.spec.drain).await;
         if self.registration.lock().await.remove().await {
-            let (worker, leave) = (self.id.clone(), Departure::Deregistered);
-            self.log.record(Observation::LeaveAcknowledged { worker, leave });
+            let (worker, departure) = (self.id.clone(), Departure::Deregistered);
+            self.log.record(Observation::DepartureAcknowledged { worker, departure });
         } else {
             acknowledged = false;
         }
@@ -219,14 +219,14 @@
             // What can't be read, or breaks, ends the connection.
             let Ok(Some(message)) = peer.read_message().await else { return };
             match self.answer(&mut peer, &message).await {
-                Ok(After::KeepOpen) if !message.closes() => {}
-                Ok(After::Reset) => return peer.reset(),
+                Ok(ConnectionAction::KeepOpen) if !message.closes() => {}
+                Ok(ConnectionAction::Reset) => return peer.reset(),
                 _ => return,
             }
         }
     }
 
-    async fn answer(&self, peer: &mut Peer, message: &Message) -> io::Result<After> {
+    async fn answer(&self, peer: &mut Peer, message: &Message) -> io::Result<ConnectionAction> {
         match message.target() {
             ("GET", "/healthz") => self.write(peer, self.health_status(), "", b"").await,
             ("GET", "/opalrun/report") => {
@@ -237,7 +237,7 @@
         }
     }
 
-    async fn answer_request(&self, peer: &mut Peer, message: &Message) -> io::Result<After> {
+    async fn answer_request(&self, peer: &mut Peer, message: &Message) -> io::Result<ConnectionAction> {
         if message.header("expect-instance").is_some_and(|id| id != self.id) {
             return self.write(peer, 421, "Not-Executed: 1\r\n", b"").await;
         }
@@ -252,15 +252,21 @@
     }
 
     /// Turns a request away that has not run.
-    async fn reject(&self, peer: &mut Peer, request: &str) -> io::Result<After> {
+    async fn reject(&self, peer: &mut Peer, request: &str) -> io::Result<ConnectionAction> {
         let headers = format!("Not-Executed: 1\r\nRequest-Id: {request}\r\n");
         self.write(peer, 503, &headers, b"").await
     }
 
-    async fn write(&self, peer: &mut Peer, status: u16, headers: &str, body: &[u8]) -> io::Result<After> {
+    async fn write(
+        &self,
+        peer: &mut Peer,
+        status: u16,
+        headers: &str,
+        body: &[u8],
+    ) -> io::Result<ConnectionAction> {
         let all = format!("{headers}Instance-Id: {}\r\nServer-Load: {}\r\n", self.id, self.server_load());
         peer.write(&http::answer(status, &all, body)).await?;
-        Ok(After::KeepOpen)
+        Ok(ConnectionAction::KeepOpen)
     }
 
     fn health_status(&self) -> u16 {
--- a/lab/src/tier/worker/model.rs
+++ b/lab/src/tier/worker/model.rs
@@ -1,7 +1,7 @@
 //! A model worker: streams of events from an engine.
 
 use super::{
-    After, Fault, Worker,
+    ConnectionAction, Fault, Worker,
     engine::{Engine, EngineSpec, Prompt},
 };
 use crate::{
@@ -20,9 +20,9 @@
 use tokio::sync::{Notify, mpsc};
 
 /// The priority of a request that names none.
-const USUAL_PRIORITY: u8 = 5;
+const DEFAULT_PRIORITY: u8 = 5;
 /// Tokens that a request emits when it names no most.
-const USUAL_OUT: u64 = 12;
+const DEFAULT_OUTPUT_TOKENS: u64 = 12;
 /// Events of a stream after which a fault in its middle strikes; a shorter one is spared.
 const EVENTS_BEFORE_RESET: u64 = 1;
 
@@ -92,11 +92,11 @@
         peer: &mut Peer,
         message: &Message,
         request: &str,
-    ) -> io::Result<After> {
+    ) -> io::Result<ConnectionAction> {
         let Some(mut stream) = self.admit(message) else { return worker.reject(peer, request).await };
         let first = tokio::select! {
             token = stream.tokens.recv() => token,
-            () = peer.closed() => return Ok(After::Close),
+            () = peer.closed() => return Ok(ConnectionAction::Close),
         };
         worker.log_run(message, request);
         let fault = worker.faults.take();
@@ -104,11 +104,11 @@
         match fault {
             Some(Fault::Silence) => {
                 peer.closed().await;
-                return Ok(After::Close);
+                return Ok(ConnectionAction::Close);
             }
             Some(Fault::Garbage) => {
                 peer.write(b"\x00\xfenothing that could be read\r\n\r\n").await?;
-                return Ok(After::Close);
+                return Ok(ConnectionAction::Close);
             }
             Some(Fault::Failure) => {
                 worker.log_answer(request, 500, &signature, b"", true);
@@ -118,16 +118,16 @@
             _ => {}
         }
         let mut output = Output { worker, peer, request, signature: &signature, next: first_event(message) };
-        output.head().await?;
-        output.events(first, &mut stream, self.spec.chunk_tokens, fault).await
+        output.write_head().await?;
+        output.write_events(first, &mut stream, self.spec.chunk_tokens, fault).await
     }
 
     fn admit(&self, message: &Message) -> Option<Stream<'_>> {
         let prompt = prompt(message, self.spec.chunk_tokens);
         let mut state = self.state();
         let ticket = state.engine.admit(prompt).ok()?;
-        let (tell, tokens) = mpsc::unbounded_channel();
-        state.streams.insert(ticket, tell);
+        let (sender, tokens) = mpsc::unbounded_channel();
+        state.streams.insert(ticket, sender);
         drop(state);
         self.admitted.notify_one();
         Some(Stream { model: self, ticket, tokens })
@@ -160,7 +160,7 @@
 }
 
 impl Output<'_> {
-    async fn head(&mut self) -> io::Result<()> {
+    async fn write_head(&mut self) -> io::Result<()> {
         let head = format!(
             "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nRequest-Id: {}\r\nServer-Signature: {}\r\n\
              Server-Load: {}\r\nVersions: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -176,37 +176,38 @@
         self.peer.write(head.as_bytes()).await
     }
 
-    async fn events(
+    async fn write_events(
         &mut self,
         first: Option<bool>,
         stream: &mut Stream<'_>,
         chunk_tokens: u64,
         fault: Option<Fault>,
-    ) -> io::Result<After> {
-        let (mut token, mut held) = (first, 0);
+    ) -> io::Result<ConnectionAction> {
+        let (mut token, mut pending_tokens) = (first, 0);
         while let Some(last) = token {
-            held += 1;
-            if held == chunk_tokens || last {
-                held = 0;
-                self.event(!last || fault != Some(Fault::LoseAnswer)).await?;
+            pending_tokens += 1;
+            if pending_tokens == chunk_tokens || last {
+                pending_tokens = 0;
+                self.write_event(!last || fault != Some(Fault::LoseAnswer)).await?;
             }
             if last {
-                return self.end(fault).await;
+                return self.finish(fault).await;
             }
-            if fault == Some(Fault::ResetMidAnswer) && held == 0 && self.next > EVENTS_BEFORE_RESET {
+            if fault == Some(Fault::ResetMidAnswer) && pending_tokens == 0 && self.next > EVENTS_BEFORE_RESET
+            {
                 self.worker.log_answer(self.request, 200, self.signature, b"", false);
-                return Ok(After::Reset);
+                return Ok(ConnectionAction::Reset);
             }
             token = tokio::select! {
                 token = stream.tokens.recv() => token,
-                () = self.peer.closed() => return Ok(After::Close),
+                () = self.peer.closed() => return Ok(ConnectionAction::Close),
             };
         }
-        Ok(After::Close)
+        Ok(ConnectionAction::Close)
     }
 
     /// Makes the next event, and sends it unless it gets lost.
-    async fn event(&mut self, send: bool) -> io::Result<()> {
+    async fn write_event(&mut self, send: bool) -> io::Result<()> {
         let data = format!("{} {} of {}", self.signature, self.next, self.request);
         let text = format!("id: {}\ndata: {data}\n\n", self.next);
         self.worker.log.record(Observation::EventMade {
@@ -222,18 +223,18 @@
         Ok(())
     }
 
-    async fn end(&mut self, fault: Option<Fault>) -> io::Result<After> {
+    async fn finish(&mut self, fault: Option<Fault>) -> io::Result<ConnectionAction> {
         let is_complete = fault != Some(Fault::LoseAnswer);
         self.worker.log_answer(self.request, 200, self.signature, b"", is_complete);
         if !is_complete {
-            return Ok(After::Close);
+            return Ok(ConnectionAction::Close);
         }
         self.peer.write(b"0\r\n\r\n").await?;
         if fault == Some(Fault::SecondAnswer) {
             let headers = format!("Request-Id: surplus-{}\r\n", self.request);
             self.peer.write(&crate::http::answer(200, &headers, b"surplus")).await?;
         }
-        Ok(After::KeepOpen)
+        Ok(ConnectionAction::KeepOpen)
     }
 }
 
@@ -249,16 +250,17 @@
         let (id, tokens) = part.split_once(':')?;
         Some((id.to_owned(), tokens.parse().ok()?))
     });
-    let most = message.header("token-usage").and_then(|usage| usage.split_once(',')?.1.trim().parse().ok());
-    let most = most.unwrap_or(USUAL_OUT).max(1);
+    let max_output_tokens =
+        message.header("token-usage").and_then(|usage| usage.split_once(',')?.1.trim().parse().ok());
+    let max_output_tokens = max_output_tokens.unwrap_or(DEFAULT_OUTPUT_TOKENS).max(1);
     let done = (first_event(message) - 1) * chunk_tokens;
-    let priority = message.header("priority").and_then(|p| p.parse().ok()).unwrap_or(USUAL_PRIORITY);
-    let out = out_of(message.header("request-id").unwrap_or_default(), most);
-    Prompt { parts: parts.collect(), out: out.saturating_sub(done).max(1), priority }
+    let priority = message.header("priority").and_then(|p| p.parse().ok()).unwrap_or(DEFAULT_PRIORITY);
+    let out = output_tokens(message.header("request-id").unwrap_or_default(), max_output_tokens);
+    Prompt { parts: parts.collect(), output_tokens: out.saturating_sub(done).max(1), priority }
 }
 
 /// Tokens that a request emits: from half of its most to all of it.
-fn out_of(request: &str, most: u64) -> u64 {
+fn output_tokens(request: &str, max_output_tokens: u64) -> u64 {
     let fold = request.bytes().fold(7_u64, |sum, byte| (sum * 31 + u64::from(byte)) % 1009);
-    most - (most / 2) * (fold % 3) / 2
+    max_output_tokens - (max_output_tokens / 2) * (fold % 3) / 2
 }
--- a/lab/src/tier/worker/plain.rs
+++ b/lab/src/tier/worker/plain.rs
@@ -1,6 +1,6 @@
 //! A plain worker: slots, a queue, and an answer of stated length.
 
-use super::{After, Fault, Worker};
+use super::{ConnectionAction, Fault, Worker};
 use crate::{
     http::{self, Message},
     tier::peer::Peer,
@@ -38,23 +38,23 @@
         peer: &mut Peer,
         message: &Message,
         request: &str,
-    ) -> io::Result<After> {
+    ) -> io::Result<ConnectionAction> {
         if self.slots.available_permits() == 0 && self.waiting.load(Ordering::Relaxed) >= self.queue {
             return worker.reject(peer, request).await;
         }
-        let waits = Waits::begin(&self.waiting);
+        let waiting = WaitingGuard::begin(&self.waiting);
         let slot = tokio::select! {
             slot = self.slots.acquire() => slot,
-            () = peer.closed() => return Ok(After::Close),
+            () = peer.closed() => return Ok(ConnectionAction::Close),
         };
-        drop(waits);
+        drop(waiting);
         // The semaphore is never closed.
-        let Ok(_slot) = slot else { return Ok(After::Close) };
+        let Ok(_slot) = slot else { return Ok(ConnectionAction::Close) };
         worker.log_run(message, request);
         let fault = worker.faults.take();
         tokio::select! {
             () = tokio::time::sleep(self.work) => {}
-            () = peer.closed() => return Ok(After::Close),
+            () = peer.closed() => return Ok(ConnectionAction::Close),
         }
         self.finish(worker, peer, request, fault).await
     }
@@ -65,7 +65,7 @@
         peer: &mut Peer,
         request: &str,
         fault: Option<Fault>,
-    ) -> io::Result<After> {
+    ) -> io::Result<ConnectionAction> {
         let signature = worker.signature();
         let mut body = format!("{signature} answers {request} ").into_bytes();
         body.resize(self.answer_bytes.max(body.len()), b'.');
@@ -79,10 +79,10 @@
         let mut bytes = http::answer(status, &headers, &body);
         match fault {
             None | Some(Fault::Failure) => {}
-            Some(Fault::LoseAnswer) => return Ok(After::Close),
+            Some(Fault::LoseAnswer) => return Ok(ConnectionAction::Close),
             Some(Fault::ResetMidAnswer) => {
                 peer.write(&bytes[..bytes.len() - body.len() / 2]).await?;
-                return Ok(After::Reset);
+                return Ok(ConnectionAction::Reset);
             }
             Some(Fault::SecondAnswer) => {
                 let headers = format!("Request-Id: surplus-{request}\r\nServer-Signature: {signature}-2\r\n");
@@ -90,29 +90,29 @@
             }
             Some(Fault::Garbage) => {
                 peer.write(b"\x00\xfenothing that could be read\r\n\r\n").await?;
-                return Ok(After::Close);
+                return Ok(ConnectionAction::Close);
             }
             Some(Fault::Silence) => {
                 peer.closed().await;
-                return Ok(After::Close);
+                return Ok(ConnectionAction::Close);
             }
         }
         peer.write(&bytes).await?;
-        Ok(After::KeepOpen)
+        Ok(ConnectionAction::KeepOpen)
     }
 }
 
 /// One more that waits, until it is dropped.
-struct Waits<'a>(&'a AtomicUsize);
+struct WaitingGuard<'a>(&'a AtomicUsize);
 
-impl<'a> Waits<'a> {
+impl<'a> WaitingGuard<'a> {
     fn begin(waiting: &'a AtomicUsize) -> Self {
         waiting.fetch_add(1, Ordering::Relaxed);
         Self(waiting)
     }
 }
 
-impl Drop for Waits<'_> {
+impl Drop for WaitingGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
--- a/lab/src/tier/worker/registration.rs
+++ b/lab/src/tier/worker/registration.rs
@@ -63,7 +63,7 @@
 /// The registration of one worker.
 #[derive(Debug)]
 pub struct Registration {
-    facts: WorkerDescription,
+    description: WorkerDescription,
     controls: ControlAddresses,
     sequence: u64,
     /// Where the last acknowledgement asked for later heartbeats, until one fails there.
@@ -75,15 +75,15 @@
 impl Registration {
     /// A worker that nobody has heard of yet.
     #[must_use]
-    pub fn new(facts: WorkerDescription, controls: ControlAddresses) -> Self {
-        let next = fold(&facts.id);
-        Self { facts, controls, sequence: 0, heartbeat_address: None, next }
+    pub fn new(description: WorkerDescription, controls: ControlAddresses) -> Self {
+        let next = id_hash(&description.id);
+        Self { description, controls, sequence: 0, heartbeat_address: None, next }
     }
 
     /// Sends one heartbeat, to each process in turn until one acknowledges it; whether one did.
     pub async fn heartbeat(&mut self, draining: bool) -> bool {
         self.sequence += 1;
-        let body = self.facts.body(draining, self.sequence).to_string();
+        let body = self.description.body(draining, self.sequence).to_string();
         self.send("PUT", body.as_bytes()).await
     }
 
@@ -103,7 +103,7 @@
     }
 
     async fn send(&mut self, method: &str, body: &[u8]) -> bool {
-        let path = format!("/opalrun/instances/{}", self.facts.id);
+        let path = format!("/opalrun/instances/{}", self.description.id);
         let controls = self.controls.get();
         let in_turn = (0..controls.len()).map(|i| controls[(self.next + i) % controls.len()]);
         let addresses: Vec<SocketAddr> = self.heartbeat_address.into_iter().chain(in_turn).collect();
@@ -135,6 +135,6 @@
 }
 
 /// A number that differs among workers, so that they do not all begin at the same process.
-fn fold(id: &str) -> usize {
+fn id_hash(id: &str) -> usize {
     id.bytes().fold(0, |sum, byte| (sum * 31 + usize::from(byte)) % 1009)
 }
