--- a/lab/src/tier/arrivals.rs
+++ b/lab/src/tier/arrivals.rs
@@ -1,4 +1,4 @@
-//! Programs that come all the time.
+//! Starts agent programs at a constant rate.
 
 use super::{
     client::Client,
@@ -11,32 +11,32 @@
     task::{JoinHandle, JoinSet},
 };
 
-/// Time between two programs.
-const EVERY: Duration = Duration::from_millis(120);
-/// One of so many programs goes on without end, until its budget stops it.
-const LOOPING: usize = 10;
-/// The budget of those.
+/// Time between the starts of two programs.
+const START_INTERVAL: Duration = Duration::from_millis(120);
+/// One program in this many loops until its budget is exhausted.
+const LOOPING_PERIOD: usize = 10;
+/// Budget of looping programs, in tokens.
 const LOOPING_BUDGET: u64 = 500;
 
-/// Programs under way.
+/// Task that starts programs, and the programs in flight.
 pub struct Arrivals {
     stop: watch::Sender<bool>,
     task: JoinHandle<Vec<ProgramReport>>,
 }
 
 impl Arrivals {
-    /// Has programs come from now on.
+    /// Starts a program every `START_INTERVAL` from now on.
     #[must_use]
     pub fn start(deployment: &Deployment) -> Self {
         let (stop, mut stopped) = watch::channel(false);
-        let source = Arc::new(Source::new(deployment));
+        let source = Arc::new(ProgramSource::new(deployment));
         let task = tokio::spawn(async move {
             let mut programs = JoinSet::new();
             for number in 0.. {
                 let source = source.clone();
                 programs.spawn(async move { source.run(number).await });
                 tokio::select! {
-                    () = tokio::time::sleep(EVERY) => {}
+                    () = tokio::time::sleep(START_INTERVAL) => {}
                     _ = stopped.wait_for(|stopped| *stopped) => break,
                 }
             }
@@ -45,26 +45,26 @@
         Self { stop, task }
     }
 
-    /// Has no more come, and waits for those under way.
+    /// Stops starting programs, waits for those in flight and returns all reports.
     pub async fn end(self) -> Vec<ProgramReport> {
         self.stop.send_replace(true);
         self.task.await.unwrap_or_default()
     }
 }
 
-/// What programs are made of.
-struct Source {
+/// Creates the programs.
+struct ProgramSource {
     log: super::observation::Log,
     platform: super::platform::Platform,
     zones: Vec<String>,
-    /// One for each route of turns.
-    patterns: Vec<Program>,
+    /// One template for each streaming route.
+    templates: Vec<Program>,
 }
 
-impl Source {
+impl ProgramSource {
     fn new(deployment: &Deployment) -> Self {
         let tools = deployment.tools();
-        let patterns = ["dispute", "trace", "resumable"].map(|route| Program {
+        let templates = ["dispute", "trace", "resumable"].map(|route| Program {
             tools: tools.clone(),
             sub_agents: Some((1, 2, 2)),
             ..deployment.program(route, route)
@@ -74,17 +74,17 @@
             log: tier.log.clone(),
             platform: tier.platform.clone(),
             zones: tier.spec.zones.clone(),
-            patterns: patterns.to_vec(),
+            templates: templates.to_vec(),
         }
     }
 
     async fn run(&self, number: usize) -> ProgramReport {
-        let pattern = self.patterns[number % self.patterns.len()].clone();
-        let loops = number % LOOPING == LOOPING - 1;
-        let budget = if loops { LOOPING_BUDGET } else { pattern.budget };
-        let program = Program { name: format!("program-{number}"), loops, budget, ..pattern };
+        let template = self.templates[number % self.templates.len()].clone();
+        let loops = number % LOOPING_PERIOD == LOOPING_PERIOD - 1;
+        let budget = if loops { LOOPING_BUDGET } else { template.budget };
+        let program = Program { name: format!("program-{number}"), loops, budget, ..template };
         let zone = &self.zones[number % self.zones.len()];
-        // Numbers that are no other client's.
+        // Numbers that no other client uses.
         let hash = 1_000_000 + number as u64;
         program.run(&Client::new(self.log.clone(), self.platform.clone(), zone, hash)).await
     }
--- a/lab/src/tier/client.rs
+++ b/lab/src/tier/client.rs
@@ -1,4 +1,4 @@
-//! A stand-in client: sends tries, reads answers piece by piece, and notes what it saw.
+//! A simulated client: sends requests, reads responses incrementally, and records what it observed.
 
 use super::{
     configuration::Route,
@@ -19,64 +19,64 @@
 };
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// How long a new connection may take to come up.
+/// Time-out for establishing a connection.
 const CONNECT_LIMIT: Duration = Duration::from_secs(1);
-/// The shortest silence after which a stream is given up.
+/// Minimum time without response bytes after which a client abandons a request.
 const MIN_EVENT_TIMEOUT: Duration = Duration::from_secs(2);
-/// The longest pause between events that the stand-in configurations name.
+/// Target for the gap between events that the configurations of this lab set.
 const EVENT_GAP_TARGET: Duration = Duration::from_millis(400);
-/// Pause before a try is repeated.
+/// Delay before a retry if the response does not state one.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Counts the tries of all clients, so that no two share an id.
+/// Counter for request ids, shared by all clients so that ids are unique.
 static NEXT_REQUEST_NUMBER: AtomicU64 = AtomicU64::new(1);
 
-/// What a client asks for.
+/// A request to be sent, with its retry limit.
 #[derive(Debug, Clone)]
 pub struct RequestSpec {
     pub route: Route,
-    /// What follows the route's prefix.
+    /// Path after the route's prefix.
     pub path: String,
-    /// The body; none makes it a GET.
+    /// Body; if empty the request is a GET, otherwise a POST.
     pub body: Vec<u8>,
     pub deadline: Duration,
-    /// Tries after the first.
+    /// Maximum number of retries.
     pub retries: usize,
     pub turn: Option<TurnHeaders>,
 }
 
-/// What a request of a program carries besides.
+/// Additional headers of a request that belongs to an agent program.
 #[derive(Debug, Clone)]
 pub struct TurnHeaders {
     pub program: ProgramDescription,
     pub session: String,
     pub finish: Duration,
     pub previous: Option<String>,
-    /// Tokens of the prompt.
+    /// Length of the prompt, in tokens.
     pub prompt_tokens: u64,
-    /// ID:TOKENS, separated by commas.
+    /// Parts of the prompt as `ID:TOKENS`, separated by commas.
     pub prompt_prefix: String,
 }
 
-/// How a request ended, after all its tries.
+/// Result of a request after its last retry.
 #[derive(Debug, Clone)]
 pub struct Reply {
-    /// The id of the last try.
+    /// Request id of the last attempt.
     pub request: String,
     pub outcome: Outcome,
-    /// The events of the last try.
+    /// Stream events of the last attempt.
     pub events: Vec<StreamEvent>,
 }
 
 impl Reply {
-    /// The status; 0: there was no whole answer.
+    /// Returns the HTTP status, or 0 if there was no complete response.
     #[must_use]
     pub fn status(&self) -> u16 {
         if let Outcome::Answered { status, .. } = self.outcome { status } else { 0 }
     }
 }
 
-/// Clients of one zone. Each keeps its connections.
+/// A client in one zone, with its idle connections.
 #[derive(Clone)]
 pub struct Client {
     log: Log,
@@ -88,14 +88,14 @@
 }
 
 impl Client {
-    /// A client; `hash` decides which gatekeeper it meets first.
+    /// Creates a client; `hash` determines the gatekeeper of its first request.
     #[must_use]
     pub fn new(log: Log, platform: Platform, zone: &str, hash: u64) -> Self {
         let (sent_count, idle_connections) = (Arc::new(AtomicU64::new(0)), Arc::default());
         Self { log, platform, zone: zone.to_owned(), hash, sent_count, idle_connections }
     }
 
-    /// Asks, and tries again as far as the protocol lets it.
+    /// Sends a request, and retries it within its deadline where the protocol permits a retry.
     pub async fn send(&self, spec: &RequestSpec) -> Reply {
         let until = Instant::now() + spec.deadline;
         let mut attempts = 0;
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Sends one try to a gatekeeper of the platform's choice.
+    /// Sends a request once, to the gatekeeper that the platform selects.
     pub async fn attempt(&self, ask: &RequestSpec, until: Instant, may_reuse: bool) -> Reply {
         let number = self.sent_count.fetch_add(1, Ordering::Relaxed);
         let id = format!("{:04x}{:06x}", self.hash, NEXT_REQUEST_NUMBER.fetch_add(1, Ordering::Relaxed));
@@ -150,7 +150,7 @@
 
     fn take_idle_connection(&self, address: SocketAddr) -> Option<Peer> {
         let mut idle_connections = self.idle_connections.lock().unwrap_or_else(PoisonError::into_inner);
-        // Bytes that came while nothing was asked belong to no request; one that has ended serves no other.
+        // A connection that was closed or has received unsolicited bytes is not reused.
         idle_connections.remove(&address).filter(Peer::is_reusable)
     }
 
@@ -159,7 +159,7 @@
     }
 }
 
-/// The pause before another try; `None`: there may be none.
+/// Returns the delay before a retry; `None`: the protocol permits no retry.
 fn may_retry(kind: RouteKind, outcome: &Outcome, until: Instant) -> Option<Duration> {
     let remaining = until.saturating_duration_since(Instant::now());
     match outcome {
@@ -173,14 +173,14 @@
     }
 }
 
-/// One try under way.
+/// One request in flight.
 struct Exchange<'a> {
     log: &'a Log,
     sent: &'a ClientRequest,
     events: Vec<StreamEvent>,
-    /// The whole request has been written.
+    /// Whether the whole request has been written.
     written: bool,
-    /// Status and signature, once the head is there.
+    /// Status and signature, once the response head was received.
     status: Option<(u16, Option<String>)>,
 }
 
@@ -279,7 +279,7 @@
     }
 }
 
-/// An event's id and data; `None`: it has no id.
+/// Parses an event's id and data; `None`: it has no valid id.
 fn parse_event(text: &[u8]) -> Option<StreamEvent> {
     let (mut id, mut data) = (None, Vec::new());
     for line in text.split(|byte| *byte == b'\n') {
--- a/lab/src/tier/configuration.rs
+++ b/lab/src/tier/configuration.rs
@@ -1,4 +1,4 @@
-//! The operator's configuration, as the stand-in operator writes it and the judge understands it.
+//! The tier's configuration: how the simulated operator writes it and how the judge interprets it.
 
 use super::observation::RouteKind;
 use serde_json::{Value, json};
@@ -9,21 +9,21 @@
 pub struct Route {
     pub name: String,
     pub host: String,
-    /// Starts and ends with a slash.
+    /// Path prefix of matching requests; starts and ends with a slash.
     pub path_prefix: String,
     pub kind: RouteKind,
-    /// Services and their weights; one or more.
+    /// Services and their weights in the traffic split; at least one.
     pub services: Vec<(String, u32)>,
     pub timeout: Duration,
     pub target_latency: Duration,
     pub priority: u8,
     pub max_attempts: usize,
-    /// The tier keeps what was said, for this long.
+    /// How long the tier stores the turns of conversations on this route; `None`: they are not stored.
     pub retention: Option<Duration>,
 }
 
 impl Route {
-    /// A route to one service with usual bounds.
+    /// Creates a route to one service with default limits.
     #[must_use]
     pub fn new(name: &str, path_prefix: &str, kind: RouteKind, service: &str) -> Self {
         Self {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The same route, of which the tier keeps what was said.
+    /// Returns the route with storage of its conversations for `retention`.
     #[must_use]
     pub fn retained(mut self, retention: Duration) -> Self {
         self.retention = Some(retention);
@@ -81,18 +81,18 @@
 pub struct Service {
     pub name: String,
     pub max_connections: u32,
-    /// For model workers.
+    /// Limits of the engine of model workers; `None` for plain workers.
     pub engine: Option<EngineDescription>,
 }
 
-/// What a configuration tells of model workers.
+/// Engine limits of model workers, as a configuration states them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineDescription {
-    /// Requests at once.
+    /// Requests that run concurrently.
     pub capacity: usize,
-    /// Tokens of memory.
+    /// Capacity of the KV cache, in tokens.
     pub kv_capacity: u64,
-    /// Tokens in each event.
+    /// Tokens per stream event.
     pub chunk_tokens: u64,
 }
 
@@ -112,7 +112,7 @@
     }
 }
 
-/// A whole configuration.
+/// A configuration document.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Configuration {
     pub generation: u64,
@@ -121,7 +121,7 @@
 }
 
 impl Configuration {
-    /// The body that an operator sends.
+    /// Returns the JSON body that an operator sends.
     #[must_use]
     pub fn body(&self) -> Vec<u8> {
         let routes: Vec<Value> = self.routes.iter().map(Route::to_json).collect();
@@ -134,20 +134,20 @@
         document.to_string().into_bytes()
     }
 
-    /// The same with another generation.
+    /// Returns a copy with another generation.
     #[must_use]
     pub fn at(&self, generation: u64) -> Self {
         Self { generation, ..self.clone() }
     }
 
-    /// The route of a name.
+    /// Returns the route with the given name.
     #[must_use]
     pub fn route(&self, name: &str) -> Option<&Route> {
         self.routes.iter().find(|r| r.name == name)
     }
 }
 
-/// The services to which a configuration's body lets a request go; `None`: it has no route for it.
+/// Returns the services to which a configuration's body allows a request to be routed; `None`: no route matches.
 #[must_use]
 pub fn services_for(body: &Value, host: &str, path: &str) -> Option<Vec<String>> {
     let routes = body["routes"].as_array()?;
--- a/lab/src/tier/deployment.rs
+++ b/lab/src/tier/deployment.rs
@@ -1,4 +1,4 @@
-//! A small deployment of the usual kind: two services, the routes of an agent program, workers, clients, an operator.
+//! A small standard deployment: two services, the routes of an agent program, workers, clients and an operator.
 
 use super::{
     client::Client,
@@ -13,22 +13,22 @@
 use std::{net::Ipv4Addr, path::Path, sync::Arc, time::Duration};
 use tokio::task::JoinHandle;
 
-/// The service of model workers.
+/// Name of the service of model workers.
 pub const MODELS: &str = "models";
-/// The service of plain workers.
+/// Name of the service of plain workers.
 pub const RECORDS: &str = "records";
-/// How often the platform asks gatekeepers whether they are ready.
-const READINESS_EVERY: Duration = Duration::from_millis(250);
-/// How long a start may take.
+/// Interval of the platform's readiness checks.
+const READINESS_INTERVAL: Duration = Duration::from_millis(250);
+/// Time-out for a start or restart.
 pub const START_LIMIT: Duration = Duration::from_secs(8);
-/// Pause between two looks at something that changes.
+/// Delay between two polls of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Tries that a message shows.
+/// Number of recent outcomes in a message.
 const OUTCOMES_SHOWN: usize = 3;
-/// The address of workers, outside the tier's own.
+/// Address of all workers, outside the tier's network.
 const WORKERS_IP: Ipv4Addr = Ipv4Addr::LOCALHOST;
 
-/// The engine of the deployment's model workers: quick, so that a turn takes some tens of milliseconds.
+/// Engine of the deployment's model workers, fast enough that a turn takes some tens of milliseconds.
 const ENGINE: EngineSpec = EngineSpec {
     capacity: 8,
     queue: 8,
@@ -39,7 +39,7 @@
     prefill_per_step: 400,
 };
 
-/// A tier among its stand-ins.
+/// A tier with its simulated workers, clients, operator and platform.
 pub struct Deployment {
     pub tier: Tier,
     pub operator: Operator,
@@ -51,15 +51,15 @@
 }
 
 impl Deployment {
-    /// Starts a tier with the first configuration and workers of both services, and waits until it serves.
+    /// Starts a tier with the first configuration and two workers of each service, and waits until it serves requests.
     ///
     /// # Errors
-    /// It does not come up in time.
+    /// It does not become ready in time.
     pub async fn start(program: &Path, spec: TierSpec) -> Result<Self, TierError> {
         let tier = Tier::start(program, spec)?;
         tier.wait_for_control(START_LIMIT).await?;
         let operator = Operator::new(tier.log.clone(), tier.controls.clone(), 0);
-        let watch = tier.platform.watch(READINESS_EVERY);
+        let watch = tier.platform.watch(READINESS_INTERVAL);
         let configuration = first_configuration();
         let (workers, next_worker, next_client) = (Vec::new(), 0, 1);
         let mut deployment = Self { tier, operator, configuration, workers, watch, next_worker, next_client };
@@ -78,16 +78,16 @@
         match self.operator.configure(&body, 0, true, START_LIMIT).await {
             200 => Ok(()),
             status => Err(self.tier.timeout_error(
-                format!("the first configuration was answered {status}, not taken"),
+                format!("the first configuration was not accepted: status {status}"),
                 START_LIMIT,
             )),
         }
     }
 
-    /// Waits until one request of each kind was served: the gatekeepers know the configuration and the workers.
+    /// Waits until one request on each route has succeeded, so the gatekeepers know the configuration and the workers.
     ///
     /// # Errors
-    /// None was in time.
+    /// A route was not served in time.
     pub async fn wait_until_serving(&mut self) -> Result<(), TierError> {
         let until = tokio::time::Instant::now() + START_LIMIT;
         for route in self.configuration.routes.clone() {
@@ -107,7 +107,7 @@
         Ok(())
     }
 
-    /// A program that asks one route once.
+    /// Returns a program that sends one request to a route.
     fn warm_up(&self, route: &Route) -> Program {
         let name = format!("warm-up-{}-{}", route.name, self.next_client);
         let program = Program { turns: 1, ..self.program(&name, &route.name) };
@@ -117,10 +117,10 @@
         }
     }
 
-    /// Starts one more worker of a service.
+    /// Starts another worker of a service.
     ///
     /// # Errors
-    /// No address is free.
+    /// The worker's socket can't be opened.
     pub fn add_worker(&mut self, service: &str) -> Result<Arc<Worker>, TierError> {
         let number = self.next_worker;
         let work = match service {
@@ -139,10 +139,10 @@
         self.start_worker(spec)
     }
 
-    /// Starts a worker as it is described.
+    /// Starts a worker with the given specification.
     ///
     /// # Errors
-    /// Its address is not free.
+    /// The worker's socket can't be opened at its address.
     pub fn start_worker(&mut self, spec: WorkerSpec) -> Result<Arc<Worker>, TierError> {
         self.next_worker += 1;
         let id = format!("i-{}", self.next_worker);
@@ -151,14 +151,14 @@
         Ok(worker)
     }
 
-    /// A client of a zone, another one each time.
+    /// Returns a new client in a zone.
     pub fn client(&mut self, zone: &str) -> Client {
         let hash = self.next_client;
         self.next_client += 1;
         Client::new(self.tier.log.clone(), self.tier.platform.clone(), zone, hash)
     }
 
-    /// A program of four turns on a route, without tools.
+    /// Returns a program of four turns on a route, without tools.
     ///
     /// # Panics
     /// The configuration has no such route.
@@ -179,7 +179,7 @@
         }
     }
 
-    /// The routes that programs call as tools.
+    /// Returns the routes that programs call as tools.
     #[must_use]
     pub fn tools(&self) -> Vec<Route> {
         let tools =
@@ -187,7 +187,8 @@
         tools.cloned().collect()
     }
 
-    /// Sends a new configuration on top of the present one, which it becomes once it was taken; the status.
+    /// Sends the current configuration with other routes and a higher generation, and stores it if it was accepted.
+    /// Returns the status.
     pub async fn configure(&mut self, routes: Vec<Route>, limit: Duration) -> u16 {
         let current = self.configuration.generation;
         let next = Configuration { generation: current + 3, routes, ..self.configuration.clone() };
@@ -198,19 +199,19 @@
         status
     }
 
-    /// Sends the present configuration under a new generation, which must be taken.
+    /// Sends the current configuration under a new generation, which must be accepted.
     ///
     /// # Panics
-    /// It was not taken in time.
+    /// It was not accepted in time.
     pub async fn reconfigure(&mut self, limit: Duration) {
         let status = self.configure(self.configuration.routes.clone(), limit).await;
-        assert_eq!(status, 200, "a change of the configuration\n{}", self.tier.log_tails());
+        assert_eq!(status, 200, "the configuration change was not accepted\n{}", self.tier.log_tails());
     }
 
-    /// Starts a worker at an address that another one has just left: listening there may take a moment.
+    /// Starts a worker at an address that another one has just released, retrying until the address is free.
     ///
     /// # Panics
-    /// The address stays taken.
+    /// The address is not free in time.
     pub async fn take_over(&mut self, spec: WorkerSpec) -> Arc<Worker> {
         let until = tokio::time::Instant::now() + START_LIMIT;
         loop {
@@ -222,7 +223,7 @@
         }
     }
 
-    /// How the last tries ended, for a message.
+    /// Describes the outcomes of the most recent requests.
     #[must_use]
     pub fn last_outcomes(&self) -> String {
         let seen = self.tier.log.observations();
@@ -237,7 +238,7 @@
         ended.take(OUTCOMES_SHOWN).collect::<Vec<_>>().join("; ")
     }
 
-    /// Every rule that was broken so far.
+    /// Returns every rule violation so far.
     #[must_use]
     pub fn violations(&self) -> Vec<Violation> {
         judge(&self.tier.log.observations(), &self.tier.spec.bounds)
@@ -250,7 +251,8 @@
     }
 }
 
-/// The first configuration: a kept conversation, streams with and without resumption, and two kinds of tools.
+/// Returns the first configuration: a route with stored conversations, streams with and without resumption, and a safe
+/// and an unsafe route for tools.
 #[must_use]
 pub fn first_configuration() -> Configuration {
     let streaming = |resumable| RouteKind::Streaming { resumable };
--- a/lab/src/tier/fleet.rs
+++ b/lab/src/tier/fleet.rs
@@ -1,4 +1,4 @@
-//! A whole tier: its machines, and what may befall them.
+//! A whole tier: its machines, and the faults and operations that can be applied to them.
 
 use super::{
     judge::Bounds,
@@ -20,18 +20,18 @@
 use thiserror::Error;
 use tokio::time::Instant;
 
-/// Pause between two looks at a process that is starting.
+/// Delay between two polls of a starting process.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How long one look may take.
+/// Time-out of one poll.
 const POLL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Most seeds that a process is told.
+/// Maximum number of seed nodes in a settings file.
 const MAX_SEEDS: usize = 3;
-/// Networks of which each tier has one.
+/// Number of loopback /16 networks; each tier uses one.
 const NETWORKS: u8 = 125;
-/// The port by which a tier claims its network; no process of it uses that.
+/// Port that a tier listens on to claim its network; no process of the tier uses it.
 const CLAIM_PORT: u16 = 7399;
 
-/// The size and bounds of a tier.
+/// Size and time bounds of a tier.
 #[derive(Debug, Clone)]
 pub struct TierSpec {
     pub edges: usize,
@@ -52,18 +52,18 @@
     }
 }
 
-/// Why a tier is not as it should be.
+/// Why an operation on a tier failed.
 #[derive(Debug, Error)]
 pub enum TierError {
-    #[error("the tier's files and processes: {0}")]
+    #[error("tier file or process error: {0}")]
     Io(#[from] io::Error),
-    #[error("no machine is called {0:?}")]
+    #[error("no machine is named {0:?}")]
     NoMachine(String),
-    #[error("{description} within {limit:?}; the last words of its processes:\n{log_tails}")]
+    #[error("{description} within {limit:?}; last log lines of its processes:\n{log_tails}")]
     Timeout { description: String, limit: Duration, log_tails: String },
 }
 
-/// A tier that runs.
+/// A running tier.
 pub struct Tier {
     pub spec: TierSpec,
     pub log: Log,
@@ -72,9 +72,9 @@
     pub ports: Ports,
     machines: Vec<Machine>,
     program: PathBuf,
-    /// The second number of all addresses.
+    /// Second octet of all addresses of the tier.
     network: u8,
-    /// Held as long as the tier is there.
+    /// Listener that claims the network for the lifetime of the tier.
     _claim: TcpListener,
     seeds: Vec<SocketAddr>,
     next_host: u8,
@@ -82,10 +82,10 @@
 }
 
 impl Tier {
-    /// Lays a tier out and starts all of it.
+    /// Creates all machines of a tier and starts them.
     ///
     /// # Errors
-    /// Files can't be written or processes not started.
+    /// Files can't be written or processes can't be started.
     pub fn start(program: &Path, spec: TierSpec) -> Result<Self, TierError> {
         let folder = tempfile::Builder::new().prefix("opalrun-tier-").tempdir()?;
         let (network, claim) = claim_network()?;
@@ -139,13 +139,13 @@
         cores.map(|m| SocketAddr::from((m.ip, self.ports.control))).collect()
     }
 
-    /// The names of all machines, or of those of a class.
+    /// Returns the names of all machines.
     #[must_use]
     pub fn names(&self) -> Vec<String> {
         self.machines.iter().map(|m| m.name.clone()).collect()
     }
 
-    /// The address of a machine.
+    /// Returns the address of a machine.
     ///
     /// # Errors
     /// There is no such machine.
@@ -154,7 +154,7 @@
         machine.map(|m| m.ip).ok_or_else(|| TierError::NoMachine(name.to_owned()))
     }
 
-    /// The folder where a machine keeps its data.
+    /// Returns the folder in which a machine's processes store their data.
     ///
     /// # Errors
     /// There is no such machine.
@@ -163,7 +163,7 @@
         machine.map(Machine::data_dir).ok_or_else(|| TierError::NoMachine(name.to_owned()))
     }
 
-    /// What a machine is.
+    /// Returns the class of a machine.
     ///
     /// # Errors
     /// There is no such machine.
@@ -203,10 +203,10 @@
         Ok(())
     }
 
-    /// Starts a machine that does not run.
+    /// Starts the processes of a machine that is not running.
     ///
     /// # Errors
-    /// There is none of the name, or its processes can't be started.
+    /// There is no such machine, or its processes can't be started.
     pub fn start_machine(&mut self, name: &str) -> Result<(), TierError> {
         self.machine(name)?;
         if let Some(machine) = self.machines.iter().find(|m| m.name == name) {
@@ -215,12 +215,12 @@
         self.record(name, MachineEvent::Started);
         let machine = self.machine(name)?;
         machine.start()?;
-        // The settings of later starts say that the system has run before.
+        // Later starts must not bootstrap the system again.
         machine.bootstrap = false;
         self.await_readiness(name)
     }
 
-    /// Tells the platform of a gatekeeper that has just started: it gets connections once it calls itself ready.
+    /// Registers a gatekeeper that has just started with the platform, which routes connections to it once it is ready.
     fn await_readiness(&mut self, name: &str) -> Result<(), TierError> {
         let (frontend, readiness) = (self.ports.frontend, self.ports.readiness);
         let machine = self.machine(name)?;
@@ -239,7 +239,7 @@
     /// Kills all processes of a machine.
     ///
     /// # Errors
-    /// There is none of the name.
+    /// There is no such machine.
     pub async fn kill(&mut self, name: &str) -> Result<(), TierError> {
         self.record(name, MachineEvent::Killed);
         self.machine(name)?.kill().await;
@@ -249,13 +249,13 @@
     /// Kills one process of a machine and starts it again.
     ///
     /// # Errors
-    /// There is none of the name, or it can't be started.
+    /// There is no such machine, or the process can't be started.
     pub async fn restart_role(&mut self, name: &str, role: &str) -> Result<(), TierError> {
         self.kill_role(name, role).await?;
         self.start_role(name, role)
     }
 
-    /// Kills one process of a machine, which stays down.
+    /// Kills one process of a machine without starting it again.
     ///
     /// # Errors
     /// There is no such machine.
@@ -265,17 +265,17 @@
         Ok(())
     }
 
-    /// Starts one process of a machine that was killed.
+    /// Starts one process of a machine after it was killed.
     ///
     /// # Errors
-    /// There is no such machine, or it can't be started.
+    /// There is no such machine, or the process can't be started.
     pub fn start_role(&mut self, name: &str, role: &str) -> Result<(), TierError> {
         self.machine(name)?.start_role(role)?;
         self.record(name, MachineEvent::Started);
         self.await_readiness(name)
     }
 
-    /// Kills every process at the same moment, and starts all again on the same disks.
+    /// Kills every process at the same moment, and starts all again with their stored data.
     ///
     /// # Errors
     /// A process can't be started.
@@ -294,40 +294,40 @@
         Ok(())
     }
 
-    /// Stops a machine's processes where they are.
+    /// Suspends a machine's processes with SIGSTOP.
     ///
     /// # Errors
-    /// There is none of the name.
+    /// There is no such machine.
     pub fn pause(&mut self, name: &str) -> Result<(), TierError> {
         self.record(name, MachineEvent::Paused);
         self.machine(name)?.signal(Signal::STOP);
         Ok(())
     }
 
-    /// Has them go on.
+    /// Resumes a machine's processes with SIGCONT.
     ///
     /// # Errors
-    /// There is none of the name.
+    /// There is no such machine.
     pub fn resume(&mut self, name: &str) -> Result<(), TierError> {
         self.machine(name)?.signal(Signal::CONT);
         self.record(name, MachineEvent::Resumed);
         Ok(())
     }
 
-    /// Tells a machine that its settings have changed.
+    /// Makes a machine's processes reload their settings, with SIGHUP.
     ///
     /// # Errors
-    /// There is none of the name.
+    /// There is no such machine.
     pub fn reload(&mut self, name: &str) -> Result<(), TierError> {
         self.record(name, MachineEvent::Reloaded);
         self.machine(name)?.signal(Signal::HUP);
         Ok(())
     }
 
-    /// Stops a machine by SIGTERM and waits for its end; whether all its processes ended well within the grace.
+    /// Stops a machine with SIGTERM. Returns whether all its processes exited successfully within the grace period.
     ///
     /// # Errors
-    /// There is none of the name.
+    /// There is no such machine.
     pub async fn terminate(&mut self, name: &str) -> Result<bool, TierError> {
         self.record(name, MachineEvent::Terminated);
         let grace = Duration::from_millis(self.spec.bounds.grace_ms);
@@ -336,10 +336,10 @@
         Ok(machine.wait_for_exit(grace).await)
     }
 
-    /// Kills a machine and empties its disk; it can be started again at its address.
+    /// Kills a machine and deletes its data; it can be started again at its address.
     ///
     /// # Errors
-    /// There is none of the name, or those of the file system.
+    /// There is no such machine, or its data can't be deleted.
     pub async fn wipe(&mut self, name: &str) -> Result<(), TierError> {
         self.kill(name).await?;
         self.machine(name)?.wipe()?;
@@ -347,10 +347,10 @@
         Ok(())
     }
 
-    /// Adds an empty machine and starts it.
+    /// Creates a machine without data and starts it.
     ///
     /// # Errors
-    /// It can't be laid out or started.
+    /// It can't be created or started.
     pub fn add(&mut self, name: &str, class: Class, zone: &str) -> Result<(), TierError> {
         self.create_machine(name, class, zone, false)?;
         self.start_machine(name)?;
@@ -358,10 +358,10 @@
         Ok(())
     }
 
-    /// Takes a machine away for good.
+    /// Kills a machine and removes it permanently.
     ///
     /// # Errors
-    /// There is none of the name.
+    /// There is no such machine.
     pub async fn remove(&mut self, name: &str) -> Result<(), TierError> {
         self.kill(name).await?;
         self.record(name, MachineEvent::Removed);
@@ -371,10 +371,10 @@
         Ok(())
     }
 
-    /// Waits until every process that serves control answers it with a status other than 5xx.
+    /// Waits until every control process answers a request for the configuration with a status from 200 to 499.
     ///
     /// # Errors
-    /// One did not in time.
+    /// One of them did not in time.
     pub async fn wait_for_control(&self, limit: Duration) -> Result<(), TierError> {
         let until = Instant::now() + limit;
         for address in self.control_addresses() {
@@ -392,10 +392,10 @@
         Ok(())
     }
 
-    /// Waits until every gatekeeper calls itself ready.
+    /// Waits until every gatekeeper reports that it is ready.
     ///
     /// # Errors
-    /// One did not in time.
+    /// One of them did not in time.
     pub async fn wait_for_gatekeepers(&self, limit: Duration) -> Result<(), TierError> {
         let edges = self.machines.iter().filter(|m| m.class == Class::Edge);
         for machine in edges {
@@ -404,7 +404,7 @@
         Ok(())
     }
 
-    /// Waits until one gatekeeper calls itself ready.
+    /// Waits until one gatekeeper reports that it is ready.
     ///
     /// # Errors
     /// It did not in time.
@@ -422,15 +422,15 @@
         }
     }
 
-    /// Waits until a machine's processes have logged something.
+    /// Waits until the log of one of a machine's processes contains `text`.
     ///
     /// # Errors
-    /// There is no such machine, or they did not in time.
+    /// There is no such machine, or the text was not logged in time.
     pub async fn wait_for_log(&self, name: &str, text: &str, limit: Duration) -> Result<(), TierError> {
         self.wait_for_machine(name, limit, text, |machine| machine.has_logged(text)).await
     }
 
-    /// The same since their last start.
+    /// Waits until the log of one of a machine's processes contains `text` since that process was last started.
     ///
     /// # Errors
     /// As [`Tier::wait_for_log`].
@@ -462,13 +462,13 @@
         Ok(())
     }
 
-    /// A machine one of whose processes has logged something.
+    /// Returns the first machine with a process whose log contains `text`.
     #[must_use]
     pub fn machine_that_logged(&self, text: &str) -> Option<String> {
         self.machines.iter().find(|m| m.has_logged(text)).map(|m| m.name.clone())
     }
 
-    /// All processes that run: role and machine, and the process's id.
+    /// Returns the running processes: role and machine, and process id.
     #[must_use]
     pub fn process_ids(&self) -> Vec<(String, u32)> {
         let of = |machine: &Machine| {
@@ -478,12 +478,12 @@
         self.machines.iter().flat_map(of).collect()
     }
 
-    /// Processes that have ended though nobody ended them.
+    /// Describes the processes that have exited without having been stopped.
     pub fn unexpected_exits(&mut self) -> Vec<String> {
         self.machines.iter_mut().flat_map(Machine::unexpected_exits).collect()
     }
 
-    /// The last lines that all processes have logged.
+    /// Returns the last log lines of all processes.
     #[must_use]
     pub fn log_tails(&self) -> String {
         self.machines.iter().map(Machine::log_tail).collect()
@@ -494,7 +494,7 @@
     }
 }
 
-/// The second number of a tier's addresses, and the listener that claims it among all tiers of this machine.
+/// Returns the second octet of a tier's addresses, and the listener that reserves it among all tiers on this computer.
 fn claim_network() -> io::Result<(u8, TcpListener)> {
     let first = (std::process::id() % u32::from(NETWORKS)) as u8;
     for step in 0..NETWORKS {
@@ -504,5 +504,5 @@
             return Ok((number, listener));
         }
     }
-    Err(io::Error::other("no network is free for another tier"))
+    Err(io::Error::other("no loopback network is free for another tier"))
 }
--- a/lab/src/tier/machine.rs
+++ b/lab/src/tier/machine.rs
@@ -1,4 +1,4 @@
-//! One machine of the tier: real processes with a settings file each, an address of the loopback network, a disk.
+//! One machine of the tier: its processes with their settings files, a loopback address, and a data folder.
 
 use super::settings_file::Class;
 use rustix::process::{Pid, Signal, kill_process};
@@ -16,32 +16,32 @@
     time::timeout,
 };
 
-/// The environment variable that names a process's settings file.
+/// Environment variable that holds the path of a process's settings file.
 const SETTINGS_VARIABLE: &str = "OPALRUN_CONFIG";
-/// A killed process is gone long before.
+/// Maximum wait for the exit of a killed process; far longer than it takes.
 const KILL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Lines of a log that are shown when something went wrong.
+/// Lines at the end of each log that are shown after a failure.
 const LOG_TAIL_LINES: usize = 12;
 
-/// A process of a machine.
+/// A process of a machine, running or not.
 #[derive(Debug)]
 struct Process {
     role: &'static str,
     settings: PathBuf,
     log: PathBuf,
-    /// The length of the log when the process was started last, in bytes.
+    /// Length of the log file when the process was last started, in bytes.
     log_start: usize,
     child: Option<Child>,
 }
 
-/// A machine.
+/// A machine of the tier.
 #[derive(Debug)]
 pub struct Machine {
     pub name: String,
     pub class: Class,
     pub ip: Ipv4Addr,
     pub zone: String,
-    /// It starts with the whole system, on an empty disk.
+    /// Whether it starts for the first time together with the whole system, with an empty data folder.
     pub bootstrap: bool,
     program: PathBuf,
     folder: PathBuf,
@@ -49,7 +49,7 @@
 }
 
 impl Machine {
-    /// A machine that has not started yet, with a folder of its own.
+    /// Creates a machine with its own folder, without starting its processes.
     ///
     /// # Errors
     /// Those of the file system.
@@ -82,19 +82,19 @@
         })
     }
 
-    /// The folder of the machine's disk.
+    /// Returns the folder in which the machine's processes store their data.
     #[must_use]
     pub fn data_dir(&self) -> PathBuf {
         self.folder.join("data")
     }
 
-    /// Where the settings of a role are written.
+    /// Returns the path of a role's settings file.
     #[must_use]
     pub fn settings_path(&self, role: &str) -> PathBuf {
         self.folder.join(format!("{role}.toml"))
     }
 
-    /// Starts every process that does not run.
+    /// Starts every process that is not running.
     ///
     /// # Errors
     /// A process can't be started.
@@ -103,17 +103,17 @@
         self.processes.iter_mut().filter(|p| p.child.is_none()).try_for_each(|p| p.start(&program))
     }
 
-    /// Starts one process that does not run.
+    /// Starts the process of a role unless it is running.
     ///
     /// # Errors
-    /// It can't be started.
+    /// The process can't be started.
     pub fn start_role(&mut self, role: &str) -> io::Result<()> {
         let program = self.program.clone();
         let idle = self.processes.iter_mut().filter(|p| p.child.is_none() && p.role == role);
         idle.into_iter().try_for_each(|p| p.start(&program))
     }
 
-    /// Ends every process at once, as a loss of power would, and waits until they are gone.
+    /// Kills every process with SIGKILL, as a power loss would end them, and waits until they have exited.
     pub async fn kill(&mut self) {
         self.signal(Signal::KILL);
         for process in &mut self.processes {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// The same for one process.
+    /// Kills the process of one role with SIGKILL and waits until it has exited.
     pub async fn kill_role(&mut self, role: &str) {
         for process in self.processes.iter_mut().filter(|p| p.role == role) {
             process.signal(Signal::KILL);
@@ -129,12 +129,13 @@
         }
     }
 
-    /// Sends a signal to every process that runs.
+    /// Sends a signal to every running process.
     pub fn signal(&self, signal: Signal) {
         self.processes.iter().for_each(|p| p.signal(signal));
     }
 
-    /// Waits until every process has ended by itself, and kills those that have not in time; whether all did so well.
+    /// Waits until every process has exited and kills each that has not within `limit`. Returns whether all exited in time
+    /// with status 0.
     pub async fn wait_for_exit(&mut self, limit: Duration) -> bool {
         let mut all_succeeded = true;
         for process in &mut self.processes {
@@ -143,7 +144,7 @@
         all_succeeded
     }
 
-    /// Empties the disk of a machine that does not run.
+    /// Deletes the data of a machine that is not running.
     ///
     /// # Errors
     /// Those of the file system.
@@ -152,14 +153,14 @@
         fs::create_dir_all(self.data_dir())
     }
 
-    /// The roles of the processes that run, with their ids.
+    /// Returns the roles and ids of the running processes.
     #[must_use]
     pub fn process_ids(&self) -> Vec<(&'static str, u32)> {
         let id = |process: &Process| Some((process.role, process.child.as_ref()?.id()?));
         self.processes.iter().filter_map(id).collect()
     }
 
-    /// Processes that have ended though nobody ended them.
+    /// Describes the processes that have exited without having been stopped.
     pub fn unexpected_exits(&mut self) -> Vec<String> {
         let mut exits = Vec::new();
         for process in &mut self.processes {
@@ -172,19 +173,19 @@
         exits
     }
 
-    /// Whether one of its processes has logged something since it was started last.
+    /// Whether the log of any of its processes contains `text` since that process was last started.
     #[must_use]
     pub fn has_logged_since_start(&self, text: &str) -> bool {
         self.processes.iter().any(|p| p.logged_since_start().contains(text))
     }
 
-    /// Whether one of its processes has logged something.
+    /// Whether the log of any of its processes contains `text`.
     #[must_use]
     pub fn has_logged(&self, text: &str) -> bool {
         self.processes.iter().any(|p| fs::read_to_string(&p.log).is_ok_and(|log| log.contains(text)))
     }
 
-    /// The last lines that its processes have logged.
+    /// Returns the last log lines of all its processes.
     #[must_use]
     pub fn log_tail(&self) -> String {
         let tails = self.processes.iter().map(|p| {
@@ -198,7 +199,7 @@
 }
 
 impl Drop for Machine {
-    /// Ends every process and waits until it is gone: another tier may be given this one's addresses at once.
+    /// Kills every process and waits until it has exited, because the next tier may reuse the addresses immediately.
     fn drop(&mut self) {
         self.signal(Signal::KILL);
         for process in &mut self.processes {
@@ -231,19 +232,19 @@
     fn signal(&self, signal: Signal) {
         let id = self.child.as_ref().and_then(Child::id).and_then(|id| Pid::from_raw(id.cast_signed()));
         if let Some(id) = id {
-            // One that has just ended is no longer there to be told.
+            // Fails if the process has exited in the meantime.
             let _ = kill_process(id, signal);
         }
     }
 
     async fn reap(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // It was killed: what it ends with does not matter.
+            // The process was killed, so its exit status does not matter.
             let _ = child.wait().await;
         }
     }
 
-    /// Waits for the end of a process that was killed, without the runtime, for `KILL_TIMEOUT` at most.
+    /// Waits for the exit of a killed process without the async runtime, for at most `KILL_TIMEOUT`.
     fn wait_for_killed(&mut self) {
         let Some(mut child) = self.child.take() else { return };
         let deadline = Instant::now() + KILL_TIMEOUT;
@@ -252,12 +253,12 @@
         }
     }
 
-    /// Waits for its end; `None`: it had to be killed.
+    /// Waits for the process to exit; `None`: it did not within `limit` and was killed.
     async fn wait_for_exit(&mut self, limit: Duration) -> Option<ExitStatus> {
         let mut child = self.child.take()?;
         let ended = timeout(limit, child.wait()).await;
         if ended.is_err() {
-            // It may end just now.
+            // Fails if the process has exited in the meantime.
             let _ = child.kill().await;
         }
         ended.ok()?.ok()
--- a/lab/src/tier/mod.rs
+++ b/lab/src/tier/mod.rs
@@ -1,5 +1,5 @@
-//! The serving tier among stand-ins: real processes over loopback, with workers, clients, programs, an operator and
-//! a platform round them, and a judge that checks the rules on what these saw.
+//! Tests of the whole serving tier: its real processes run over loopback, with simulated workers, clients, agent
+//! programs, an operator and a platform around them. The judge checks the tier's rules on what these observed.
 
 pub mod arrivals;
 pub mod client;
--- a/lab/src/tier/observation.rs
+++ b/lab/src/tier/observation.rs
@@ -1,20 +1,20 @@
-//! What the stand-ins saw: a list in the order of time that the judge reads.
+//! Observations of the simulated clients, workers and operator: a log in chronological order that the judge reads.
 
 use std::{
     sync::{Arc, Mutex, PoisonError},
     time::{Duration, Instant},
 };
 
-/// How requests of a route may be repeated.
+/// How requests of a route may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
-    /// May run more than once.
+    /// A request may run more than once.
     Safe,
-    /// At most once a try.
+    /// Each request that a client sends may run at most once.
     Unsafe,
-    /// An answer of events.
+    /// The response is a stream of events.
     Streaming {
-        /// May be taken up at another worker.
+        /// Whether another worker may continue an interrupted stream.
         resumable: bool,
     },
 }
@@ -27,34 +27,34 @@
     }
 }
 
-/// One try of a client, as it was sent.
+/// A request as a client sent it; every retry is a request of its own.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClientRequest {
-    /// Its `Request-Id`.
+    /// Value of the `Request-Id` header.
     pub request: String,
-    /// The machine of the gatekeeper that got it.
+    /// Machine of the gatekeeper to which it was sent.
     pub machine: String,
     pub method: String,
     pub host: String,
     pub path: String,
-    /// The body that the client sent; on retained routes the new input only.
+    /// Body as the client sent it; on routes with stored conversations only the new input.
     pub body: Vec<u8>,
     pub kind: RouteKind,
     pub max_attempts: usize,
-    /// The turn that it continues.
+    /// Request id of the turn that it continues.
     pub previous: Option<String>,
     pub program: Option<ProgramDescription>,
 }
 
-/// What a try tells of its program.
+/// What a request states about its agent program.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProgramDescription {
     pub name: String,
-    /// Units that all its turns may emit; `None` for calls of tools.
+    /// Maximum tokens that all turns of the program may emit together; `None` for tool calls.
     pub budget: Option<u64>,
-    /// The most that this turn emits.
+    /// Maximum tokens that this turn emits.
     pub max_output_tokens: u64,
-    /// Units in each event.
+    /// Tokens per stream event.
     pub chunk_tokens: u64,
 }
 
@@ -65,44 +65,44 @@
     pub data: Vec<u8>,
 }
 
-/// What became of a try at its client.
+/// How a request ended at its client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
-    /// A whole answer. The body of a stream is empty: its events were noted one by one.
+    /// A complete response. The body of a stream is empty, as its events are recorded one by one.
     Answered { status: u16, signature: Option<String>, body: Vec<u8>, retry_after: Option<Duration> },
-    /// The connection ended within an answer.
+    /// The connection ended within a response.
     Interrupted { status: u16, signature: Option<String> },
-    /// The connection ended, or never came up, before an answer.
+    /// The connection ended, or could not be established, before a response.
     Closed { request_written: bool },
-    /// The client gave it up.
+    /// The client abandoned the request after a time-out.
     TimedOut,
-    /// Bytes that are no answer.
+    /// The received bytes are not a valid response.
     Malformed,
 }
 
 impl Outcome {
-    /// Whether this is a success.
+    /// Whether this is a complete response with a 2xx status.
     #[must_use]
     pub fn is_success(&self) -> bool {
         matches!(self, Self::Answered { status: 200..=299, .. })
     }
 }
 
-/// What a worker told the tier about itself, and was acknowledged.
+/// Departure of a worker that the tier has acknowledged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Departure {
     Draining,
     Deregistered,
 }
 
-/// What befell a machine of the tier.
+/// An event of a machine of the tier.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineEvent {
     Started,
     Killed,
-    /// SIGTERM.
+    /// Stopped with SIGTERM.
     Terminated,
-    /// SIGHUP.
+    /// Told to reload its settings with SIGHUP.
     Reloaded,
     Paused,
     Resumed,
@@ -110,11 +110,11 @@
     Removed,
 }
 
-/// One thing that a stand-in saw.
+/// One event observed by a simulated participant.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Observation {
     RequestSent(Arc<ClientRequest>),
-    /// An event reached the client.
+    /// A stream event reached the client.
     EventReceived {
         request: String,
         event: StreamEvent,
@@ -123,12 +123,12 @@
         request: String,
         outcome: Outcome,
     },
-    /// A whole request reached a worker, which did not necessarily run it.
+    /// A complete request reached a worker, which did not necessarily run it.
     Reached {
         request: String,
         worker: String,
     },
-    /// A worker began to work on a request.
+    /// A worker start to run a request.
     Ran {
         request: String,
         worker: String,
@@ -138,19 +138,19 @@
         path: String,
         body: Vec<u8>,
     },
-    /// A worker made an event.
+    /// A worker produced a stream event.
     EventMade {
         request: String,
         worker: String,
         event: StreamEvent,
     },
-    /// A worker sent the head of an answer.
+    /// A worker sent the head of a response.
     AnswerBegun {
         request: String,
         status: u16,
         signature: String,
     },
-    /// A worker ended its answer; `is_complete`: it did not break it off.
+    /// A worker ended its response; `is_complete`: it was not cut short by an injected fault.
     WorkerAnswered {
         request: String,
         worker: String,
@@ -159,7 +159,7 @@
         body: Vec<u8>,
         is_complete: bool,
     },
-    /// A worker crashed or was reset: what it had is broken off.
+    /// A worker crashed, which interrupts all its requests.
     WorkerCrashed {
         worker: String,
     },
@@ -172,13 +172,13 @@
         body: Arc<Vec<u8>>,
         valid: bool,
     },
-    /// `status` 0: no clear answer.
+    /// A configuration was answered; `status` 0: there was no definite response.
     ConfigurationAnswered {
         generation: u64,
         body: Arc<Vec<u8>>,
         status: u16,
     },
-    /// Read back; `None`: no answer within the time allowed.
+    /// The configuration was read back; `None`: no success within the time limit.
     ConfigurationRead {
         body: Option<Vec<u8>>,
     },
@@ -188,44 +188,44 @@
     },
 }
 
-/// An observation and when it was made, in milliseconds since the log began.
+/// An observation and its time, in milliseconds since the log was created.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TimedObservation {
     pub at_ms: u64,
     pub observation: Observation,
 }
 
-/// The list that all stand-ins of one tier write to.
+/// Log of observations, shared by all simulated participants of one tier.
 #[derive(Debug, Clone)]
 pub struct Log {
-    began: Instant,
-    seen: Arc<Mutex<Vec<TimedObservation>>>,
+    start: Instant,
+    entries: Arc<Mutex<Vec<TimedObservation>>>,
 }
 
 impl Default for Log {
     fn default() -> Self {
-        Self { began: Instant::now(), seen: Arc::default() }
+        Self { start: Instant::now(), entries: Arc::default() }
     }
 }
 
 impl Log {
-    /// Milliseconds since the log began.
+    /// Returns the milliseconds since the log was created.
     #[must_use]
     pub fn now_ms(&self) -> u64 {
-        u64::try_from(self.began.elapsed().as_millis()).unwrap_or(u64::MAX)
+        u64::try_from(self.start.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// Notes an observation as of now.
+    /// Appends an observation with the current time.
     pub fn record(&self, observation: Observation) {
-        let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
-        // The time is taken under the lock, so that the list is in the order of time.
+        let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
+        // The time is read under the lock, so that the list is in chronological order.
         let at_ms = self.now_ms();
-        seen.push(TimedObservation { at_ms, observation });
+        entries.push(TimedObservation { at_ms, observation });
     }
 
-    /// All that was seen so far.
+    /// Returns all observations so far.
     #[must_use]
     pub fn observations(&self) -> Vec<TimedObservation> {
-        self.seen.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.entries.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
--- a/lab/src/tier/operator.rs
+++ b/lab/src/tier/operator.rs
@@ -1,4 +1,5 @@
-//! The operator: sends configurations and orders to any process that serves control, and reads back.
+//! The simulated operator: sends configurations and requests to retire machines to any control process, and reads the
+//! configuration back.
 
 use super::{
     observation::{Log, Observation},
@@ -17,15 +18,15 @@
 };
 use tokio::time::Instant;
 
-/// A process that is silent for longer is left for another one.
+/// Time-out of a call, after which another control process is tried.
 const CALL_LIMIT: Duration = Duration::from_secs(1);
-/// Times that a redirection is followed.
+/// Maximum number of redirections that are followed.
 const REDIRECTS: usize = 2;
-/// The first pause after a round without an answer, and the longest.
+/// Initial and maximum backoff after a call without a definite response.
 const MIN_BACKOFF: Duration = Duration::from_millis(30);
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
-/// An operator.
+/// A client of the control API.
 #[derive(Debug, Clone)]
 pub struct Operator {
     log: Log,
@@ -34,59 +35,59 @@
 }
 
 impl Operator {
-    /// An operator that begins with a certain process of the list.
+    /// Creates an operator whose first call goes to the address at index `first`.
     #[must_use]
     pub fn new(log: Log, controls: ControlAddresses, first: usize) -> Self {
         Self { log, controls, next: Arc::new(AtomicUsize::new(first)) }
     }
 
-    /// Sends a configuration until there is a clear answer; its status, or 0 when the time is over.
+    /// Sends a configuration until there is a definite response. Returns its status, or 0 after `limit`.
     pub async fn configure(&self, body: &Arc<Vec<u8>>, if_match: u64, valid: bool, limit: Duration) -> u16 {
         let generation = serde_json::from_slice::<Value>(body).ok();
         let generation = generation.and_then(|v| v["generation"].as_u64()).unwrap_or(0);
         self.log.record(Observation::ConfigurationSent { generation, body: body.clone(), valid });
         let headers = [("If-Match", if_match.to_string())];
-        let answer = self.order("PUT", "/opalrun/config", &headers, body, limit).await;
+        let answer = self.call_until_answered("PUT", "/opalrun/config", &headers, body, limit).await;
         let status = answer.map_or(0, |a| a.status());
         self.log.record(Observation::ConfigurationAnswered { generation, body: body.clone(), status });
         status
     }
 
-    /// Sends a configuration once and does not wait for the answer: its acknowledgement is lost on the way.
+    /// Sends a configuration once and discards the response, as if the acknowledgement were lost.
     pub async fn configure_and_lose_answer(&self, body: &Arc<Vec<u8>>, if_match: u64) {
         let generation = serde_json::from_slice::<Value>(body).ok();
         let generation = generation.and_then(|v| v["generation"].as_u64()).unwrap_or(0);
         self.log.record(Observation::ConfigurationSent { generation, body: body.clone(), valid: true });
         if let Some(address) = self.choose() {
             let headers = [("If-Match", if_match.to_string())];
-            // Whatever comes back is what gets lost.
+            // The response is discarded to simulate its loss.
             let _ = call(address, "PUT", "/opalrun/config", &headers, body, CALL_LIMIT).await;
         }
     }
 
-    /// Reads the newest configuration back.
+    /// Reads the current configuration; `None`: no success within `limit`.
     pub async fn read(&self, limit: Duration) -> Option<Vec<u8>> {
-        let answer = self.order("GET", "/opalrun/config", &[], b"", limit).await;
+        let answer = self.call_until_answered("GET", "/opalrun/config", &[], b"", limit).await;
         let body = answer.filter(|a| a.status() == 200).map(|a| a.body);
         self.log.record(Observation::ConfigurationRead { body: body.clone() });
         body
     }
 
-    /// Asks that a storage machine be emptied; the status.
+    /// Requests that the data of a storage machine be moved away so that it can be retired. Returns the status, or 0.
     pub async fn retire(&self, node: &str, limit: Duration) -> u16 {
         let body = json!({"deadline_s": limit.as_secs_f64()}).to_string();
         let path = format!("/opalrun/retire/{node}");
-        self.order("POST", &path, &[], body.as_bytes(), limit).await.map_or(0, |a| a.status())
+        self.call_until_answered("POST", &path, &[], body.as_bytes(), limit).await.map_or(0, |a| a.status())
     }
 
-    /// What has become of that: `active` or `completed`.
+    /// Returns the state of a retirement: `active` or `completed`.
     pub async fn retire_state(&self, node: &str, limit: Duration) -> Option<String> {
-        let answer = self.order("GET", &format!("/opalrun/retire/{node}"), &[], b"", limit).await?;
+        let answer = self.call_until_answered("GET", &format!("/opalrun/retire/{node}"), &[], b"", limit).await?;
         let body: Value = serde_json::from_slice(&answer.body).ok()?;
         body["state"].as_str().map(str::to_owned)
     }
 
-    /// Asks until the machine is empty; whether it is in time.
+    /// Polls until a retirement is completed. Returns whether that was within `limit`.
     pub async fn wait_until_retired(&self, node: &str, limit: Duration) -> bool {
         let until = Instant::now() + limit;
         while Instant::now() < until {
@@ -104,8 +105,8 @@
         Some(controls[at])
     }
 
-    /// Sends an order to one process after the other until one answers it clearly.
-    async fn order(
+    /// Sends a request to one control process after another until one gives a definite response.
+    async fn call_until_answered(
         &self,
         method: &str,
         path: &str,
@@ -117,7 +118,7 @@
         let mut backoff = MIN_BACKOFF;
         while Instant::now() < until {
             let answer = match self.choose() {
-                Some(address) => self.follow(address, method, path, headers, body).await,
+                Some(address) => self.call_following_redirects(address, method, path, headers, body).await,
                 None => None,
             };
             if let Some(answer) = answer
@@ -132,7 +133,7 @@
         None
     }
 
-    async fn follow(
+    async fn call_following_redirects(
         &self,
         first: SocketAddr,
         method: &str,
--- a/lab/src/tier/page.rs
+++ b/lab/src/tier/page.rs
@@ -1,4 +1,4 @@
-//! A day's report as one page of HTML.
+//! The summary of a run as one page of HTML.
 
 use super::run::Summary;
 use std::{
@@ -7,13 +7,13 @@
     path::{Path, PathBuf},
 };
 
-/// Pixels of the longest bar.
+/// Width of the longest bar, in pixels.
 const WIDEST_BAR: usize = 600;
 
-/// Writes `report.html` into a folder, which is made where it is missing.
+/// Writes `report.html` into a folder, which is created if it does not exist, and returns the file's path.
 ///
 /// # Errors
-/// Those of the file system.
+/// A file or folder can't be written.
 pub fn write(summary: &Summary, folder: &Path) -> io::Result<PathBuf> {
     fs::create_dir_all(folder)?;
     let path = folder.join("report.html");
@@ -30,7 +30,9 @@
     );
     // Writing into a string does not fail.
     let _ = write!(page, "<h1>{}</h1><pre>{}</pre>", escape(&summary.line()), escape(&summary.to_string()));
-    page.push_str("<h2>Tries ended in each second</h2><p>answered, refused, failed</p><table>");
+    page.push_str(
+        "<h2>Client requests by the second in which they ended</h2><p>succeeded, refused, failed</p><table>",
+    );
     let max = summary.seconds.iter().map(|s| s.iter().sum::<usize>()).max().unwrap_or(1).max(1);
     for (second, counts) in summary.seconds.iter().enumerate() {
         let _ = write!(page, "<tr><td>{second}</td><td>");
--- a/lab/src/tier/peer.rs
+++ b/lab/src/tier/peer.rs
@@ -1,4 +1,4 @@
-//! One TCP connection of a stand-in, read as HTTP/1.1, whole or piece by piece.
+//! An HTTP/1.1 connection of a simulated client or worker, read by whole messages or incrementally.
 
 use crate::http::{Message, invalid_message};
 use std::{fmt::Write as _, io, net::SocketAddr, time::Duration};
@@ -8,25 +8,25 @@
     time::timeout,
 };
 
-/// Bytes read at a time.
+/// Bytes reserved in the buffer for one read.
 const READ_BYTES: usize = 16 << 10;
-/// Longest line that begins a chunk.
+/// Maximum length of a chunk's size line, in bytes.
 const MAX_CHUNK_LINE_BYTES: usize = 64;
 
-/// How the end of a body is known, and how much of it is still to come.
+/// How the end of a body is determined, and how much of it remains.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Framing {
     Length(usize),
     Chunked,
-    /// All has been read.
+    /// The whole body has been read.
     Ended,
 }
 
 impl Framing {
-    /// That of the body after a head.
+    /// Determines the framing of the body that follows a head.
     ///
     /// # Errors
-    /// The head states a length that is no number.
+    /// `Content-Length` is not a number.
     pub fn of(head: &Message) -> io::Result<Self> {
         if head.header("transfer-encoding").is_some_and(|v| v.eq_ignore_ascii_case("chunked")) {
             return Ok(Self::Chunked);
@@ -39,7 +39,7 @@
     }
 }
 
-/// A connection and what has been read of it.
+/// A connection and the bytes read from it that were not yet consumed.
 #[derive(Debug)]
 pub struct Peer {
     stream: TcpStream,
@@ -47,10 +47,10 @@
 }
 
 impl Peer {
-    /// Takes a connection that is up.
+    /// Wraps an established connection.
     #[must_use]
     pub fn new(stream: TcpStream) -> Self {
-        // Without it small writes wait for each other; where it can't be set they are only slower.
+        // Avoids Nagle's delay of small writes; if it can't be set, they are only slower.
         let _ = stream.set_nodelay(true);
         Self { stream, buffer: Vec::new() }
     }
@@ -58,17 +58,17 @@
     /// Opens a connection.
     ///
     /// # Errors
-    /// It was refused, or is not up in time.
+    /// The connection was refused or not established within `limit`.
     pub async fn connect(address: SocketAddr, limit: Duration) -> io::Result<Self> {
         let stream =
             timeout(limit, TcpStream::connect(address)).await.map_err(|_| io::ErrorKind::TimedOut)?;
         Ok(Self::new(stream?))
     }
 
-    /// Reads a whole message; `None`: the connection ended between two.
+    /// Reads a whole message; `None`: the connection ended at a message boundary.
     ///
     /// # Errors
-    /// It broke, ended within a message, or what came is none.
+    /// The connection failed, ended within a message, or the bytes are not a valid message.
     pub async fn read_message(&mut self) -> io::Result<Option<Message>> {
         loop {
             if let Some((message, used)) = Message::parse(&self.buffer)? {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Reads a head; `None`: the connection ended before it.
+    /// Reads the head of a message; `None`: the connection ended before it.
     ///
     /// # Errors
     /// As for [`Peer::read_message`].
@@ -99,10 +99,10 @@
         }
     }
 
-    /// Reads the next piece of a body; `None`: it ended as it should.
+    /// Reads the next part of a body; `None`: the body is complete.
     ///
     /// # Errors
-    /// The connection ended before that, or the framing is wrong.
+    /// The connection ended within the body, or the framing is invalid.
     pub async fn read_body_part(&mut self, framing: &mut Framing) -> io::Result<Option<Vec<u8>>> {
         match *framing {
             Framing::Ended => Ok(None),
@@ -142,7 +142,7 @@
         Ok(Some(chunk))
     }
 
-    /// Reads until the buffer holds so many bytes.
+    /// Reads until the buffer contains at least `bytes` bytes.
     async fn read_at_least(&mut self, bytes: usize) -> io::Result<()> {
         while self.buffer.len() < bytes {
             if self.fill().await? == 0 {
@@ -157,34 +157,34 @@
         self.stream.read_buf(&mut self.buffer).await
     }
 
-    /// Whether the connection is up and nothing has come that nobody asked for.
+    /// Whether the connection is open and no unsolicited bytes have arrived.
     #[must_use]
     pub fn is_reusable(&self) -> bool {
         let nothing = |error: &io::Error| error.kind() == io::ErrorKind::WouldBlock;
         self.buffer.is_empty() && self.stream.try_read(&mut [0]).is_err_and(|e| nothing(&e))
     }
 
-    /// Waits until the other side ends the connection. What it sends before that stays in the buffer.
+    /// Waits until the other side closes the connection. Bytes received before that stay in the buffer.
     pub async fn closed(&mut self) {
         while let Ok(1..) = self.fill().await {}
     }
 
-    /// Sends bytes.
+    /// Writes all of `bytes`.
     ///
     /// # Errors
-    /// The connection is broken.
+    /// The connection failed.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes).await
     }
 
-    /// Ends the connection by a reset.
+    /// Closes the connection with a TCP reset.
     pub fn reset(self) {
-        // Where it can't be set the connection is closed instead of reset.
+        // If the option can't be set, the connection is closed normally.
         let _ = socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
 }
 
-/// A request's bytes. A body is sent with its length.
+/// Encodes a request. The body is framed by `Content-Length`.
 #[must_use]
 pub fn request(method: &str, path: &str, headers: &[(&str, String)], body: &[u8]) -> Vec<u8> {
     let mut head = format!("{method} {path} HTTP/1.1\r\n");
@@ -200,10 +200,10 @@
     bytes
 }
 
-/// Sends one request with a JSON body on a connection of its own, and reads the answer whole.
+/// Sends one request with a JSON body on a new connection and reads the whole response.
 ///
 /// # Errors
-/// No whole answer came in time.
+/// No complete response arrived within `limit`.
 pub async fn call(
     address: SocketAddr,
     method: &str,
--- a/lab/src/tier/run.rs
+++ b/lab/src/tier/run.rs
@@ -1,5 +1,5 @@
-//! A short day: programs come all the time, an owner of control state and a proxy are killed in the middle, a worker
-//! leaves and the configuration changes; then what was served, and every broken rule.
+//! A short run of the tier under steady load with faults: by default the owner of the configuration and a gatekeeper
+//! are killed, a worker leaves and the configuration changes. Summarizes what was served and every rule violation.
 
 use super::{
     arrivals::Arrivals,
@@ -19,65 +19,65 @@
 
 /// Violation rules that a summary names.
 const MAX_VIOLATIONS_SHOWN: usize = 20;
-/// Early stops that a summary names.
+/// Premature refusals that a summary lists one by one.
 const MAX_REFUSALS_SHOWN: usize = 5;
-/// A day is so many times as long as the pause before each strike.
+/// A run is divided into this many intervals; a fault is injected at the end of each.
 const FAULT_INTERVALS: u32 = 12;
 
-/// What day to play.
+/// Parameters of a run.
 #[derive(Debug, Clone)]
 pub struct TierRun {
-    /// The program of all roles.
+    /// Path of the executable that runs every role.
     pub program: PathBuf,
-    /// How long programs come.
+    /// How long new agent programs are started.
     pub length: Duration,
     pub tier: TierSpec,
-    /// What befalls the tier is drawn from this; without it, it is the usual.
+    /// Seed of the random faults; `None` injects the standard sequence.
     pub seed: Option<u64>,
 }
 
-/// What became of a day.
+/// Results of a run.
 #[derive(Debug, Clone)]
 pub struct Summary {
     pub machines: usize,
-    /// How programs ended.
+    /// Number of programs by how they ended.
     pub programs: BTreeMap<String, usize>,
     pub turns: usize,
     pub calls: usize,
-    /// How tries ended.
+    /// Number of client requests, retries included, by how they ended.
     pub request_outcomes: BTreeMap<String, usize>,
-    /// Time to the end of answered tries, in milliseconds: at 50%, 99% and the longest.
+    /// Latency of successful requests until the end of the response, in milliseconds: median, 99th percentile, maximum.
     pub latency_ms: [u64; 3],
-    /// What befell machines, and when.
+    /// Events of machines, workers and the configuration, with their times in milliseconds since the log began.
     pub events: Vec<(u64, String)>,
     pub violations: Vec<Violation>,
-    /// Turns answered 402 though the budget held them.
+    /// Turns that were answered 402 although the program's budget sufficed for them.
     pub premature_refusals: Vec<PrematureRefusal>,
-    /// Processes that ended by themselves.
+    /// Processes that exited without having been stopped by the test.
     pub unexpected_exits: Vec<String>,
-    /// For each second: tries answered by success, refused, and failed.
+    /// For each second of the run: requests that succeeded, got an error status, and got no complete response.
     pub seconds: Vec<[usize; 3]>,
-    /// What befell the tier, in order.
+    /// Injected faults, in order.
     pub faults: Vec<String>,
-    /// The last words of all processes, if the day did not pass.
+    /// Last log lines of all processes; empty if the run passed.
     pub log_tails: String,
 }
 
 impl Summary {
-    /// Whether every rule was kept and every process lived.
+    /// Whether there was no violation and no unexpected process exit.
     #[must_use]
     pub fn passed(&self) -> bool {
         self.violations.is_empty() && self.unexpected_exits.is_empty()
     }
 
-    /// The last line of a play.
+    /// Returns the line that concludes the output of a run.
     #[must_use]
     pub fn line(&self) -> String {
         if self.passed() {
             "PASS".to_owned()
         } else {
             format!(
-                "FAIL: {} broken rules, {} processes ended",
+                "FAIL: {} rule violations, {} processes exited unexpectedly",
                 self.violations.len(),
                 self.unexpected_exits.len()
             )
@@ -93,21 +93,21 @@
         let [median, p99, max] = self.latency_ms;
         writeln!(f, "{:<28}{}", "machines", self.machines)?;
         writeln!(f, "{:<28}{}", "programs", counts(&self.programs))?;
-        writeln!(f, "{:<28}{}, {}", "turns, calls of tools", self.turns, self.calls)?;
+        writeln!(f, "{:<28}{}, {}", "turns, tool calls", self.turns, self.calls)?;
         writeln!(f, "{:<28}{}", "client requests", counts(&self.request_outcomes))?;
-        writeln!(f, "{:<28}{median}, {p99}, {max}", "answered ms (50, 99%, most)")?;
+        writeln!(f, "{:<28}{median}, {p99}, {max}", "latency ms (50%, 99%, max)")?;
         for (at_ms, event) in &self.events {
             writeln!(f, "{:<28}{event}", format!("{:.1} s", *at_ms as f64 / 1e3))?;
         }
-        writeln!(f, "{:<28}{}", "struck by", self.faults.join(", "))?;
-        writeln!(f, "{:<28}{}", "402 while budget was left", self.premature_refusals.len())?;
+        writeln!(f, "{:<28}{}", "injected faults", self.faults.join(", "))?;
+        writeln!(f, "{:<28}{}", "402 within budget", self.premature_refusals.len())?;
         for stop in self.premature_refusals.iter().take(MAX_REFUSALS_SHOWN) {
             let PrematureRefusal { at_ms, program, spent, max_output_tokens, budget } = stop;
             let at_s = *at_ms as f64 / 1e3;
             writeln!(f, "{:<28}{program} at {at_s:.3} s: {spent} + {max_output_tokens} of {budget}", "")?;
         }
         for exit in &self.unexpected_exits {
-            writeln!(f, "{:<28}{exit}", "ended by itself")?;
+            writeln!(f, "{:<28}{exit}", "exited unexpectedly")?;
         }
         for violation in self.violations.iter().take(MAX_VIOLATIONS_SHOWN) {
             writeln!(f, "{:<28}{violation}", "violation")?;
@@ -117,10 +117,10 @@
 }
 
 impl TierRun {
-    /// Plays it.
+    /// Starts a tier, runs programs while faults are injected, and summarizes the result.
     ///
     /// # Errors
-    /// The tier does not start or come back in time.
+    /// The tier does not start or does not recover in time.
     pub async fn run(&self) -> Result<Summary, TierError> {
         let mut deployment = Deployment::start(&self.program, self.tier.clone()).await?;
         let machines = deployment.tier.names().len();
@@ -145,7 +145,7 @@
         Ok(summary)
     }
 
-    /// FaultSequence, spread over the day, and ends with it.
+    /// Injects faults at even intervals until the run ends; returns them in order.
     async fn inject_faults(&self, deployment: &mut Deployment) -> Result<Vec<String>, TierError> {
         let end = Instant::now() + self.length;
         let mut sequence = self.seed.map_or_else(FaultSequence::standard, FaultSequence::random);
@@ -174,9 +174,9 @@
     for report in reports {
         let name = match report.outcome {
             ProgramOutcome::Completed => "completed".to_owned(),
-            ProgramOutcome::BudgetExhausted => "stopped by their budget".to_owned(),
-            ProgramOutcome::Failed { status: 0 } => "failed without an answer".to_owned(),
-            ProgramOutcome::Failed { status } => format!("failed with {status}"),
+            ProgramOutcome::BudgetExhausted => "stopped by budget".to_owned(),
+            ProgramOutcome::Failed { status: 0 } => "failed without a response".to_owned(),
+            ProgramOutcome::Failed { status } => format!("failed with status {status}"),
         };
         *programs.entry(name).or_insert(0) += 1;
     }
@@ -202,7 +202,7 @@
     }
 }
 
-/// Counts over the list of observations.
+/// Statistics collected over the observations of a run.
 #[derive(Default)]
 struct Collected<'a> {
     start_ms: u64,
@@ -228,7 +228,8 @@
                 self.events.push((seen.at_ms, format!("{machine} {name}")));
             }
             Observation::ConfigurationAnswered { generation, status, .. } => {
-                self.events.push((seen.at_ms, format!("configuration {generation} answered {status}")));
+                self.events
+                    .push((seen.at_ms, format!("configuration {generation} answered with status {status}")));
             }
             Observation::DepartureAcknowledged { worker, departure } => {
                 self.events.push((seen.at_ms, format!("worker {worker} {departure:?}").to_lowercase()));
@@ -241,10 +242,10 @@
         let (name, kind) = match outcome {
             Outcome::Answered { status: status @ 200..=299, .. } => (status.to_string(), 0),
             Outcome::Answered { status, .. } => (status.to_string(), 1),
-            Outcome::Interrupted { .. } => ("broken off".to_owned(), 2),
-            Outcome::Closed { .. } => ("closed".to_owned(), 2),
-            Outcome::TimedOut => ("given up".to_owned(), 2),
-            Outcome::Malformed => ("unreadable".to_owned(), 2),
+            Outcome::Interrupted { .. } => ("interrupted".to_owned(), 2),
+            Outcome::Closed { .. } => ("connection closed".to_owned(), 2),
+            Outcome::TimedOut => ("timed out".to_owned(), 2),
+            Outcome::Malformed => ("malformed response".to_owned(), 2),
         };
         if outcome.is_success()
             && let Some(sent_ms) = self.sent.get(request)
--- a/lab/src/tier/settings_file.rs
+++ b/lab/src/tier/settings_file.rs
@@ -1,4 +1,4 @@
-//! The settings file of each process, as the platform would write it.
+//! Settings files of the processes, as the platform would write them.
 
 use super::judge::Bounds;
 use std::{
@@ -7,19 +7,19 @@
     path::Path,
 };
 
-/// What a machine can be.
+/// Class of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Class {
-    /// Carries the traffic: a proxy and its agent.
+    /// Serves client traffic: a proxy and its agent.
     Edge,
-    /// Serves control.
+    /// Runs the control plane.
     Core,
-    /// Keeps data.
+    /// Stores data.
     Storage,
 }
 
 impl Class {
-    /// The roles that run on it, as the program's subcommands name them.
+    /// Returns the roles that run on it, by the names of the program's subcommands.
     #[must_use]
     pub fn roles(self) -> &'static [&'static str] {
         match self {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Its name in settings and machine names.
+    /// Returns its name in settings and in machine names.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// What the role serves to callers from outside.
+    /// Returns the `serves` setting of a role: what it serves to callers outside of the tier.
     fn serves(self, role: &str) -> &'static str {
         match (self, role) {
             (Self::Edge, "proxy") => "[\"edge\"]",
@@ -50,13 +50,13 @@
     }
 }
 
-/// Ports, the same on every machine.
+/// Ports, identical on every machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Ports {
     pub frontend: u16,
     pub readiness: u16,
     pub control: u16,
-    /// The first and last port of what processes say to each other.
+    /// First and last port for traffic among the tier's processes.
     pub inner: (u16, u16),
 }
 
@@ -66,7 +66,7 @@
     }
 }
 
-/// What one settings file says.
+/// Values of one settings file.
 #[derive(Debug)]
 pub struct SettingsFile<'a> {
     pub machine: &'a str,
@@ -85,7 +85,7 @@
 }
 
 impl SettingsFile<'_> {
-    /// The file's text.
+    /// Returns the file's text.
     #[must_use]
     pub fn text(&self) -> String {
         let mut text = String::new();
@@ -160,7 +160,7 @@
     }
 }
 
-/// A value in quotation marks. Names and paths here hold none themselves.
+/// Returns a value in quotation marks. Names and paths in this lab contain none themselves.
 fn quoted(value: &str) -> String {
     format!("\"{value}\"")
 }
