--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,4 +1,4 @@
-//! A fleet of real gateways under faults: the world round them, what strikes it, and what is judged of it.
+//! Test lab for a fleet of real gateways: simulates their environment, injects faults, and checks the recorded events.
 
 #![allow(
     missing_docs,
--- a/lab/src/report/mod.rs
+++ b/lab/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! A play's report: JSON for programs, and one page of HTML with plots over time for people.
+//! The report of a run: JSON for programs, and one HTML page with plots over time for people.
 
 mod page;
 mod plot;
@@ -14,7 +14,7 @@
     path::{Path, PathBuf},
 };
 
-/// How a policy of the lab's own model fared on the same load.
+/// Result of a policy of the lab's own model for the same load, for comparison.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Baseline {
     pub name: String,
@@ -37,7 +37,7 @@
     }
 }
 
-/// All of a play's report.
+/// The report of a run.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Report {
     pub scenario: String,
@@ -48,19 +48,19 @@
     pub rate: f64,
     pub verdict: Verdict,
     pub baselines: Vec<Baseline>,
-    /// Faults as bands: from, to and what, by what really happened.
+    /// Faults with the times at which they really began and ended.
     pub bands: Vec<Band>,
 }
 
-/// A fault as plots show it.
+/// A fault as a band behind the plots.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(f64, f64, String)", into = "(f64, f64, String)")]
 pub struct Band {
-    /// When it began, in seconds of the play.
+    /// Time at which it began, in seconds since the start of the run.
     pub from_s: f64,
-    /// When it ended.
+    /// Time at which it ended, in seconds since the start of the run.
     pub to_s: f64,
-    /// Its kind.
+    /// Kind of the fault, as in the scenario.
     pub kind: String,
 }
 
@@ -76,7 +76,7 @@
     }
 }
 
-/// When each fault began and ended.
+/// Returns the faults of a recording; one that did not end lasts until the end of the run.
 fn bands(recording: &Recording) -> Vec<Band> {
     let (faults, end) = (&recording.header.scenario.faults, recording.header.scenario.length_s);
     let mut bands: Vec<Band> = Vec::new();
@@ -119,10 +119,11 @@
         }
     }
 
-    /// Writes `report.json` and `report.html` into a folder, which is made where it is missing.
+    /// Writes `report.json` and `report.html` into a folder, which is created if it does not exist. Returns the path of the
+    /// HTML page.
     ///
     /// # Errors
-    /// Those of the file system, and of drawing.
+    /// A file or folder can't be written, or a plot can't be drawn.
     pub fn write(&self, folder: &Path, zones: &[String]) -> io::Result<PathBuf> {
         fs::create_dir_all(folder)?;
         fs::write(folder.join("report.json"), serde_json::to_string_pretty(self)?)?;
@@ -131,7 +132,7 @@
         Ok(page)
     }
 
-    /// The metrics, a line each, for a terminal.
+    /// Returns the metrics as text for a terminal, one per line.
     #[must_use]
     pub fn table(&self) -> String {
         let mut table = Table::default();
@@ -140,10 +141,10 @@
         self.add_costs(&mut table);
         self.add_recovery(&mut table);
         let [median, high, max] = self.verdict.late_ms;
-        table.row("lab late ms (50, 99%, most)", format!("{median:.2}, {high:.2}, {max:.1}"));
+        table.row("lab lateness ms (50%, 99%, max)", format!("{median:.2}, {high:.2}, {max:.1}"));
         for (name, causes) in [
-            ("beyond by cause", &self.verdict.beyond_causes),
-            ("refused with room by cause", &self.verdict.refused_causes),
+            ("beyond quota by cause", &self.verdict.beyond_causes),
+            ("refused within quota by cause", &self.verdict.refused_causes),
         ] {
             if !causes.is_empty() {
                 table.row(name, list_causes(causes));
@@ -157,33 +158,35 @@
         table.row(
             "scenario",
             format!(
-                "{}, seed {}, {} gateways, {} workers, {:.0} requests a second",
+                "{}, seed {}, {} gateways, {} workers, {:.0} requests/s",
                 self.scenario, self.seed, self.gatekeepers, self.workers, self.rate
             ),
         );
         table.row("score, goodput", format!("{:.3}, {:.3}", verdict.score, verdict.goodput));
         for baseline in &self.baselines {
             let ratio = if baseline.score.abs() > 1e-9 { verdict.score / baseline.score } else { 0.0 };
-            table
-                .row(&format!("  against {}", baseline.name), format!("{ratio:.3} of {:.3}", baseline.score));
+            table.row(
+                &format!("  relative to {}", baseline.name),
+                format!("{ratio:.3} of {:.3}", baseline.score),
+            );
         }
     }
 
     fn add_quotas(&self, table: &mut Table) {
         let verdict = &self.verdict;
         table.row(
-            "units beyond quotas",
+            "units beyond quota",
             format!(
-                "{} ({:.1}%), most of one customer {}",
+                "{} ({:.1}%), maximum of one customer {}",
                 verdict.beyond,
                 100.0 * verdict.beyond_share,
                 verdict.worst_beyond
             ),
         );
         table.row(
-            "refused with room",
+            "refused within quota",
             format!(
-                "{} ({:.1}% of tries; with half a quota {:.1}%)",
+                "{} ({:.1}% of requests; with at least half of the quota left {:.1}%)",
                 verdict.refused_with_room,
                 100.0 * verdict.refused_with_room_share,
                 100.0 * verdict.refused_half_share
@@ -194,38 +197,38 @@
     fn add_costs(&self, table: &mut Table) {
         let verdict = &self.verdict;
         table.row(
-            "attempts a try",
-            format!("{:.3}, worst second {:.2}", verdict.amplification, verdict.worst_amplification),
+            "attempts per request",
+            format!("{:.3}, in the worst second {:.2}", verdict.amplification, verdict.worst_amplification),
         );
-        table.row("work for nobody", format!("{:.1}%", 100.0 * verdict.wasted));
+        table.row("wasted work", format!("{:.1}%", 100.0 * verdict.wasted));
         let [median, high, higher] = verdict.latency_ms;
         table.row("latency ms (50, 95, 99%)", format!("{median:.0}, {high:.0}, {higher:.0}"));
         let [waited, sent_on] = verdict.gone;
-        table.row("sent on for who had left", format!("{sent_on} of {waited} that waited"));
+        table.row("sent after cancellation", format!("{sent_on} of {waited} requests that waited"));
         table.row(
-            "calls a try, probes",
+            "calls per request, probes",
             format!("{:.3}, {:.4}", verdict.calls_a_try, verdict.probes_a_request),
         );
         table.row(
             "gateways' CPU, memory",
-            format!("{:.0} us a try, {:.1} MB", verdict.cpu_us, verdict.rss_mb),
+            format!("{:.0} us per request, {:.1} MB", verdict.cpu_us, verdict.rss_mb),
         );
     }
 
     fn add_recovery(&self, table: &mut Table) {
         let Some(recovery) = &self.verdict.recovery else { return };
-        let after = recovery.after_s.map_or("not within the play".to_owned(), |s| format!("{s:.1} s"));
+        let after = recovery.after_s.map_or("not within the run".to_owned(), |s| format!("{s:.1} s"));
         table.row(
             "recovery",
             format!(
-                "{after} after the fault's end at {:.1} s (goodput before: {:.3})",
+                "{after} after the end of the fault at {:.1} s (goodput before: {:.3})",
                 recovery.fault_to_s, recovery.before
             ),
         );
     }
 }
 
-/// Lines of names and values.
+/// A text of lines with a name and a value.
 #[derive(Default)]
 struct Table {
     text: String,
@@ -253,7 +256,7 @@
     };
 
     #[test]
-    fn a_report_is_one_page_that_needs_nothing_else_and_reads_back() {
+    fn a_report_is_a_self_contained_page_and_a_recording_can_be_judged_again() {
         let scenario = Scenario::parse("name = \"a<b\"\nlength_s = 10").expect("a scenario");
         let zones = scenario.world.zones.clone();
         let mut recording = play(scenario, 1, Policy::Exact);
@@ -268,16 +271,19 @@
         let folder = tempfile::tempdir().expect("a folder");
         let page = report.write(&folder.path().join("r"), &zones).expect("written");
         let text = std::fs::read_to_string(page).expect("a page");
-        assert!(text.contains("<svg") && text.contains("a&lt;b"), "plots, and names as they are");
-        let refers = text.replace("xmlns=\"http://www.w3.org/2000/svg\"", "");
-        assert!(!refers.contains("http") && !refers.contains("src="), "nothing from elsewhere");
+        assert!(text.contains("<svg") && text.contains("a&lt;b"), "it contains plots and escaped names");
+        let without_namespace = text.replace("xmlns=\"http://www.w3.org/2000/svg\"", "");
+        assert!(
+            !without_namespace.contains("http") && !without_namespace.contains("src="),
+            "it refers to no other resource"
+        );
         let json = std::fs::read_to_string(folder.path().join("r/report.json")).expect("a file");
         let back: Report = serde_json::from_str(&json).expect("JSON");
         assert_eq!(back.verdict.requests, verdict.requests);
         let path = folder.path().join("seen.jsonl");
         recording.save(&path).expect("saved");
         let again = Recording::load(&path).expect("read");
-        assert_eq!(judge(&again), verdict, "a recording judged again gives the same");
+        assert_eq!(judge(&again), verdict, "judging the loaded recording gives the same verdict");
         std::fs::write(&path, "{\"form\": 99}").expect("written");
         assert!(Recording::load(&path).is_err());
     }
--- a/lab/src/report/page.rs
+++ b/lab/src/report/page.rs
@@ -1,4 +1,4 @@
-//! The page of HTML, which needs nothing beside it.
+//! The self-contained HTML page of a report.
 
 use super::{
     Report,
@@ -8,7 +8,7 @@
 use plotters::prelude::{BLACK, BLUE, CYAN, GREEN, MAGENTA, RED, RGBColor};
 use std::{fmt::Write as _, io};
 
-/// What comes before the first heading.
+/// Start of the page: head and style sheet.
 const HEAD: &str = "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>fleetlab</title>\
      <style>body{font:15px sans-serif;max-width:1000px;margin:2em auto}pre{background:#f4f4f4;padding:1em;white-space:pre-wrap}\
      table{border-collapse:collapse}td,th{padding:.2em .8em;border-bottom:1px solid #ccc;text-align:right}\
@@ -22,17 +22,17 @@
     series: Vec<Series>,
 }
 
-/// The page.
+/// Returns the page.
 ///
 /// # Errors
-/// Where a plot can't be drawn.
+/// A plot can't be drawn.
 pub(super) fn html(report: &Report, zones: &[String]) -> io::Result<String> {
     let mut page = String::from(HEAD);
     add_verdict(&mut page, report);
     for Section { title, series } in sections(&report.verdict.seconds, zones) {
         let _ = write!(page, "<h2>{title}</h2>{}", plot::svg(report, &series)?);
     }
-    page += "<h2>Who was served</h2>";
+    page += "<h2>Served requests</h2>";
     add_totals(&mut page, "plan", &report.verdict.by_plan);
     add_totals(&mut page, "class", &report.verdict.by_class);
     page += "</html>\n";
@@ -71,37 +71,37 @@
         })
     };
     let mut attempts: Vec<Series> = zones.iter().enumerate().map(attempts_in).collect();
-    attempts.push(series("tries sent on", BLACK, &|second| second.sent as f64));
-    attempts.push(series("at the worker with most", CYAN, &|second| second.worst_worker as f64));
+    attempts.push(series("requests forwarded", BLACK, &|second| second.sent as f64));
+    attempts.push(series("at the busiest worker", CYAN, &|second| second.worst_worker as f64));
     let clients = vec![
-        series("first tries", BLUE, &|second| second.tries as f64),
-        series("further tries", MAGENTA, &|second| second.retries as f64),
+        series("first attempts of clients", BLUE, &|second| second.tries as f64),
+        series("retries", MAGENTA, &|second| second.retries as f64),
         series("refused", RED, &|second| second.refused as f64),
-        series("failed or without answer", BLACK, &|second| second.failed as f64),
+        series("failed or without response", BLACK, &|second| second.failed as f64),
     ];
     let costs = vec![
-        series("calls of the counter", BLUE, &|second| second.calls as f64),
-        series("turned away there", RED, &|second| second.busy_calls as f64),
+        series("calls to the quota counter", BLUE, &|second| second.calls as f64),
+        series("calls rejected by it", RED, &|second| second.busy_calls as f64),
         series("connections opened", GREEN, &|second| second.handshakes as f64),
         series("probes", BLACK, &|second| second.probes as f64),
     ];
     let wasted = vec![series("wasted", RED, &|second| second.wasted_s)];
     [
         Section {
-            title: "Goodput: worth earned over worth asked for",
+            title: "Goodput: value earned / value requested",
             series: vec![series("goodput", BLUE, &goodput)],
         },
-        Section { title: "Clients, a second", series: clients },
-        Section { title: "Attempts at the workers, a second", series: attempts },
-        Section { title: "What it costs, a second", series: costs },
-        Section { title: "Core seconds of work for nobody, a second", series: wasted },
+        Section { title: "Clients, requests per second", series: clients },
+        Section { title: "Attempts at the workers, per second", series: attempts },
+        Section { title: "Overhead, per second", series: costs },
+        Section { title: "Wasted work, core seconds per second", series: wasted },
     ]
 }
 
 fn add_totals(page: &mut String, kind: &str, totals: &[(String, Totals)]) {
     let _ = write!(
         page,
-        "<table><tr><th>{kind}</th><th>tries</th><th>served</th><th>refused</th><th>failed</th><th>worth earned</th></tr>"
+        "<table><tr><th>{kind}</th><th>requests</th><th>served</th><th>refused</th><th>failed</th><th>share of value earned</th></tr>"
     );
     for (name, totals) in totals {
         let (name, share) = (escape(name), totals.earned / totals.asked.max(1e-9));
--- a/lab/src/report/plot.rs
+++ b/lab/src/report/plot.rs
@@ -1,4 +1,4 @@
-//! One plot over the seconds of a play, as SVG, with the faults as bands behind it.
+//! A plot over the seconds of a run as SVG, with the faults as bands in the background.
 
 use super::{Band, Report};
 use plotters::{
@@ -7,35 +7,35 @@
 };
 use std::{fmt::Display, io};
 
-/// Width and height in pixels.
-const SIZE: (u32, u32) = (960, 260);
-/// How much higher the plot is than its highest value.
+/// Width and height of a plot, in pixels.
+const PLOT_SIZE_PX: (u32, u32) = (960, 260);
+/// Upper end of the vertical axis as a multiple of the largest value.
 const HEADROOM: f64 = 1.08;
-/// Least width of a band, in seconds: a fault that lasts no time is seen, too.
+/// Minimum width of a band, in seconds, so that instantaneous faults are visible.
 const MIN_BAND_S: f64 = 0.15;
-/// Names of faults are written in so many rows, so that they do not cover each other.
+/// Number of rows over which the names of faults are distributed, so that they do not overlap.
 const BAND_ROWS: usize = 4;
 
-/// Values over time.
+/// A curve of a plot.
 pub(super) struct Series {
     pub name: String,
     pub colour: RGBColor,
-    /// Seconds and values.
+    /// Times in seconds, with the values.
     pub points: Vec<(f64, f64)>,
 }
 
 type Chart<'a, 'b> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
-/// A plot of these series.
+/// Draws a plot of the series.
 ///
 /// # Errors
-/// Where it can't be drawn.
+/// The plot can't be drawn.
 pub(super) fn svg(report: &Report, series: &[Series]) -> io::Result<String> {
     let mut svg = String::new();
     {
-        let root = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
+        let root = SVGBackend::with_string(&mut svg, PLOT_SIZE_PX).into_drawing_area();
         draw(&root, report, series)?;
-        root.present().map_err(failed)?;
+        root.present().map_err(draw_error)?;
     }
     Ok(svg)
 }
@@ -49,9 +49,9 @@
         .x_label_area_size(28)
         .y_label_area_size(56)
         .build_cartesian_2d(0.0..end, 0.0..max)
-        .map_err(failed)?;
+        .map_err(draw_error)?;
     draw_bands(&mut chart, &report.bands, max)?;
-    chart.configure_mesh().light_line_style(WHITE).x_desc("seconds").draw().map_err(failed)?;
+    chart.configure_mesh().light_line_style(WHITE).x_desc("seconds").draw().map_err(draw_error)?;
     draw_band_names(&mut chart, &report.bands, max)?;
     for series in series {
         draw_series(&mut chart, series)?;
@@ -61,7 +61,7 @@
         .background_style(WHITE.mix(0.7))
         .position(SeriesLabelPosition::UpperRight)
         .draw()
-        .map_err(failed)
+        .map_err(draw_error)
 }
 
 fn draw_bands(chart: &mut Chart<'_, '_>, bands: &[Band], max: f64) -> io::Result<()> {
@@ -69,7 +69,7 @@
         let end = band.to_s.max(band.from_s + MIN_BAND_S);
         Rectangle::new([(band.from_s, 0.0), (end, max)], RED.mix(0.10).filled())
     });
-    chart.draw_series(rectangles).map_err(failed)?;
+    chart.draw_series(rectangles).map_err(draw_error)?;
     Ok(())
 }
 
@@ -78,7 +78,7 @@
         let height = max * (0.97 - 0.08 * (number % BAND_ROWS) as f64);
         Text::new(band.kind.clone(), (band.from_s, height), ("sans-serif", 11).into_font())
     });
-    chart.draw_series(names).map_err(failed)?;
+    chart.draw_series(names).map_err(draw_error)?;
     Ok(())
 }
 
@@ -86,12 +86,12 @@
     let colour = series.colour;
     chart
         .draw_series(LineSeries::new(series.points.iter().copied(), colour.stroke_width(2)))
-        .map_err(failed)?
+        .map_err(draw_error)?
         .label(series.name.clone())
         .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], colour.stroke_width(2)));
     Ok(())
 }
 
-fn failed(error: impl Display) -> io::Error {
-    io::Error::other(format!("a plot can't be drawn: {error}"))
+fn draw_error(error: impl Display) -> io::Error {
+    io::Error::other(format!("can't draw the plot: {error}"))
 }
--- a/lab/src/tier/fault.rs
+++ b/lab/src/tier/fault.rs
@@ -1,4 +1,4 @@
-//! What befalls the tier during a day, each from its beginning to when everything runs again.
+//! Faults and operations that are injected into a tier; each ends when everything runs again.
 
 use super::{
     deployment::{Deployment, START_LIMIT},
@@ -10,17 +10,17 @@
 use rand_chacha::ChaCha8Rng;
 use std::{sync::Arc, time::Duration};
 
-/// How long what is killed on the usual day stays down.
+/// Downtime of a machine that the standard sequence kills.
 const STANDARD_DOWNTIME: Duration = Duration::from_millis(800);
-/// Bounds of what is drawn for it, in milliseconds.
+/// Range of random downtimes, in milliseconds.
 const RANDOM_DOWNTIME_MS: (u64, u64) = (50, 6000);
-/// How long a machine with a disk counts as lost after it is back: no other may be lost meanwhile.
+/// How long a restarted machine with a disk counts as lost while it catches up; no other may be lost meanwhile.
 const CATCH_UP: Duration = Duration::from_millis(4400);
-/// How long an order may take.
+/// Time-out of a request of the operator or of a worker's departure.
 pub const ORDER_LIMIT: Duration = Duration::from_secs(6);
-/// What the owner of the configuration logs once it has decided something.
+/// Log message of the owner of the configuration when it proposes a command.
 const OWNER_LOG: &str = "proposing a command as the owner of shard 0";
-/// Faults of workers, of which one is drawn.
+/// Worker faults from which one is drawn at random.
 const WORKER_FAULTS: [Fault; 6] = [
     Fault::LoseAnswer,
     Fault::ResetMidAnswer,
@@ -30,47 +30,47 @@
     Fault::Failure,
 ];
 
-/// Something that befalls the tier.
+/// A fault of the tier, or an operation on it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TierFault {
-    /// The owner of the configuration is killed and comes back.
+    /// The owner of the configuration is killed and restarted.
     KillOwner,
-    /// A machine is killed and comes back after a time.
+    /// A machine is killed and restarted after a downtime.
     Kill(String, Duration),
-    /// A machine freezes and wakes after a time.
+    /// A machine's processes are suspended and resumed after a downtime.
     Pause(String, Duration),
-    /// A machine loses its disk and comes back empty.
+    /// A machine is killed, loses its data and is restarted.
     Wipe(String),
-    /// A machine is stopped by SIGTERM and started again.
+    /// A machine is stopped with SIGTERM and started again.
     Stop(String),
-    /// A machine is told that its settings have changed.
+    /// A machine reloads its settings.
     Reload(String),
-    /// A machine is taken away and an empty one comes at another address.
+    /// A machine is removed, and an empty one is added at another address.
     Replace(String),
-    /// All machines lose power and come back.
+    /// All machines lose power and restart.
     LosePower,
     ChangeConfiguration,
     InvalidConfiguration,
-    /// The acknowledgement of a change is lost, and the change sent again.
+    /// The acknowledgement of a configuration change is lost, and the change is sent again.
     LoseAcknowledgement,
-    /// A worker leaves and another one comes.
+    /// A worker leaves as planned and another one starts.
     WorkerLeaves,
-    /// A worker crashes and another one comes.
+    /// A worker crashes and another one starts.
     WorkerCrashes,
-    /// The next answers of all workers go wrong.
+    /// The next response of every worker has a fault.
     WorkersFail(Fault),
 }
 
-/// What befalls the tier, one after the other.
+/// Faults to inject, one after another.
 pub enum FaultSequence {
-    /// As listed.
+    /// A fixed list.
     Standard(std::vec::IntoIter<TierFault>),
-    /// Drawn, without end.
+    /// Random faults without end.
     Random(Box<ChaCha8Rng>),
 }
 
 impl FaultSequence {
-    /// Those of the usual day.
+    /// Returns the fixed sequence of a run without a seed.
     #[must_use]
     pub fn standard() -> Self {
         let (killed, stopped) = ("edge-1".to_owned(), "edge-2".to_owned());
@@ -84,13 +84,13 @@
         Self::Standard(faults.into_iter())
     }
 
-    /// Those that a seed gives.
+    /// Returns the random sequence of a seed.
     #[must_use]
     pub fn random(seed: u64) -> Self {
         Self::Random(Box::new(ChaCha8Rng::seed_from_u64(seed)))
     }
 
-    /// The next one, for the tier as it is now.
+    /// Returns the next fault for the tier in its current state.
     pub fn next(&mut self, deployment: &Deployment) -> Option<TierFault> {
         match self {
             Self::Standard(faults) => faults.next(),
@@ -100,7 +100,7 @@
 }
 
 impl TierFault {
-    /// Whether a machine with a disk is lost for a while.
+    /// Whether the fault makes a machine with a disk temporarily unavailable.
     fn affects_disk(&self) -> bool {
         match self {
             Self::KillOwner | Self::LosePower => true,
@@ -113,10 +113,10 @@
         }
     }
 
-    /// FaultSequence, and ends once all that was taken runs again and has caught up.
+    /// Injects the fault, and returns once everything that it stopped runs again and has caught up.
     ///
     /// # Errors
-    /// Something did not come back in time.
+    /// A machine did not recover in time.
     pub async fn inject(&self, deployment: &mut Deployment) -> Result<(), TierError> {
         self.inject_and_recover(deployment).await?;
         if self.affects_disk() {
--- a/lab/src/tier/judge/control.rs
+++ b/lab/src/tier/judge/control.rs
@@ -1,4 +1,4 @@
-//! DRAIN, CONFIG, and LOST round a planned stop.
+//! Rules DRAIN, CONFIG, and LOST for requests during a planned stop.
 
 use super::{
     Bounds, Rule, Violation,
@@ -9,7 +9,7 @@
     observation::{MachineEvent, Outcome},
 };
 
-/// Added to the grace of a SIGTERM before the rules on planned work end, in milliseconds.
+/// Time after the grace period of a SIGTERM during which LOST still applies, in milliseconds.
 const AFTER_GRACE_MS: u64 = 1000;
 
 pub fn check(index: &Index<'_>, bounds: &Bounds) -> Vec<Violation> {
@@ -41,7 +41,7 @@
     violations
 }
 
-/// The versions that may be in force on a machine in touch for a request sent at a moment.
+/// Returns the configurations that an undisturbed machine may apply to a request sent at a time.
 fn may_be_in_force<'a>(index: &'a Index<'a>, at_ms: u64, apply_ms: u64) -> Vec<&'a Version<'a>> {
     let applied = |v: &&Version<'_>| v.acknowledged_ms.is_some_and(|a| a + apply_ms < at_ms);
     let newest = index.versions.iter().filter(applied).map(|v| v.generation).max();
@@ -63,20 +63,20 @@
         if let Some(run) = request.runs.first()
             && !routes.iter().flatten().any(|s| s == run.service)
         {
-            return report(format!("{id} ran at {} as only an older version allows", run.service));
+            return report(format!("{id} ran at {}, which only an older configuration allows", run.service));
         }
         let refused =
             matches!(request.ended, Some((_, Outcome::Answered { status: 404, signature: None, .. })));
         let always_there = !versions.is_empty() && routes.len() == versions.len();
         if refused && always_there && sent.previous.is_none() {
-            return report(format!("{id} was answered 404 though its route is there"));
+            return report(format!("{id} was answered 404 although its route exists"));
         }
         None
     };
     index.requests.iter().filter_map(handled).collect()
 }
 
-/// Runs that only a refused or invalid version allows.
+/// Finds runs that only a rejected or invalid configuration allows.
 fn never_in_force(index: &Index<'_>) -> Vec<Violation> {
     let mut violations = Vec::new();
     for (id, request) in &index.requests {
@@ -87,7 +87,7 @@
             let allowing: Vec<_> = index.versions.iter().filter(allows).collect();
             let refused = |v: &&&Version<'_>| !v.valid || (400..500).contains(&v.status);
             if !allowing.is_empty() && allowing.iter().all(|v| refused(&v)) {
-                let description = format!("{id} ran as only a refused configuration allows");
+                let description = format!("{id} ran as only a rejected configuration allows");
                 violations.push(Violation { rule: Rule::Configuration, at_ms: run.at_ms, description });
             }
         }
@@ -105,13 +105,16 @@
             violations.push(Violation { rule: Rule::Configuration, at_ms, description });
         }
         if acknowledged[..i].iter().any(|v| v.generation == version.generation) {
-            let description = format!("two changes to generation {} were acknowledged", version.generation);
+            let description = format!(
+                "two different configurations of generation {} were acknowledged",
+                version.generation
+            );
             violations.push(Violation { rule: Rule::Configuration, at_ms, description });
         }
         let later = acknowledged.iter().any(|v| v.generation > version.generation);
         if !later && (400..500).contains(&version.status) {
             let description =
-                format!("generation {} was refused after it was acknowledged", version.generation);
+                format!("generation {} was rejected after it was acknowledged", version.generation);
             violations.push(Violation { rule: Rule::Configuration, at_ms, description });
         }
     }
@@ -130,22 +133,25 @@
             continue;
         };
         let Ok(read) = serde_json::from_slice::<serde_json::Value>(body) else {
-            violations.push(report("what was read back is no configuration".to_owned()));
+            violations.push(report("the configuration read back is not valid JSON".to_owned()));
             continue;
         };
         let generation = read["generation"].as_u64().unwrap_or(0);
         if generation < newest {
-            violations
-                .push(report(format!("read back {generation}, older than {newest}, which was acknowledged")));
+            violations.push(report(format!(
+                "read back generation {generation}, older than the acknowledged {newest}"
+            )));
         }
         if newest > 0 && !index.versions.iter().any(|v| v.valid && v.json == read) {
-            violations.push(report(format!("what was read back as {generation} was never sent so")));
+            violations.push(report(format!(
+                "the configuration read back as generation {generation} was never sent"
+            )));
         }
     }
     violations
 }
 
-/// Requests whose connection ended without a whole answer round the planned stop of the machine that took them.
+/// Finds requests whose connection ended without a complete response during the planned stop of their gatekeeper.
 fn lost_at_stops(index: &Index<'_>, bounds: &Bounds) -> Vec<Violation> {
     let mut violations = Vec::new();
     let terminated = index.machines.iter().filter(|m| m.2 == MachineEvent::Terminated);
@@ -173,7 +179,7 @@
     violations
 }
 
-/// Whether unplanned trouble befell a machine from shortly before a request until its end.
+/// Whether a machine had an unplanned fault from `contact_ms` before a request was sent until the request ended.
 fn unplanned(index: &Index<'_>, machine: &str, sent_ms: u64, ended_ms: u64, bounds: &Bounds) -> bool {
     let from = sent_ms.saturating_sub(bounds.contact_ms);
     let is_unplanned = |e: MachineEvent| {
--- a/lab/src/tier/judge/index.rs
+++ b/lab/src/tier/judge/index.rs
@@ -1,11 +1,11 @@
-//! The list of observations, ordered by what each is about.
+//! Index of the observations by request, configuration, worker and machine.
 
 use super::super::observation::{
     ClientRequest, Departure, MachineEvent, Observation, Outcome, RouteKind, StreamEvent, TimedObservation,
 };
 use std::{collections::BTreeMap, sync::Arc};
 
-/// A worker's run of a request.
+/// A run of a request at a worker.
 #[derive(Debug)]
 pub struct Run<'a> {
     pub at_ms: u64,
@@ -16,31 +16,31 @@
     pub path: &'a str,
     pub body: &'a [u8],
     pub events: Vec<&'a StreamEvent>,
-    /// Status, signature, body and whether it was whole.
+    /// Status, signature and body of the response, and whether it was complete.
     pub answer: Option<(u16, &'a str, &'a [u8], bool)>,
 }
 
-/// All that was seen of one request.
+/// All observations of one request.
 #[derive(Debug, Default)]
 pub struct Request<'a> {
-    /// When it was sent, and what; `None`: no client sent it.
+    /// Time at which a client sent it, and its content; `None`: no client sent it.
     pub sent: Option<(u64, &'a Arc<ClientRequest>)>,
     pub reached: Vec<(u64, &'a str)>,
     pub runs: Vec<Run<'a>>,
-    /// Statuses and signatures of heads that workers sent.
+    /// Statuses and signatures of the response heads that workers sent.
     pub heads: Vec<(u16, &'a str)>,
     pub received: Vec<&'a StreamEvent>,
     pub ended: Option<(u64, &'a Outcome)>,
 }
 
 impl Request<'_> {
-    /// How its route may be repeated; a request that nobody sent may not.
+    /// Returns how the request may be retried; one that no client sent may not run more than once.
     pub fn kind(&self) -> RouteKind {
         self.sent.map_or(RouteKind::Unsafe, |(_, t)| t.kind)
     }
 }
 
-/// A configuration that was sent, and what became of it.
+/// A configuration that was sent, and its responses.
 #[derive(Debug)]
 pub struct Version<'a> {
     pub generation: u64,
@@ -48,13 +48,13 @@
     pub json: serde_json::Value,
     pub valid: bool,
     pub sent_ms: u64,
-    /// When it was first acknowledged.
+    /// Time of its first acknowledgement.
     pub acknowledged_ms: Option<u64>,
-    /// The last clear answer.
+    /// Status of the last definite response; 0: none.
     pub status: u16,
 }
 
-/// The whole list, ordered.
+/// All observations, indexed.
 #[derive(Debug, Default)]
 pub struct Index<'a> {
     pub requests: BTreeMap<&'a str, Request<'a>>,
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Whether a machine had no trouble for a time before a moment.
+    /// Whether a machine had no event in the `contact_ms` before a time and was not suspended.
     pub fn is_undisturbed(&self, machine: &str, at_ms: u64, contact_ms: u64) -> bool {
         let from = at_ms.saturating_sub(contact_ms);
         let mut frozen = false;
@@ -169,7 +169,7 @@
         !frozen
     }
 
-    /// Whether a worker crashed between two moments.
+    /// Whether a worker crashed in a period, limits included.
     pub fn crashed(&self, worker: &str, from_ms: u64, to_ms: u64) -> bool {
         self.crashes.iter().any(|(at, name)| *name == worker && (from_ms..=to_ms).contains(at))
     }
--- a/lab/src/tier/judge/mod.rs
+++ b/lab/src/tier/judge/mod.rs
@@ -1,4 +1,4 @@
-//! The rules of the tier, checked on what the stand-ins saw. A pure function of that list.
+//! Checks the tier's rules on the recorded observations. The result depends on these only.
 
 mod control;
 mod index;
@@ -13,7 +13,7 @@
 pub use programs::PrematureRefusal;
 use std::fmt;
 
-/// A rule of the tier, by the name that the operators give it.
+/// A rule of the tier. Reports show the variants' names in upper case.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
     Mixed,
@@ -29,11 +29,11 @@
     Denied,
 }
 
-/// A broken rule.
+/// A violation of a rule.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
     pub rule: Rule,
-    /// Milliseconds since the log began.
+    /// Time of the violation, in milliseconds since the log was created.
     pub at_ms: u64,
     pub description: String,
 }
@@ -45,10 +45,10 @@
     }
 }
 
-/// Times within which things must have happened, in milliseconds.
+/// Time bounds of the rules, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
-    /// How long a machine must have been without trouble for rules with a bound to hold.
+    /// How long a machine must have been undisturbed for rules with a time bound to apply to it.
     pub contact_ms: u64,
     pub drain_ms: u64,
     pub config_apply_ms: u64,
@@ -72,13 +72,13 @@
     }
 }
 
-/// Turns that were answered 402 though their program's budget held them.
+/// Returns the turns that were answered 402 although their program's budget sufficed.
 #[must_use]
 pub fn premature_refusals(observations: &[TimedObservation], bounds: &Bounds) -> Vec<PrematureRefusal> {
     programs::premature_refusals(&Index::new(observations), bounds.settle_ms)
 }
 
-/// Every broken rule, in the order of time.
+/// Returns every violation in chronological order.
 #[must_use]
 pub fn judge(observations: &[TimedObservation], bounds: &Bounds) -> Vec<Violation> {
     let index = Index::new(observations);
--- a/lab/src/tier/judge/programs.rs
+++ b/lab/src/tier/judge/programs.rs
@@ -1,10 +1,10 @@
-//! BUDGET of programs, and LOST where a turn that is kept is turn_bytes not to exist.
+//! Rules BUDGET, for the budgets of programs, and LOST, for stored turns that are reported as not found.
 
 use super::{Bounds, Rule, Violation, index::Index};
 use crate::tier::observation::Outcome;
 use std::collections::BTreeMap;
 
-/// What was seen of a program.
+/// Token usage of a program.
 struct Units {
     budget: u64,
     max_output_tokens: u64,
@@ -35,25 +35,26 @@
         rule: Rule::Budget,
         at_ms: u.last_ms,
         description: format!(
-            "program {name} got {} units of a budget of {} (+ {})",
+            "program {name} received {} tokens with a budget of {} (+ {})",
             u.received, u.budget, u.max_output_tokens
         ),
     };
     beyond.map(report).collect()
 }
 
-/// A turn that was answered 402 though its program's budget held it: no broken rule, but a turn refused.
+/// A turn that was answered 402 although its program's budget sufficed for it. Reported, but not a violation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PrematureRefusal {
     pub at_ms: u64,
     pub program: String,
-    /// Units that may have been spent by then.
+    /// Upper bound of the tokens that the program had spent by then.
     pub spent: u64,
     pub max_output_tokens: u64,
     pub budget: u64,
 }
 
-/// All of them. Turns count at their most until `settle_ms` after they ended whole, or as not run.
+/// Returns all premature refusals. A turn counts with its maximum output until `settle_ms` after it succeeded or was
+/// rejected without having run; one that ended otherwise always does.
 pub fn premature_refusals(index: &Index<'_>, settle_ms: u64) -> Vec<PrematureRefusal> {
     let mut stops = Vec::new();
     for request in index.requests.values() {
@@ -69,7 +70,7 @@
     stops
 }
 
-/// The most that a program can have spent by a moment.
+/// Returns an upper bound of the tokens that a program had spent by a time.
 fn spent_by(index: &Index<'_>, name: &str, at_ms: u64, settle_ms: u64) -> u64 {
     let mut spent = 0;
     for request in index.requests.values() {
@@ -87,7 +88,7 @@
                 request.received.len() as u64 * program.chunk_tokens
             }
             Some((_, Outcome::Answered { status: 400..=499 | 503, .. })) => 0,
-            // What asks now is not counted against itself.
+            // The refused turn itself is not counted.
             None if matches!(request.ended, Some((_, Outcome::Answered { status: 402, .. }))) => 0,
             _ => program.max_output_tokens,
         };
@@ -95,7 +96,7 @@
     spent
 }
 
-/// Turns answered 404 or 410 though what they continue was answered whole less than the retention ago.
+/// Finds turns answered 404 or 410 although the turn that they continue succeeded less than the retention time ago.
 fn lost_turns(index: &Index<'_>, bounds: &Bounds) -> Vec<Violation> {
     let mut violations = Vec::new();
     for (id, request) in &index.requests {
@@ -106,8 +107,9 @@
         let Some(kept) = index.requests.get(previous) else { continue };
         let Some((ended_ms, outcome)) = kept.ended else { continue };
         if outcome.is_success() && at_ms < ended_ms + bounds.retention_ms {
-            let description =
-                format!("{id} was answered {status}, and {previous}, which it continues, is kept");
+            let description = format!(
+                "{id} was answered {status} although the turn {previous} that it continues is still retained"
+            );
             violations.push(Violation { rule: Rule::Lost, at_ms, description });
         }
     }
--- a/lab/src/tier/judge/requests.rs
+++ b/lab/src/tier/judge/requests.rs
@@ -1,4 +1,4 @@
-//! MIXED, UNASKED, TWICE, REFUSED, BUDGET of tries, ROUTE, and DENIED.
+//! Rules on single requests: MIXED, UNASKED, TWICE, REFUSED, BUDGET for attempts, ROUTE, and DENIED.
 
 use super::{
     Rule, Violation,
@@ -10,12 +10,12 @@
 };
 use std::collections::BTreeSet;
 
-/// Requests that may run on more workers than their route allows before it counts.
+/// Number of requests with more attempts than their route allows that is tolerated.
 const ATTEMPTS_ALLOWANCE: usize = 3;
-/// Proper requests that may be denied before it counts, besides one of so many.
+/// Number of valid requests that may be denied, in addition to one in [`DENIED_ONE_IN`].
 const DENIED_ALLOWANCE: usize = 5;
 const DENIED_ONE_IN: usize = 500;
-/// How far back a chain of turns is followed.
+/// Maximum number of turns of a conversation that are followed back.
 const MAX_CHAIN_TURNS: usize = 1000;
 
 pub fn check(index: &Index<'_>) -> Vec<Violation> {
@@ -43,14 +43,14 @@
     let run = request.runs.first()?;
     let report = |description: String| Some(Violation { rule: Rule::Unasked, at_ms: run.at_ms, description });
     let Some((_, sent)) = request.sent else {
-        return report(format!("{id} ran at {} and no client sent it", run.worker));
+        return report(format!("{id} ran at {} although no client sent it", run.worker));
     };
     let chain = match &sent.previous {
         None => Some(Vec::new()),
         Some(previous) => chain_of(index, previous),
     };
     let Some(mut expected) = chain else {
-        return report(format!("{id} ran though it continues a turn that there is not"));
+        return report(format!("{id} ran although the turn that it continues does not exist"));
     };
     expected.extend_from_slice(&sent.body);
     for run in &request.runs {
@@ -60,13 +60,15 @@
         }
         if run.body != expected {
             let (got, want) = (run.body.len(), expected.len());
-            return report(format!("{id} ran with {got} bytes that are not the {want} wanted"));
+            return report(format!(
+                "{id} ran with a body of {got} bytes that differs from the expected {want} bytes"
+            ));
         }
     }
     None
 }
 
-/// The inputs and outputs of a turn and of all before it, oldest first; `None`: one of them was not answered whole.
+/// Returns the inputs and outputs of a turn and all turns before it, oldest first; `None`: one of them did not succeed.
 fn chain_of(index: &Index<'_>, turn: &str) -> Option<Vec<u8>> {
     let mut turns = Vec::new();
     let mut at = Some(turn);
@@ -95,7 +97,7 @@
     if request.kind().is_idempotent() {
         return None;
     }
-    let description = format!("{id} ran {} times, and may run once", request.runs.len());
+    let description = format!("{id} ran {} times but may run only once", request.runs.len());
     Some(Violation { rule: Rule::Twice, at_ms: second.at_ms, description })
 }
 
@@ -111,7 +113,7 @@
         return None;
     }
     let run = request.runs.first()?;
-    let description = format!("{id} was answered {status} and ran at {}", run.worker);
+    let description = format!("{id} was answered {status} although it ran at {}", run.worker);
     Some(Violation { rule: Rule::Refused, at_ms, description })
 }
 
@@ -122,18 +124,22 @@
         Outcome::Answered { status, signature, body, .. } => {
             let success = (200..300).contains(status);
             let Some(signature) = signature.as_deref() else {
-                return if success { report(format!("{id}: a success without a signature")) } else { None };
+                return if success {
+                    report(format!("{id}: successful response without a worker's signature"))
+                } else {
+                    None
+                };
             };
             if !made_by_worker(request, *status, signature) {
                 return report(format!(
-                    "{id}: {status} with a signature that no worker gave to such an answer"
+                    "{id}: status {status} with a signature that no worker gave to such a response"
                 ));
             }
             if success && !matches!(request.kind(), RouteKind::Streaming { .. }) {
                 let is_complete_answer =
                     |r: &Run<'_>| r.answer.is_some_and(|a| a.1 == signature && a.2 == body && a.3);
                 if !request.runs.iter().any(is_complete_answer) {
-                    return report(format!("{id}: the body is not the one that its worker sent"));
+                    return report(format!("{id}: the body differs from the one that the worker sent"));
                 }
             }
             None
@@ -170,12 +176,12 @@
     if workers.len() <= sent.max_attempts {
         return None;
     }
-    let description = format!("{id} ran at {} workers, of {} allowed", workers.len(), sent.max_attempts);
+    let description = format!("{id} ran at {} workers with {} allowed", workers.len(), sent.max_attempts);
     Some(Violation { rule: Rule::Budget, at_ms: last.at_ms, description })
 }
 
-/// A 3xx or 4xx of the tier's own to a request that every configuration so far allows. A 402 has rules of its own, and so
-/// has a turn that is not found.
+/// Finds a 3xx or 4xx response of the tier itself to a request that every configuration so far allows. Excludes 402 and
+/// turns that are not found, which have their own rules.
 fn denied(index: &Index<'_>, id: &str, request: &Request<'_>) -> Option<Violation> {
     let (_, sent) = request.sent?;
     let (at_ms, Outcome::Answered { status, signature: None, .. }) = request.ended? else { return None };
--- a/lab/src/tier/judge/streams.rs
+++ b/lab/src/tier/judge/streams.rs
@@ -1,4 +1,5 @@
-//! ORDER: a client's stream is one run's, whole and in order, or that of several where it may be resumed.
+//! Rule ORDER: the events that a client receives are those of one run, in order and complete if the response is. On
+//! resumable routes they may come from several runs.
 
 use super::{
     Rule, Violation,
@@ -16,19 +17,19 @@
     let report = |description: String| Some(Violation { rule: Rule::Order, at_ms, description });
     for pair in request.received.windows(2) {
         if pair[1].id != pair[0].id + 1 {
-            return report(format!("{id}: the event {} follows the event {}", pair[1].id, pair[0].id));
+            return report(format!("{id}: event {} follows event {}", pair[1].id, pair[0].id));
         }
     }
     let ended_complete = outcome.is_success();
     if resumable {
         let unknown = request.received.iter().find(|e| !request.runs.iter().any(|r| r.events.contains(e)));
         if let Some(event) = unknown {
-            return report(format!("{id}: no worker made its event {}", event.id));
+            return report(format!("{id}: no worker produced its event {}", event.id));
         }
         let ended = |r: &Run<'_>| r.answer.is_some_and(|a| a.3) && r.events.last() == request.received.last();
         let complete = request.runs.iter().any(ended);
         return if ended_complete && !complete {
-            report(format!("{id}: it ended as complete and is not"))
+            report(format!("{id}: the stream ended as complete but is not"))
         } else {
             None
         };
@@ -38,9 +39,13 @@
         return if request.received.is_empty() {
             None
         } else {
-            report(format!("{id}: pieces of several runs"))
+            report(format!("{id}: the events do not belong to a single run"))
         };
     };
     let complete = run.events.len() == request.received.len() && run.answer.is_some_and(|a| a.3);
-    if ended_complete && !complete { report(format!("{id}: it ended as complete and is not")) } else { None }
+    if ended_complete && !complete {
+        report(format!("{id}: the stream ended as complete but is not"))
+    } else {
+        None
+    }
 }
--- a/lab/src/tier/judge/tests.rs
+++ b/lab/src/tier/judge/tests.rs
@@ -1,4 +1,4 @@
-//! Every rule: a list that keeps it and lists that break it.
+//! Tests of each rule on constructed observations that comply with it and that violate it.
 
 use super::*;
 use crate::tier::{
@@ -12,7 +12,7 @@
 
 const STREAMING: RouteKind = RouteKind::Streaming { resumable: false };
 
-/// A list of observations that grows by 10 ms with each.
+/// Builder of observations; each is 10 ms later than the one before.
 #[derive(Default)]
 struct Timeline {
     observations: Vec<TimedObservation>,
@@ -128,7 +128,7 @@
         self.record(Observation::RequestEnded { request: request.to_owned(), outcome })
     }
 
-    /// A turn that one worker answers with `made` events, of which the client gets those named.
+    /// A turn that one worker answers with `made` events, of which the client receives those in `got`.
     fn turn(
         &mut self,
         request: &str,
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn a_day_that_keeps_the_rules_breaks_none() {
+fn compliant_observations_have_no_violations() {
     let mut timeline = Timeline::new();
     timeline.sent("a", RouteKind::Unsafe).ran("a", "w").worker_answered("a", "w", "said").client_received(
         "a",
@@ -175,43 +175,51 @@
 }
 
 #[test]
-fn mixed_answers_are_found() {
+fn responses_mixed_up_or_altered_are_violations() {
     let ran = || {
         let mut timeline = Timeline::new();
         timeline.sent("a", RouteKind::Unsafe).ran("a", "w").worker_answered("a", "w", "said");
         timeline
     };
     assert_eq!(ran().client_received("a", None, "said").rules(), [Rule::Mixed], "no signature");
-    assert_eq!(ran().client_received("a", Some("b@w"), "said").rules(), [Rule::Mixed], "another's signature");
-    assert_eq!(ran().client_received("a", Some("a@w"), "sai").rules(), [Rule::Mixed], "cut short");
-    assert_eq!(ran().ended("a", Outcome::Malformed).rules(), [Rule::Mixed], "no answer");
+    assert_eq!(
+        ran().client_received("a", Some("b@w"), "said").rules(),
+        [Rule::Mixed],
+        "signature of another request"
+    );
+    assert_eq!(ran().client_received("a", Some("a@w"), "sai").rules(), [Rule::Mixed], "truncated body");
+    assert_eq!(ran().ended("a", Outcome::Malformed).rules(), [Rule::Mixed], "malformed response");
     let (signature, body) = (Some("a@w".to_owned()), Vec::new());
     let failed = Outcome::Answered { status: 500, signature, body, retry_after: None };
-    assert_eq!(ran().ended("a", failed).rules(), [Rule::Mixed], "another status");
+    assert_eq!(ran().ended("a", failed).rules(), [Rule::Mixed], "different status");
 }
 
 #[test]
-fn requests_that_nobody_asked_for_are_found() {
+fn runs_of_requests_that_no_client_sent_are_violations() {
     assert_eq!(Timeline::new().ran("a", "w").rules(), [Rule::Unasked], "no client sent it");
     let mut timeline = Timeline::new();
     timeline.sent("a", RouteKind::Safe).ran_with("a", "w", "plain", "/safe/2", b"a");
-    assert!(timeline.rules().contains(&Rule::Unasked), "another path");
+    assert!(timeline.rules().contains(&Rule::Unasked), "different path");
     let mut timeline = Timeline::new();
     timeline.turn("t", None, "t", 2, &[1, 2]).turn("u", Some("t"), "tt1\nu", 1, &[1]);
-    assert_eq!(timeline.rules(), [Rule::Unasked], "a chain that lacks an event");
+    assert_eq!(timeline.rules(), [Rule::Unasked], "the prompt lacks an event of an earlier turn");
     let mut timeline = Timeline::new();
     timeline.turn("u", Some("none"), "u", 1, &[1]);
-    assert_eq!(timeline.rules(), [Rule::Unasked], "no such turn");
+    assert_eq!(timeline.rules(), [Rule::Unasked], "the continued turn does not exist");
 }
 
 #[test]
-fn requests_that_ran_though_they_might_not_are_found() {
+fn repeated_refused_and_misrouted_runs_are_violations() {
     let mut timeline = Timeline::new();
     timeline.sent("a", RouteKind::Unsafe).ran("a", "v").ran("a", "w");
     assert_eq!(timeline.rules(), [Rule::Twice]);
     let mut timeline = Timeline::new();
     timeline.sent("a", RouteKind::Safe).ran("a", "v").ran("a", "w");
-    assert_eq!(timeline.rules(), [], "three may, as may those that can be repeated");
+    assert_eq!(
+        timeline.rules(),
+        [],
+        "up to three requests may exceed their attempts, and safe requests may be retried"
+    );
     let mut timeline = Timeline::new();
     timeline.sent("a", RouteKind::Unsafe).refused("a", 503).ran("a", "w");
     assert_eq!(timeline.rules(), [Rule::Refused]);
@@ -226,7 +234,7 @@
 }
 
 #[test]
-fn streams_out_of_order_are_found() {
+fn reordered_and_incomplete_streams_are_violations() {
     for (made, got) in [(3, &[1, 3][..]), (3, &[1, 2, 2, 3]), (3, &[1, 2])] {
         let mut timeline = Timeline::new();
         timeline.turn("t", None, "t", made, got);
@@ -261,12 +269,12 @@
         timeline.client_received("t", Some("t@v"), "").rules()
     };
     assert_eq!(resumed(&[3, 4]), []);
-    assert_eq!(resumed(&[3, 4, 5]), [Rule::Order], "it ended before its last event");
-    assert_eq!(resumed(&[4]), [Rule::Order], "no worker made the third");
+    assert_eq!(resumed(&[3, 4, 5]), [Rule::Order], "the stream ended before its last event");
+    assert_eq!(resumed(&[4]), [Rule::Order], "no worker produced the third event");
 }
 
 #[test]
-fn programs_beyond_their_budget_are_found() {
+fn programs_that_exceed_their_budget_are_violations() {
     let of = |budget: u64| {
         let mut timeline = Timeline::new();
         let facts = ProgramDescription {
@@ -288,7 +296,7 @@
 }
 
 #[test]
-fn turns_that_are_kept_and_not_found_are_lost() {
+fn a_retained_turn_that_is_not_found_is_lost() {
     let asked = |previous: &'static str, later_ms: u64| {
         let mut timeline = Timeline::new();
         timeline.turn("t", None, "t", 1, &[1]).later(later_ms);
@@ -301,7 +309,7 @@
 }
 
 #[test]
-fn workers_that_have_left_get_nothing_new() {
+fn a_request_to_a_worker_that_has_left_is_a_violation() {
     let ran = |later_ms: u64| {
         let mut timeline = Timeline::new();
         let worker = "w".to_owned();
@@ -314,7 +322,7 @@
 }
 
 #[test]
-fn configurations_are_in_force_in_time_and_only_those() {
+fn only_accepted_configurations_apply_and_within_the_time_bound() {
     let dropped = |later_ms: u64| {
         let mut timeline = Timeline::new();
         timeline.configuration(2, &[("/turn/", "model")]);
@@ -322,28 +330,28 @@
         timeline.rules()
     };
     assert_eq!(dropped(0), []);
-    assert_eq!(dropped(2000), [Rule::Configuration], "it runs by a dropped route");
+    assert_eq!(dropped(2000), [Rule::Configuration], "it ran by a removed route");
     let mut timeline = Timeline::new();
     timeline.later(3000).sent("a", RouteKind::Safe).refused("a", 404);
-    assert_eq!(timeline.rules(), [Rule::Configuration], "its route is there");
+    assert_eq!(timeline.rules(), [Rule::Configuration], "its route exists");
     let mut timeline = Timeline::new();
     let body = Timeline::body(2, &[("/safe/", "other")]);
     timeline.record(Observation::ConfigurationSent { generation: 2, body: body.clone(), valid: true });
     timeline.answered(2, &body, 412);
     timeline.sent("a", RouteKind::Safe).ran_with("a", "w", "other", "/safe/1", b"a");
-    assert!(timeline.rules().contains(&Rule::Configuration), "it was refused");
+    assert!(timeline.rules().contains(&Rule::Configuration), "the configuration was rejected");
     let mut timeline = Timeline::new();
     timeline.configuration(2, &[("/a/", "plain")]);
     timeline.configuration(2, &[("/b/", "plain")]);
-    assert_eq!(timeline.rules(), [Rule::Configuration], "two of one generation");
+    assert_eq!(timeline.rules(), [Rule::Configuration], "two configurations of one generation");
     let mut timeline = Timeline::new();
     let body = timeline.configuration(2, &[("/a/", "plain")]);
     timeline.answered(2, &body, 409);
-    assert_eq!(timeline.rules(), [Rule::Configuration], "a resend was refused");
+    assert_eq!(timeline.rules(), [Rule::Configuration], "a repeated change was rejected");
 }
 
 #[test]
-fn what_is_read_back_is_the_newest() {
+fn the_configuration_read_back_is_the_newest() {
     let read = |body: Option<Vec<u8>>| {
         let mut timeline = Timeline::new();
         timeline.configuration(2, &[("/a/", "plain")]);
@@ -370,11 +378,11 @@
     assert_eq!(stopped(MachineEvent::Killed), []);
     let mut timeline = Timeline::new();
     timeline.sent("a", RouteKind::Unsafe).machine(MachineEvent::Terminated).ended("a", closed());
-    assert_eq!(timeline.rules(), [], "it was not passed on");
+    assert_eq!(timeline.rules(), [], "it was not forwarded");
 }
 
 #[test]
-fn denied_requests_count_once_they_are_many() {
+fn denied_requests_are_violations_above_the_allowance() {
     let denied = |count: usize| {
         let mut timeline = Timeline::new();
         for number in 0..count {
@@ -388,7 +396,7 @@
 }
 
 #[test]
-fn a_402_is_early_while_the_budget_holds_another_turn() {
+fn a_402_is_premature_while_the_budget_suffices_for_another_turn() {
     let stops = |budget: u64, later_ms: u64| {
         let facts = ProgramDescription {
             name: "p".to_owned(),
@@ -409,8 +417,8 @@
             .map(|s| s.spent)
             .collect::<Vec<_>>()
     };
-    assert_eq!(stops(36, 1000), [6], "two events were spent, and thirty units are left");
+    assert_eq!(stops(36, 1000), [6], "two events of 3 tokens were spent, and 30 tokens are left");
     assert!(stops(35, 1000).is_empty());
-    assert!(stops(36, 0).is_empty(), "the turn before counts at its most until it has settled");
+    assert!(stops(36, 0).is_empty(), "the turn before counts with its maximum until it has settled");
     assert_eq!(stops(60, 0), [30]);
 }
--- a/lab/src/tier/operator.rs
+++ b/lab/src/tier/operator.rs
@@ -82,7 +82,8 @@
 
     /// Returns the state of a retirement: `active` or `completed`.
     pub async fn retire_state(&self, node: &str, limit: Duration) -> Option<String> {
-        let answer = self.call_until_answered("GET", &format!("/opalrun/retire/{node}"), &[], b"", limit).await?;
+        let answer =
+            self.call_until_answered("GET", &format!("/opalrun/retire/{node}"), &[], b"", limit).await?;
         let body: Value = serde_json::from_slice(&answer.body).ok()?;
         body["state"].as_str().map(str::to_owned)
     }
--- a/lab/src/tier/platform.rs
+++ b/lab/src/tier/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: which gatekeepers new connections go to, by their readiness.
+//! The simulated platform: selects the gatekeeper for each new connection by readiness.
 
 use super::peer::call;
 use std::{
@@ -8,10 +8,10 @@
 };
 use tokio::task::JoinHandle;
 
-/// Checks in a row that a gatekeeper may miss.
+/// Consecutive failed readiness checks after which a gatekeeper still counts as ready.
 const MISSES_ALLOWED: u32 = 1;
 
-/// A gatekeeper as the platform knows it.
+/// A gatekeeper registered with the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
     pub machine: String,
@@ -32,25 +32,25 @@
 pub struct Platform(Arc<Mutex<Vec<Watched>>>);
 
 impl Platform {
-    /// A platform that knows no gatekeeper.
+    /// Creates a platform without gatekeepers.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds a gatekeeper, which gets connections once it has answered that it is ready.
+    /// Adds a gatekeeper, which is not ready until its first successful readiness check.
     pub fn add(&self, entry: Entry) {
         let mut all = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         all.retain(|w| w.entry.machine != entry.machine);
         all.push(Watched { entry, ready: false, misses: 0 });
     }
 
-    /// Takes a gatekeeper away.
+    /// Removes a gatekeeper.
     pub fn remove(&self, machine: &str) {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).retain(|w| w.entry.machine != machine);
     }
 
-    /// Asks all gatekeepers once.
+    /// Checks the readiness of all gatekeepers once.
     pub async fn check(&self, limit: Duration) {
         let entries = self.entries();
         let checks = entries.into_iter().map(|entry| {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Keeps asking until it is aborted.
+    /// Spawns a task that checks readiness at an interval until it is aborted.
     #[must_use]
     pub fn watch(&self, every: Duration) -> JoinHandle<()> {
         let platform = self.clone();
@@ -91,15 +91,15 @@
         all.iter().map(|w| w.entry.clone()).collect()
     }
 
-    /// Machines that are in.
+    /// Returns the machines of ready gatekeepers.
     #[must_use]
     pub fn ready(&self) -> Vec<String> {
         let all = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         all.iter().filter(|w| w.ready).map(|w| w.entry.machine.clone()).collect()
     }
 
-    /// The gatekeeper for a new connection from a zone, by a hash of who connects. When under half of the zone's
-    /// gatekeepers are in, all of them are used; when none is, those of other zones.
+    /// Selects the gatekeeper for a new connection from a zone by a hash of the client. If less than half of the zone's
+    /// gatekeepers are ready, all of them are used; if none is ready, the ready ones of other zones.
     #[must_use]
     pub fn choose(&self, zone: &str, hash: u64) -> Option<Entry> {
         let all = self.0.lock().unwrap_or_else(PoisonError::into_inner);
--- a/lab/src/tier/program.rs
+++ b/lab/src/tier/program.rs
@@ -1,4 +1,4 @@
-//! Agent programs: turns, calls of tools between them, and sub-agents that begin with their parent's prompt.
+//! Simulated agent programs: turns, tool calls between them, and sub-agents whose prompts start with their parent's.
 
 use super::{
     client::{Client, Reply, RequestSpec, TurnHeaders},
@@ -7,30 +7,30 @@
 };
 use std::{future::Future, pin::Pin, time::Duration};
 
-/// Times a turn that failed is sent again from its start.
+/// How often a failed turn is sent again.
 const RESENDS: usize = 2;
-/// Pause before that.
+/// Delay before a turn is sent again.
 const RESEND_DELAY: Duration = Duration::from_millis(150);
-/// Times a program that loops sends a turn after a 402.
+/// How often a looping program sends a turn again after a 402.
 const RESENDS_AFTER_REFUSAL: usize = 2;
 
-/// A program to play.
+/// An agent program.
 #[derive(Debug, Clone)]
 pub struct Program {
     pub name: String,
-    /// Where its turns go.
+    /// Route of its turns.
     pub turns_route: Route,
-    /// Where its tools are.
+    /// Routes of its tools, all called after each turn.
     pub tools: Vec<Route>,
     pub turns: usize,
-    /// After which turn sub-agents start, how many, and how many turns each takes.
+    /// Index of the turn after which sub-agents start, their number, and the turns of each.
     pub sub_agents: Option<(usize, usize, usize)>,
     pub budget: u64,
-    /// The most that a turn emits, in tokens.
+    /// Maximum output of a turn, in tokens.
     pub max_output_tokens: u64,
     pub chunk_tokens: u64,
     pub deadline: Duration,
-    /// Once its turns are through it starts sub-agents without end, until it is stopped.
+    /// Whether it starts sub-agents after its turns again and again until a request fails.
     pub loops: bool,
 }
 
@@ -38,43 +38,43 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProgramOutcome {
     Completed,
-    /// By a 402.
+    /// A request was answered 402.
     BudgetExhausted,
-    /// By another status, or none: 0.
+    /// A request was answered with another status; 0: no complete response.
     Failed {
         status: u16,
     },
 }
 
-/// What became of a program.
+/// Result of a program.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProgramReport {
     pub outcome: ProgramOutcome,
-    /// Turns that were answered whole.
+    /// Number of turns with a complete response.
     pub turns: usize,
-    /// Calls of tools that were answered.
+    /// Number of successful tool calls.
     pub calls: usize,
 }
 
-/// A line of turns: what a program has said and heard so far.
+/// A sequence of turns: the prompt that has accumulated so far.
 #[derive(Debug, Clone)]
 pub struct PromptHistory {
     session: String,
     previous: Option<String>,
-    /// ID:TOKENS of the prompt so far.
+    /// Parts of the prompt so far, as `ID:TOKENS`.
     parts: Vec<String>,
     prompt_tokens: u64,
 }
 
 impl PromptHistory {
-    /// The empty line of a program.
+    /// Returns the history of a program before its first turn.
     #[must_use]
     pub fn new(program: &str) -> Self {
         let (session, parts) = (format!("{program}.0"), vec!["5ab1e:60".to_owned()]);
         Self { session, previous: None, parts, prompt_tokens: 60 }
     }
 
-    /// A line of its own whose prompt opens with this one's.
+    /// Returns a history with its own session whose prompt starts with this one's.
     fn branch(&self, number: usize) -> Self {
         Self { session: format!("{}.{number}", self.session), ..self.clone() }
     }
@@ -83,7 +83,7 @@
 type Boxed<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
 impl Program {
-    /// Plays it to its end.
+    /// Runs the program to its end.
     pub async fn run(&self, client: &Client) -> ProgramReport {
         let mut report = ProgramReport { outcome: ProgramOutcome::Completed, turns: 0, calls: 0 };
         let mut history = PromptHistory::new(&self.name);
@@ -113,7 +113,7 @@
         report
     }
 
-    /// Asks for one more turn of a line, which gets longer if it is answered.
+    /// Sends one more turn, and extends the history if it succeeds.
     pub async fn run_turn(
         &self,
         client: &Client,
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Calls all tools side by side; whether none failed.
+    /// Calls all tools concurrently. Returns whether none failed.
     async fn tools(&self, client: &Client, report: &mut ProgramReport) -> bool {
         let calls = self.tools.iter().map(|route| {
             let (client, ask) = (client.clone(), self.tool_ask(route));
@@ -234,7 +234,7 @@
         RequestSpec { route: route.clone(), path, body, deadline, retries: 1, turn: Some(turn) }
     }
 
-    /// Plays sub-agents side by side.
+    /// Runs sub-agents concurrently.
     fn sub_agents<'a>(
         &'a self,
         client: &'a Client,
--- a/lab/src/tier/run.rs
+++ b/lab/src/tier/run.rs
@@ -17,7 +17,7 @@
     time::{Duration, Instant},
 };
 
-/// Violation rules that a summary names.
+/// Violations that a summary lists one by one.
 const MAX_VIOLATIONS_SHOWN: usize = 20;
 /// Premature refusals that a summary lists one by one.
 const MAX_REFUSALS_SHOWN: usize = 5;
--- a/lab/src/tier/tests.rs
+++ b/lab/src/tier/tests.rs
@@ -1,4 +1,4 @@
-//! The stand-ins against each other: clients that meet workers as though these were gatekeepers.
+//! Tests of the simulated participants without a tier: clients connect to workers as if these were gatekeepers.
 
 use super::{
     client::{Client, RequestSpec},
@@ -32,7 +32,7 @@
 };
 const PLAIN: Work = Work::Plain { capacity: 1, queue: 1, work: Duration::from_millis(5), answer_bytes: 200 };
 
-/// A process that acknowledges everything, and writes down what it was sent.
+/// Starts a control process that acknowledges every request and records it.
 async fn control() -> (SocketAddr, Arc<Mutex<Vec<String>>>) {
     let listener = TcpListener::bind((LOCAL, 0)).await.expect("a port");
     let (address, received) = (listener.local_addr().expect("an address"), Arc::new(Mutex::new(Vec::new())));
@@ -42,14 +42,14 @@
             let mut peer = Peer::new(stream);
             let Ok(Some(message)) = peer.read_message().await else { continue };
             let text = String::from_utf8_lossy(&message.body).into_owned();
-            lines.lock().expect("a list").push(format!("{} {text}", message.line));
+            lines.lock().expect("the list").push(format!("{} {text}", message.line));
             let _ = peer.write(&http::answer(200, "", b"{}")).await;
         }
     });
     (address, received)
 }
 
-/// A worker that clients meet directly.
+/// A worker to which clients connect directly.
 struct World {
     log: Log,
     worker: Arc<Worker>,
@@ -110,7 +110,7 @@
 }
 
 #[tokio::test]
-async fn a_plain_worker_answers_and_fails_on_demand() {
+async fn a_plain_worker_responds_and_injects_each_fault() {
     let world = World::new(RouteKind::Unsafe, PLAIN).await;
     assert_eq!(status(&world.outcome(None).await), 200);
     assert_eq!(status(&world.outcome(Some(Fault::Failure)).await), 500);
@@ -124,7 +124,7 @@
 }
 
 #[tokio::test]
-async fn a_model_worker_streams_and_breaks_off_on_demand() {
+async fn a_model_worker_streams_and_interrupts_its_stream_on_injected_faults() {
     let world = World::new(STREAMING, Work::Model(ENGINE)).await;
     let reply = world.client().send(&world.request_spec()).await;
     assert_eq!(reply.status(), 200);
@@ -136,7 +136,7 @@
 }
 
 #[tokio::test]
-async fn a_full_worker_turns_requests_away_without_running_them() {
+async fn a_full_worker_rejects_requests_without_running_them() {
     let world = World::new(RouteKind::Unsafe, PLAIN).await;
     let client = world.client();
     let asks = (0..6).map(|_| {
@@ -152,7 +152,7 @@
 }
 
 #[tokio::test]
-async fn a_worker_that_leaves_says_so_first() {
+async fn a_leaving_worker_announces_draining_and_then_deregisters() {
     let world = World::new(RouteKind::Safe, PLAIN).await;
     assert!(world.worker.leave(LIMIT).await);
     let leaves = world.log.observations().into_iter().filter_map(|s| match s.observation {
@@ -160,14 +160,14 @@
         _ => None,
     });
     assert_eq!(leaves.collect::<Vec<_>>(), [Departure::Draining, Departure::Deregistered]);
-    let received = world.received.lock().expect("a list");
+    let received = world.received.lock().expect("the list");
     let last = received.iter().rev().take(2).map(String::as_str).collect::<Vec<_>>();
     assert!(last[0].starts_with("DELETE /opalrun/instances/i-1"), "{last:?}");
     assert!(last[1].contains("\"state\":\"draining\""), "{last:?}");
 }
 
 #[tokio::test]
-async fn a_worker_at_anothers_address_does_not_run_its_requests() {
+async fn a_worker_rejects_requests_for_an_earlier_worker_at_its_address() {
     let world = World::new(RouteKind::Safe, PLAIN).await;
     let headers = [("Request-Id", "a".to_owned()), ("Expect-Instance", "i-0".to_owned())];
     let answer = super::peer::call(world.worker.address, "GET", "/route/1", &headers, b"", LIMIT).await;
@@ -179,11 +179,17 @@
 }
 
 #[tokio::test]
-async fn the_platform_leaves_a_gatekeeper_that_misses_twice() {
+async fn the_platform_uses_all_gatekeepers_of_a_zone_without_a_ready_one() {
     let world = World::new(RouteKind::Safe, PLAIN).await;
-    // A worker has no readiness: its 404 or 400 is no 200.
+    // A worker has no readiness endpoint, so the check fails.
     world.platform.check(LIMIT).await;
     assert!(world.platform.ready().is_empty());
-    assert!(world.platform.choose("zone-1", 7).is_some(), "with under half of a zone in, all are used");
-    assert!(world.platform.choose("zone-9", 7).is_none(), "no gatekeeper in the zone, and none elsewhere");
+    assert!(
+        world.platform.choose("zone-1", 7).is_some(),
+        "with less than half of a zone ready, all its gatekeepers are used"
+    );
+    assert!(
+        world.platform.choose("zone-9", 7).is_none(),
+        "no gatekeeper in the zone and no ready one elsewhere"
+    );
 }
--- a/lab/src/tier/worker/engine.rs
+++ b/lab/src/tier/worker/engine.rs
@@ -1,37 +1,37 @@
-//! A model worker's engine, sans I/O: batches, token memory, cached parts of prompts, preemption.
+//! Simulated inference engine of a model worker, without I/O: batching, KV cache, cached prompt parts, preemption.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
     time::Duration,
 };
 
-/// What an engine can do.
+/// Limits and speed of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineSpec {
-    /// Requests that run at once.
+    /// Maximum number of running requests.
     pub capacity: usize,
-    /// Requests that wait for a place.
+    /// Maximum number of waiting requests.
     pub queue: usize,
-    /// Tokens of memory.
+    /// Capacity of the KV cache, in tokens.
     pub kv_capacity: u64,
-    /// Tokens in each event.
+    /// Tokens per stream event.
     pub chunk_tokens: u64,
-    /// What a step takes.
+    /// Base duration of a step.
     pub step: Duration,
-    /// What each running request adds to a step.
+    /// Additional duration of a step for each running request.
     pub step_per_running: Duration,
-    /// Prompt tokens read in a step, over all requests.
+    /// Prompt tokens that are prefilled per step, over all requests.
     pub prefill_per_step: u64,
 }
 
-/// What a request asks of an engine.
+/// A request to an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Prompt {
-    /// The parts of the prompt and their tokens, in order.
+    /// Ids and lengths in tokens of the prompt's parts, in order.
     pub parts: Vec<(String, u64)>,
-    /// Tokens that it will emit.
+    /// Tokens that the request will emit.
     pub output_tokens: u64,
-    /// 0 is the most urgent.
+    /// Priority class; 0 is the most urgent.
     pub priority: u8,
 }
 
@@ -41,16 +41,16 @@
     }
 }
 
-/// The engine can't take another request, or not one of this size.
+/// The engine has no free slot, or the request exceeds its KV cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Full;
 
-/// How full an engine is.
+/// Load of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineLoad {
     pub running: usize,
     pub waiting: usize,
-    /// Tokens of memory that can't give way.
+    /// Tokens in the KV cache that belong to running requests and can't be evicted.
     pub kv_used: u64,
 }
 
@@ -59,36 +59,36 @@
     ticket: u64,
     prompt: Prompt,
     generated: u64,
-    /// Prompt tokens still to be read.
+    /// Prompt tokens that are not yet prefilled.
     prefill_left: u64,
 }
 
 #[derive(Debug)]
 struct CachedPart {
     tokens: u64,
-    /// The step in which it was used last.
+    /// Number of the step in which the part was last used.
     last_used_step: u64,
 }
 
-/// An engine's state.
+/// State of an engine.
 #[derive(Debug)]
 pub struct Engine {
     spec: EngineSpec,
-    /// In the order in which they came.
+    /// Waiting requests; preempted ones are appended.
     waiting: Vec<Job>,
-    /// In the order in which they were admitted.
+    /// Running requests in the order in which they were started.
     running: Vec<Job>,
     cached: BTreeMap<String, CachedPart>,
     steps: u64,
     next_ticket: u64,
-    /// Prompt tokens read so far.
+    /// Prompt tokens prefilled so far.
     pub prefilled: u64,
-    /// Requests put back in the middle of their work.
+    /// Number of preemptions of running requests so far.
     pub preempted: u64,
 }
 
 impl Engine {
-    /// An empty engine.
+    /// Creates an engine without requests.
     #[must_use]
     pub fn new(spec: EngineSpec) -> Self {
         let (waiting, running, cached) = (Vec::new(), Vec::new(), BTreeMap::new());
@@ -96,10 +96,10 @@
         Self { spec, waiting, running, cached, steps, next_ticket, prefilled, preempted }
     }
 
-    /// Takes a request; its ticket names it from now on.
+    /// Queues a request and returns its ticket.
     ///
     /// # Errors
-    /// There is no place, or the request is larger than the memory.
+    /// There is no free slot, or the request exceeds the KV cache.
     pub fn admit(&mut self, prompt: Prompt) -> Result<u64, Full> {
         let slots = self.spec.capacity + self.spec.queue;
         if self.running.len() + self.waiting.len() >= slots
@@ -113,33 +113,33 @@
         Ok(ticket)
     }
 
-    /// Drops a request.
+    /// Removes a request.
     pub fn remove(&mut self, ticket: u64) {
         self.waiting.retain(|j| j.ticket != ticket);
         self.running.retain(|j| j.ticket != ticket);
     }
 
-    /// Whether nothing is to be done.
+    /// Whether no request is waiting or running.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.waiting.is_empty() && self.running.is_empty()
     }
 
-    /// How long the next step takes.
+    /// Returns the duration of the next step.
     #[must_use]
     pub fn step_time(&self) -> Duration {
         self.spec.step + self.spec.step_per_running * self.running.len() as u32
     }
 
-    /// How full it is.
+    /// Returns the current load.
     #[must_use]
     pub fn load(&self) -> EngineLoad {
         let kv_used = self.tokens_in_use();
         EngineLoad { running: self.running.len(), waiting: self.waiting.len(), kv_used }
     }
 
-    /// One step: admits, reads a piece of prompts, and emits one token of each request that has been read. Returns the
-    /// tickets that emitted a token, and whether that was their last.
+    /// Runs one step: starts waiting requests, prefills prompts up to the step's limit, and emits one token of each request
+    /// whose prompt was prefilled before. Returns the tickets that emitted a token, and whether it was their last.
     pub fn step(&mut self) -> Vec<(u64, bool)> {
         self.steps += 1;
         self.admit_waiting();
@@ -173,7 +173,8 @@
         slots.min_by_key(|(_, job)| (job.prompt.priority, job.ticket)).map(|(at, _)| at)
     }
 
-    /// Puts the newest of the least urgent running requests back, if it is less urgent than this.
+    /// Preempts the newest of the least urgent running requests if it is less urgent than `priority`. Returns whether one
+    /// was preempted.
     fn preempt_below(&mut self, priority: u8) -> bool {
         let less = self.running.iter().filter(|j| j.prompt.priority > priority);
         let Some(ticket) = less.max_by_key(|j| (j.prompt.priority, j.ticket)).map(|j| j.ticket) else {
@@ -225,7 +226,7 @@
         }
     }
 
-    /// Emits a token of a request; `None`: it had to give way.
+    /// Emits a token of a request and returns whether it was the last; `None`: the request was preempted.
     fn emit(&mut self, ticket: u64) -> Option<bool> {
         while !self.free_tokens(1) {
             let lowest_priority = self.running.iter().max_by_key(|j| (j.prompt.priority, j.ticket))?.ticket;
@@ -244,7 +245,7 @@
         Some(last)
     }
 
-    /// Tokens that a request adds to what is pinned.
+    /// Returns the tokens that a request would add to those in use.
     fn new_tokens(&self, job: &Job) -> u64 {
         let in_use = self.parts_in_use();
         let new = job.prompt.parts.iter().filter(|(id, _)| !in_use.contains(id.as_str()));
@@ -263,7 +264,7 @@
         parts.values().sum::<u64>() + self.running.iter().map(|j| j.generated).sum::<u64>()
     }
 
-    /// Drops cached parts, the least recently used first, until so many tokens fit beside what is pinned.
+    /// Evicts unused cached parts, least recently used first, until `tokens` more fit. Returns whether they fit.
     fn free_tokens(&mut self, tokens: u64) -> bool {
         let tokens_in_use = self.tokens_in_use();
         if tokens_in_use + tokens > self.spec.kv_capacity {
--- a/lab/src/tier/worker/fault.rs
+++ b/lab/src/tier/worker/fault.rs
@@ -1,38 +1,38 @@
-//! What may go wrong with a worker's next answers, on demand.
+//! Faults that can be injected into a worker's next responses.
 
 use std::{
     collections::VecDeque,
     sync::{Mutex, PoisonError},
 };
 
-/// What goes wrong with one answer.
+/// Fault of one response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// The request runs to its end and the connection closes without the answer.
+    /// The request runs to completion, and the connection closes without the complete response.
     LoseAnswer,
-    /// The answer breaks off in its middle, by a reset.
+    /// The connection is reset in the middle of the response.
     ResetMidAnswer,
-    /// A second answer follows the whole one.
+    /// A second, unsolicited response follows the complete one.
     SecondAnswer,
-    /// Bytes that are no answer come in its place.
+    /// Bytes that are not an HTTP response are sent instead.
     Garbage,
-    /// Nothing is heard of the request again.
+    /// No response is sent, and the connection stays open.
     Silence,
-    /// The worker fails by itself: 500.
+    /// The response is a 500.
     Failure,
 }
 
-/// The faults of the next requests that run, in order.
+/// Queue of faults for the next requests that run.
 #[derive(Debug, Default)]
 pub struct Faults(Mutex<VecDeque<Fault>>);
 
 impl Faults {
-    /// Has one more request go wrong.
+    /// Appends a fault.
     pub fn push(&self, fault: Fault) {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).push_back(fault);
     }
 
-    /// What goes wrong with the request that runs now.
+    /// Takes the fault for the request that now runs, if there is one.
     pub fn take(&self) -> Option<Fault> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).pop_front()
     }
--- a/lab/src/tier/worker/mod.rs
+++ b/lab/src/tier/worker/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in workers: connections, registration and the parts that plain and model workers share.
+//! Simulated workers: connections, registration, and what plain and model workers have in common.
 
 pub mod engine;
 mod fault;
@@ -30,15 +30,15 @@
     task::JoinHandle,
 };
 
-/// Connections that wait to be accepted.
+/// Length of the listener's backlog.
 const BACKLOG: u32 = 1024;
 
-/// What a worker does.
+/// Kind of a worker, with its limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Work {
-    /// Requests one by one, `capacity` at a time.
+    /// Serves unary requests, `capacity` of them concurrently.
     Plain { capacity: usize, queue: usize, work: Duration, answer_bytes: usize },
-    /// Streams of tokens, in batches.
+    /// Serves token streams from a batching engine.
     Model(EngineSpec),
 }
 
@@ -51,17 +51,17 @@
     }
 }
 
-/// A worker before it starts.
+/// Specification of a worker.
 #[derive(Debug, Clone)]
 pub struct WorkerSpec {
     pub service: String,
     pub zone: String,
-    /// Where it listens; port 0: any.
+    /// Address on which it listens; port 0 selects a free port.
     pub address: SocketAddr,
     pub work: Work,
     pub max_connections: usize,
     pub heartbeat: Duration,
-    /// How long it serves on after it was acknowledged that it is draining.
+    /// How long it continues to serve after the tier has acknowledged that it is draining.
     pub drain: Duration,
 }
 
@@ -70,7 +70,7 @@
     Model(Box<model::Model>),
 }
 
-/// What becomes of a connection after an answer.
+/// What to do with a connection after a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ConnectionAction {
     KeepOpen,
@@ -78,9 +78,9 @@
     Reset,
 }
 
-/// One incarnation of a worker.
+/// One incarnation of a simulated worker.
 pub struct Worker {
-    /// New at every start.
+    /// Instance id, new for each start.
     pub id: String,
     pub address: SocketAddr,
     pub spec: WorkerSpec,
@@ -91,15 +91,15 @@
     draining: AtomicBool,
     connections: AtomicUsize,
     answers: AtomicU64,
-    /// False once it has ended.
+    /// False once the worker has ended, which ends its tasks.
     alive: watch::Sender<bool>,
 }
 
 impl Worker {
-    /// Starts a worker; it registers itself.
+    /// Starts a worker, which registers itself with the tier.
     ///
     /// # Errors
-    /// Its address can't be listened at.
+    /// It can't listen on its address.
     pub fn start(id: &str, spec: WorkerSpec, controls: ControlAddresses, log: Log) -> io::Result<Arc<Self>> {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
@@ -141,7 +141,7 @@
         Ok(worker)
     }
 
-    /// Runs a task until the worker ends.
+    /// Spawns a task that is cancelled when the worker ends.
     fn spawn_while_alive(self: Arc<Self>, task: impl Future<Output = ()> + Send + 'static) -> JoinHandle<()> {
         let mut alive = self.alive.subscribe();
         tokio::spawn(async move {
@@ -152,18 +152,18 @@
         })
     }
 
-    /// Has the next request that runs go wrong.
+    /// Injects a fault into the response of the next request that runs without one.
     pub fn inject_fault(&self, fault: Fault) {
         self.faults.push(fault);
     }
 
-    /// Ends at once and says nothing, as after a crash.
+    /// Ends the worker immediately without deregistering it, as a crash would.
     pub fn crash(&self) {
         self.log.record(Observation::WorkerCrashed { worker: self.id.clone() });
         self.alive.send_replace(false);
     }
 
-    /// Says that it is draining; whether that was acknowledged within a time.
+    /// Reports that the worker is draining. Returns whether that was acknowledged within `limit`.
     pub async fn drain(&self, limit: Duration) -> bool {
         self.draining.store(true, Ordering::Relaxed);
         let acknowledged = self.registration.lock().await.heartbeat_until(true, limit).await;
@@ -174,7 +174,8 @@
         acknowledged
     }
 
-    /// A planned end: drains, serves on for the time of draining, says that it is gone, and ends.
+    /// Ends the worker as planned: reports draining, serves on for the drain time, deregisters, and stops. Returns whether
+    /// both reports were acknowledged.
     pub async fn leave(&self, limit: Duration) -> bool {
         let mut acknowledged = self.drain(limit).await;
         tokio::time::sleep(self.spec.drain).await;
@@ -192,7 +193,7 @@
         loop {
             let draining = self.draining.load(Ordering::Relaxed);
             let acknowledged = self.registration.lock().await.heartbeat(draining).await;
-            // Until it is known at all, it tries more often.
+            // Retries sooner after a heartbeat without an acknowledgement.
             let interval = if acknowledged { self.spec.heartbeat } else { self.spec.heartbeat / 4 };
             tokio::time::sleep(interval).await;
         }
@@ -213,10 +214,10 @@
         }
     }
 
-    /// Serves one connection to its end.
+    /// Serves one connection until it ends.
     async fn serve(&self, mut peer: Peer) {
         loop {
-            // What can't be read, or breaks, ends the connection.
+            // A malformed request or an I/O error ends the connection.
             let Ok(Some(message)) = peer.read_message().await else { return };
             match self.answer(&mut peer, &message).await {
                 Ok(ConnectionAction::KeepOpen) if !message.closes() => {}
@@ -251,7 +252,7 @@
         }
     }
 
-    /// Turns a request away that has not run.
+    /// Rejects a request that has not run.
     async fn reject(&self, peer: &mut Peer, request: &str) -> io::Result<ConnectionAction> {
         let headers = format!("Not-Executed: 1\r\nRequest-Id: {request}\r\n");
         self.write(peer, 503, &headers, b"").await
@@ -294,7 +295,7 @@
         }
     }
 
-    /// A signature that no other answer of this worker has.
+    /// Returns a signature that is unique among all responses of all workers.
     fn signature(&self) -> String {
         format!("{}.{:x}", self.id, self.answers.fetch_add(1, Ordering::Relaxed))
     }
--- a/lab/src/tier/worker/model.rs
+++ b/lab/src/tier/worker/model.rs
@@ -1,4 +1,4 @@
-//! A model worker: streams of events from an engine.
+//! A simulated model worker: responds with streams of events from an engine.
 
 use super::{
     ConnectionAction, Fault, Worker,
@@ -19,16 +19,16 @@
 };
 use tokio::sync::{Notify, mpsc};
 
-/// The priority of a request that names none.
+/// Priority class of a request without a `Priority` header.
 const DEFAULT_PRIORITY: u8 = 5;
-/// Tokens that a request emits when it names no most.
+/// Maximum output tokens of a request without a `Token-Usage` header.
 const DEFAULT_OUTPUT_TOKENS: u64 = 12;
-/// Events of a stream after which a fault in its middle strikes; a shorter one is spared.
+/// Event id that must be passed before a reset in the middle of a stream; shorter streams are not reset.
 const EVENTS_BEFORE_RESET: u64 = 1;
 
 struct State {
     engine: Engine,
-    /// Where the tokens of each ticket go, and whether one is its last.
+    /// Channel of each ticket for its tokens; the value states whether the token is the last.
     streams: HashMap<u64, mpsc::UnboundedSender<bool>>,
 }
 
@@ -48,7 +48,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Requests running and waiting.
+    /// Returns the numbers of running and waiting requests.
     pub fn load(&self) -> (usize, usize) {
         let load = self.state().engine.load();
         (load.running, load.waiting)
@@ -64,7 +64,7 @@
         .to_string()
     }
 
-    /// Steps the engine while there is something to do.
+    /// Runs the engine's steps; waits while it has no request.
     pub async fn drive(&self) {
         loop {
             let step_time = {
@@ -79,7 +79,7 @@
             let mut state = self.state();
             for (ticket, last) in state.engine.step() {
                 if let Some(stream) = state.streams.get(&ticket) {
-                    // A client that has left is dropped by the task that served it.
+                    // If the client has disconnected, the task that serves it removes the request.
                     let _ = stream.send(last);
                 }
             }
@@ -134,7 +134,7 @@
     }
 }
 
-/// A request in the engine; dropped, it leaves it.
+/// A request in the engine, removed from it on drop.
 struct Stream<'a> {
     model: &'a Model,
     ticket: u64,
@@ -149,13 +149,13 @@
     }
 }
 
-/// An answer on its way out.
+/// A response that is being written.
 struct Output<'a> {
     worker: &'a Worker,
     peer: &'a mut Peer,
     request: &'a str,
     signature: &'a str,
-    /// The id of the next event.
+    /// Id of the next event.
     next: u64,
 }
 
@@ -206,7 +206,7 @@
         Ok(ConnectionAction::Close)
     }
 
-    /// Makes the next event, and sends it unless it gets lost.
+    /// Produces and records the next event, and sends it if `send` is set.
     async fn write_event(&mut self, send: bool) -> io::Result<()> {
         let data = format!("{} {} of {}", self.signature, self.next, self.request);
         let text = format!("id: {}\ndata: {data}\n\n", self.next);
@@ -238,12 +238,13 @@
     }
 }
 
-/// The id of the first event: after the one that the request names, if it does.
+/// Returns the id of the first event: the one after `Last-Event-Id`, or 1.
 fn first_event(message: &Message) -> u64 {
     message.header("last-event-id").and_then(|id| id.parse::<u64>().ok()).map_or(1, |id| id + 1)
 }
 
-/// What a request's headers ask of the engine. What it emits follows from its id, at most what it names.
+/// Derives the engine request from the headers. The output length follows from the request id, up to the maximum in the
+/// `Token-Usage` header.
 fn prompt(message: &Message, chunk_tokens: u64) -> Prompt {
     let parts = message.header("prompt-prefix").unwrap_or_default().split(',');
     let parts = parts.filter_map(|part| {
@@ -259,7 +260,7 @@
     Prompt { parts: parts.collect(), output_tokens: out.saturating_sub(done).max(1), priority }
 }
 
-/// Tokens that a request emits: from half of its most to all of it.
+/// Returns the number of tokens that a request emits: from half of its maximum to the maximum.
 fn output_tokens(request: &str, max_output_tokens: u64) -> u64 {
     let fold = request.bytes().fold(7_u64, |sum, byte| (sum * 31 + u64::from(byte)) % 1009);
     max_output_tokens - (max_output_tokens / 2) * (fold % 3) / 2
--- a/lab/src/tier/worker/plain.rs
+++ b/lab/src/tier/worker/plain.rs
@@ -1,4 +1,4 @@
-//! A plain worker: slots, a queue, and an answer of stated length.
+//! A simulated plain worker: slots, a queue, a service time, and responses of a fixed length.
 
 use super::{ConnectionAction, Fault, Worker};
 use crate::{
@@ -27,7 +27,7 @@
         Self { slots, capacity, queue, waiting, work, answer_bytes }
     }
 
-    /// Requests running and waiting.
+    /// Returns the numbers of running and waiting requests.
     pub fn load(&self) -> (usize, usize) {
         (self.capacity - self.slots.available_permits(), self.waiting.load(Ordering::Relaxed))
     }
@@ -102,7 +102,7 @@
     }
 }
 
-/// One more that waits, until it is dropped.
+/// Counts one more waiting request until it is dropped.
 struct WaitingGuard<'a>(&'a AtomicUsize);
 
 impl<'a> WaitingGuard<'a> {
--- a/lab/src/tier/worker/registration.rs
+++ b/lab/src/tier/worker/registration.rs
@@ -1,4 +1,4 @@
-//! A worker's registration: heartbeats to the processes that serve control, draining, and the end.
+//! A worker's registration with the control processes: heartbeats, draining, and deregistration.
 
 use crate::tier::peer::call;
 use serde_json::{Value, json};
@@ -8,14 +8,14 @@
     time::Duration,
 };
 
-/// An acknowledgement that takes longer does not count.
+/// Time-out of a heartbeat's acknowledgement.
 const ACKNOWLEDGE_LIMIT: Duration = Duration::from_secs(1);
-/// An acknowledgement that is longer does not count, in bytes.
+/// Maximum accepted length of an acknowledgement's body, in bytes.
 const MAX_ACKNOWLEDGEMENT_BYTES: usize = 4096;
-/// Pause between rounds over all processes that serve control.
+/// Delay between passes over all control processes.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The processes that serve control, as callers know them.
+/// Addresses of the control processes, shared by their clients.
 #[derive(Debug, Clone, Default)]
 pub struct ControlAddresses(Arc<Mutex<Vec<SocketAddr>>>);
 
@@ -25,14 +25,14 @@
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = addresses;
     }
 
-    /// The list as it stands.
+    /// Returns a copy of the current list.
     #[must_use]
     pub fn get(&self) -> Vec<SocketAddr> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
 
-/// What a worker says of itself in each heartbeat.
+/// Description of a worker that every heartbeat contains.
 #[derive(Debug, Clone)]
 pub struct WorkerDescription {
     pub id: String,
@@ -40,7 +40,7 @@
     pub address: SocketAddr,
     pub zone: String,
     pub capacity: usize,
-    /// It has models to name.
+    /// Whether heartbeats list models.
     pub is_model: bool,
 }
 
@@ -60,39 +60,39 @@
     }
 }
 
-/// The registration of one worker.
+/// Registration state of one worker.
 #[derive(Debug)]
 pub struct Registration {
     description: WorkerDescription,
     controls: ControlAddresses,
     sequence: u64,
-    /// Where the last acknowledgement asked for later heartbeats, until one fails there.
+    /// Address that the last acknowledgement named for further heartbeats, until a call to it fails.
     heartbeat_address: Option<SocketAddr>,
-    /// Which of the list is tried next.
+    /// Index of the control address that is tried next, modulo their number.
     next: usize,
 }
 
 impl Registration {
-    /// A worker that nobody has heard of yet.
+    /// Creates the state of a worker that has not sent a heartbeat yet.
     #[must_use]
     pub fn new(description: WorkerDescription, controls: ControlAddresses) -> Self {
         let next = id_hash(&description.id);
         Self { description, controls, sequence: 0, heartbeat_address: None, next }
     }
 
-    /// Sends one heartbeat, to each process in turn until one acknowledges it; whether one did.
+    /// Sends one heartbeat, to each control process in turn until one acknowledges it. Returns whether one did.
     pub async fn heartbeat(&mut self, draining: bool) -> bool {
         self.sequence += 1;
         let body = self.description.body(draining, self.sequence).to_string();
         self.send("PUT", body.as_bytes()).await
     }
 
-    /// Says that the worker is gone; whether that was acknowledged.
+    /// Deregisters the worker. Returns whether that was acknowledged.
     pub async fn remove(&mut self) -> bool {
         self.send("DELETE", b"").await
     }
 
-    /// Repeats a heartbeat until it is acknowledged, for a time at most.
+    /// Repeats a heartbeat until it is acknowledged. Returns whether that was within `limit`.
     pub async fn heartbeat_until(&mut self, draining: bool, limit: Duration) -> bool {
         let repeated = async {
             while !self.heartbeat(draining).await {
@@ -126,7 +126,7 @@
     }
 }
 
-/// The address that an acknowledgement names for later heartbeats: an address, or a URL of one.
+/// Parses the address for further heartbeats from an acknowledgement, which contains an address or an HTTP URL.
 fn named_address(body: &[u8]) -> Option<SocketAddr> {
     let body: Value = serde_json::from_slice(body).ok()?;
     let named = body["heartbeat_url"].as_str()?;
@@ -134,7 +134,7 @@
     bare.split('/').next()?.parse().ok()
 }
 
-/// A number that differs among workers, so that they do not all begin at the same process.
+/// Hashes a worker id, so that workers start with different control processes.
 fn id_hash(id: &str) -> usize {
     id.bytes().fold(0, |sum, byte| (sum * 31 + usize::from(byte)) % 1009)
 }
