--- a/lab/src/link.rs
+++ b/lab/src/link.rs
@@ -1,10 +1,9 @@
-//! Every link between a gateway and something else passes through here, and can be broken by direction.
+//! Simulated network links between a gateway and its peers, with faults that can be injected for each direction.
 //!
-//! The lab holds the far end of each link: a listener or a connection of its own on loopback. What the link does to
-//! bytes happens where the lab reads and writes them. A lost message on TCP shows as what it is there, the time-out
-//! of a retransmission; a silent cut holds bytes back until it heals; a new connection over a cut link never comes
-//! up, as the listener's line is kept full. Datagrams between gateways pass through [`Relay`] and can be lost,
-//! doubled and reordered as well.
+//! The lab owns the far end of each link: a listener or a connection on loopback. The effects of the link are applied
+//! where the lab reads and writes bytes. A message lost on TCP appears as the delay of a retransmission. A partition
+//! delays bytes until it ends, and no new connection can be established meanwhile, because the listener's backlog is
+//! kept full. Datagrams between gateways pass through [`Relay`] and can also be lost, duplicated and reordered.
 
 use crate::scenario::{Direction, FaultKind};
 use rand::{RngExt, SeedableRng};
@@ -26,19 +25,19 @@
     time::{Instant, sleep},
 };
 
-/// First retransmission of a lost segment, as TCP's least time-out.
-const RETRANSMIT: Duration = Duration::from_millis(200);
-/// Connections that wait to be accepted.
+/// Delay of the first retransmission of a lost segment: TCP's minimum retransmission time-out.
+const MIN_RETRANSMIT_TIMEOUT: Duration = Duration::from_millis(200);
+/// Length of a listener's backlog.
 const BACKLOG: u32 = 1024;
 
-/// Which way bytes go, as the gateway sees it.
+/// Direction of bytes, as seen by the gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FlowDirection {
     Out,
     In,
 }
 
-/// What one direction of a link does.
+/// Conditions of one direction of a link. Rates of loss, duplication and reordering are probabilities.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct LinkConditions {
     pub delay: Duration,
@@ -51,37 +50,39 @@
 }
 
 impl LinkConditions {
-    fn clean(&self) -> bool {
+    fn is_clean(&self) -> bool {
         *self == Self::default()
     }
 }
 
-/// A link as it stands.
+/// Current state of a link.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct LinkState {
     pub outbound: LinkConditions,
     pub inbound: LinkConditions,
+    /// Whether the listener is closed, so that connections are refused.
     pub refuse: bool,
-    /// Connections from before the last of these are reset, or silent for good.
+    /// Number of resets so far; connections from before the last one are reset.
     resets: u64,
+    /// Number of half-open faults so far; connections from before the last one are silent until a reset.
     half_opens: u64,
 }
 
 impl LinkState {
-    /// No new connection can come up: either way is enough for that.
+    /// Whether no new connection can be established, for which a partition of one direction suffices.
     fn blocks_connections(&self) -> bool {
         self.outbound.partitioned || self.inbound.partitioned
     }
 
-    fn shape(&self, dir: FlowDirection) -> &LinkConditions {
-        match dir {
+    fn conditions(&self, direction: FlowDirection) -> &LinkConditions {
+        match direction {
             FlowDirection::Out => &self.outbound,
             FlowDirection::In => &self.inbound,
         }
     }
 }
 
-/// What a fault does to a link.
+/// A fault of a link.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LinkFault {
     pub kind: FaultKind,
@@ -92,7 +93,7 @@
     pub bytes_per_s: f64,
 }
 
-/// One link. Faults on it add up; each is taken back by itself.
+/// One link. Concurrent faults are combined; each ends independently.
 #[derive(Debug)]
 pub struct Link {
     base: LinkState,
@@ -102,11 +103,11 @@
 }
 
 impl Link {
-    /// A whole link whose messages take `delay` each way.
+    /// Creates a link without faults and with a delay of `delay` plus jitter in each direction.
     #[must_use]
     pub fn new(delay: Duration, seed: u64) -> Arc<Self> {
-        let shape = LinkConditions { delay, jitter: delay / 5, ..LinkConditions::default() };
-        let base = LinkState { outbound: shape, inbound: shape, ..LinkState::default() };
+        let conditions = LinkConditions { delay, jitter: delay / 5, ..LinkConditions::default() };
+        let base = LinkState { outbound: conditions, inbound: conditions, ..LinkState::default() };
         Arc::new(Self {
             base,
             faults: Mutex::default(),
@@ -119,7 +120,7 @@
         *self.state.borrow()
     }
 
-    /// Fault number `index` begins.
+    /// Starts the fault with the given index.
     pub fn begin_fault(&self, index: usize, fault: LinkFault) {
         let mut faults = self.faults.lock().unwrap_or_else(PoisonError::into_inner);
         match fault.kind {
@@ -130,7 +131,7 @@
         self.apply(&faults);
     }
 
-    /// Fault number `index` ends.
+    /// Ends the fault with the given index.
     pub fn end_fault(&self, index: usize) {
         let mut faults = self.faults.lock().unwrap_or_else(PoisonError::into_inner);
         faults.retain(|(i, _)| *i != index);
@@ -144,21 +145,24 @@
                 if fault.kind == FaultKind::Refuse {
                     next.refuse = true;
                 }
-                for (way, shape) in [(Direction::Out, &mut next.outbound), (Direction::In, &mut next.inbound)]
+                for (direction, conditions) in
+                    [(Direction::Out, &mut next.outbound), (Direction::In, &mut next.inbound)]
                 {
-                    if fault.direction != Direction::Both && fault.direction != way {
+                    if fault.direction != Direction::Both && fault.direction != direction {
                         continue;
                     }
                     match fault.kind {
-                        FaultKind::Cut => shape.partitioned = true,
+                        FaultKind::Cut => conditions.partitioned = true,
                         FaultKind::Delay => {
-                            shape.delay += fault.delay;
-                            shape.jitter += fault.jitter;
+                            conditions.delay += fault.delay;
+                            conditions.jitter += fault.jitter;
                         }
-                        FaultKind::Lose => shape.loss = 1.0 - (1.0 - shape.loss) * (1.0 - fault.share),
-                        FaultKind::Throttle => shape.bytes_per_s = fault.bytes_per_s,
-                        FaultKind::Duplicate => shape.duplicate = fault.share,
-                        FaultKind::Reorder => shape.reorder = fault.share,
+                        FaultKind::Lose => {
+                            conditions.loss = 1.0 - (1.0 - conditions.loss) * (1.0 - fault.share)
+                        }
+                        FaultKind::Throttle => conditions.bytes_per_s = fault.bytes_per_s,
+                        FaultKind::Duplicate => conditions.duplicate = fault.share,
+                        FaultKind::Reorder => conditions.reorder = fault.share,
                         _ => {}
                     }
                 }
@@ -171,56 +175,58 @@
         self.rng.lock().unwrap_or_else(PoisonError::into_inner).random()
     }
 
-    /// How long `bytes` take in a direction, the cut aside.
-    fn time(&self, shape: &LinkConditions, bytes: usize) -> Duration {
-        let mut time = shape.delay;
-        if !shape.jitter.is_zero() {
-            time += shape.jitter.mul_f64(self.draw());
+    /// Returns the transit time of `bytes` in a direction, disregarding partitions.
+    fn transit_time(&self, conditions: &LinkConditions, bytes: usize) -> Duration {
+        let mut time = conditions.delay;
+        if !conditions.jitter.is_zero() {
+            time += conditions.jitter.mul_f64(self.draw());
         }
-        if shape.bytes_per_s > 0.0 {
-            time += Duration::from_secs_f64(bytes as f64 / shape.bytes_per_s);
+        if conditions.bytes_per_s > 0.0 {
+            time += Duration::from_secs_f64(bytes as f64 / conditions.bytes_per_s);
         }
-        if shape.loss > 0.0 {
-            let mut again = RETRANSMIT;
-            // As many losses in a row as come to two minutes are as good as a cut.
-            while again < Duration::from_secs(60) && self.draw() < shape.loss {
-                time += again;
-                again *= 2;
+        if conditions.loss > 0.0 {
+            let mut retransmit_timeout = MIN_RETRANSMIT_TIMEOUT;
+            // Stops at a backoff of one minute: losses that add up to two minutes equal a partition.
+            while retransmit_timeout < Duration::from_secs(60) && self.draw() < conditions.loss {
+                time += retransmit_timeout;
+                retransmit_timeout *= 2;
             }
         }
         time
     }
 
-    /// When `bytes` that set out now are through; `None` while nothing passes.
-    pub fn arrival(&self, dir: FlowDirection, bytes: usize) -> Option<Instant> {
+    /// Returns the arrival time of `bytes` sent now; `None` during a partition.
+    pub fn arrival(&self, direction: FlowDirection, bytes: usize) -> Option<Instant> {
         let state = self.state();
-        let shape = state.shape(dir);
-        (!shape.partitioned)
-            .then(|| Instant::now() + if shape.clean() { Duration::ZERO } else { self.time(shape, bytes) })
+        let conditions = state.conditions(direction);
+        (!conditions.partitioned).then(|| {
+            Instant::now()
+                + if conditions.is_clean() { Duration::ZERO } else { self.transit_time(conditions, bytes) }
+        })
     }
 
-    /// Waits until nothing is cut in a direction.
-    async fn open(&self, dir: FlowDirection) {
+    /// Waits until a direction is not partitioned.
+    async fn wait_while_partitioned(&self, direction: FlowDirection) {
         let mut changes = self.state.subscribe();
-        // The sender lives as long as this link does.
-        let _ = changes.wait_for(|s| !s.shape(dir).partitioned).await;
+        // Can't fail, because the link owns the sender.
+        let _ = changes.wait_for(|s| !s.conditions(direction).partitioned).await;
     }
 
-    /// Waits as long as `bytes` take in a direction; over a cut link until it heals.
-    pub async fn wait_for_transit(&self, dir: FlowDirection, bytes: usize) {
+    /// Waits for the transit time of `bytes` in a direction, after the end of any partition.
+    pub async fn wait_for_transit(&self, direction: FlowDirection, bytes: usize) {
         loop {
-            match self.arrival(dir, bytes) {
+            match self.arrival(direction, bytes) {
                 Some(at) if at <= Instant::now() => return,
                 Some(at) => return tokio::time::sleep_until(at).await,
-                None => self.open(dir).await,
+                None => self.wait_while_partitioned(direction).await,
             }
         }
     }
 }
 
-/// Ends a connection with a reset.
+/// Makes a connection end with a TCP reset when it is dropped.
 pub fn reset(socket: &TcpStream) {
-    // Without it the end is an ordinary one, which is nothing to stop a play for.
+    // If the option can't be set, the connection ends normally, which does not justify an abort of the run.
     let _ = socket2::SockRef::from(socket).set_linger(Some(Duration::ZERO));
 }
 
@@ -236,22 +242,22 @@
 
 impl Connection {
     pub fn new(socket: TcpStream, link: Arc<Link>) -> Self {
-        // A socket without it is slower, which the lab's lateness does not hide.
+        // If the option can't be set, the delay shows in the lab's measured lateness.
         let _ = socket.set_nodelay(true);
         let state = link.state();
         let changes = link.state.subscribe();
         Self { socket, link, changes, resets: state.resets, half_opens: state.half_opens, buffer: Vec::new() }
     }
 
-    /// What has come and was not taken yet.
+    /// Returns the received bytes that were not yet consumed.
     pub fn buffer(&mut self) -> &mut Vec<u8> {
         &mut self.buffer
     }
 
-    /// Waits for more bytes; `Ok(0)` at the end.
+    /// Reads more bytes; `Ok(0)` at the end of the stream.
     ///
     /// # Errors
-    /// The connection broke, or the link reset it.
+    /// The connection failed, or was reset by the link.
     pub async fn fill(&mut self) -> io::Result<usize> {
         let mut chunk = [0; 8192];
         let n = loop {
@@ -261,7 +267,7 @@
                 return Err(io::ErrorKind::ConnectionReset.into());
             }
             if state.half_opens > self.half_opens {
-                // Silent for good: neither bytes nor the end come through, until a reset.
+                // Half-open: neither bytes nor the end of the stream arrive, until a reset.
                 self.changes.changed().await.map_err(|_| io::ErrorKind::BrokenPipe)?;
                 continue;
             }
@@ -274,19 +280,19 @@
         Ok(n)
     }
 
-    /// Writes all of `bytes` after the time that they take.
+    /// Writes all of `bytes` after their transit time.
     ///
     /// # Errors
-    /// The connection broke.
-    pub async fn write(&mut self, dir: FlowDirection, bytes: &[u8]) -> io::Result<()> {
-        self.link.wait_for_transit(dir, bytes.len()).await;
+    /// The connection failed.
+    pub async fn write(&mut self, direction: FlowDirection, bytes: &[u8]) -> io::Result<()> {
+        self.link.wait_for_transit(direction, bytes.len()).await;
         self.write_without_delay(bytes).await
     }
 
-    /// Writes all of `bytes`: the caller has reckoned with the link already.
+    /// Writes all of `bytes` at once, for callers that have waited for the transit time themselves.
     ///
     /// # Errors
-    /// The connection broke, or the link reset it.
+    /// The connection failed, or was reset by the link.
     pub async fn write_without_delay(&mut self, bytes: &[u8]) -> io::Result<()> {
         let state = self.link.state();
         if state.resets > self.resets {
@@ -299,20 +305,20 @@
         self.socket.write_all(bytes).await
     }
 
-    /// Whether it can still be used: nothing has come that nobody asked for, nor the end.
+    /// Whether the connection can be reused: it is open and has received no unsolicited bytes.
     pub fn is_reusable(&self) -> bool {
         let state = self.link.state();
         let is_intact = state.resets <= self.resets && self.buffer.is_empty();
         is_intact && self.socket.try_read(&mut [0]).is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Ends it with a reset once it is dropped.
+    /// Makes the connection end with a TCP reset when it is dropped.
     pub fn reset(&self) {
         reset(&self.socket);
     }
 }
 
-/// The lab's listening end of a link, at one address for good.
+/// The lab's listening end of a link, with a fixed address.
 pub struct LinkListener {
     pub addr: SocketAddr,
     link: Arc<Link>,
@@ -320,20 +326,20 @@
     filler: BacklogFiller,
 }
 
-/// What keeps a listener's line full while its link is cut.
+/// Connection that keeps a listener's backlog full during a partition.
 enum BacklogFiller {
     None,
-    /// Somebody else's connection that came just then.
+    /// A connection of a client that arrived at the same moment.
     Other,
     Own(TcpStream),
 }
 
-/// A connection on loopback is up long before.
+/// Time-out for the connection that fills the backlog; far longer than a connection on loopback takes.
 const FILL_TIMEOUT: Duration = Duration::from_millis(20);
 
 fn listen(addr: SocketAddr) -> io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
-    // The address is taken up again after a death, connections of before or not.
+    // The address must be reusable after a simulated crash, even while earlier connections linger.
     socket.set_reuseaddr(true)?;
     socket.bind(addr)?;
     socket.listen(BACKLOG)
@@ -343,13 +349,13 @@
     /// Listens on a free port of `ip`.
     ///
     /// # Errors
-    /// There is none, or no descriptor.
+    /// No port or no file descriptor is available.
     pub fn open(ip: IpAddr, link: Arc<Link>) -> io::Result<Self> {
         let listener = listen(SocketAddr::new(ip, 0))?;
         Ok(Self { addr: listener.local_addr()?, link, listener: Some(listener), filler: BacklogFiller::None })
     }
 
-    /// Makes the listener what the link's state and `up` want it to be.
+    /// Opens, closes, blocks or unblocks the listener according to the link's state and `up`.
     async fn apply(&mut self, up: bool) -> io::Result<()> {
         let state = self.link.state();
         if !up || state.refuse {
@@ -363,7 +369,7 @@
         let Some(listener) = &self.listener else { return Ok(()) };
         let filled = !matches!(self.filler, BacklogFiller::None);
         if state.blocks_connections() && !filled {
-            // A line of none, filled by one connection of the lab's own: nobody else gets in, or an answer.
+            // A backlog of zero, filled by one connection of the lab: the kernel completes no further handshake.
             rustix::net::listen(listener, 0)?;
             self.filler = match tokio::time::timeout(FILL_TIMEOUT, TcpStream::connect(self.addr)).await {
                 Ok(filler) => BacklogFiller::Own(filler?),
@@ -378,10 +384,10 @@
         Ok(())
     }
 
-    /// The next connection, while `up` holds; it waits while there is no listener.
+    /// Returns the next connection. Waits while `up` is false or the link accepts none.
     ///
     /// # Errors
-    /// The address can't be taken up again.
+    /// The lab can't listen on the address again.
     pub async fn accept(&mut self, up: &mut watch::Receiver<bool>) -> io::Result<Connection> {
         let mut changes = self.link.state.subscribe();
         loop {
@@ -389,16 +395,16 @@
             let is_up = *up.borrow_and_update();
             self.apply(is_up).await?;
             let open = self.listener.as_ref().filter(|_| !self.link.state().blocks_connections());
-            let accepted = async {
+            let accepted_connection = async {
                 match open {
                     Some(listener) => listener.accept().await,
                     None => std::future::pending().await,
                 }
             };
             tokio::select! {
-                came = accepted => {
-                    // One connection's trouble while it came up is no trouble of the listener's.
-                    let Ok((socket, from)) = came else {
+                accepted = accepted_connection => {
+                    // An error of one incoming connection does not affect the listener.
+                    let Ok((socket, from)) = accepted else {
                         sleep(Duration::from_millis(1)).await;
                         continue;
                     };
@@ -409,16 +415,16 @@
                     return Ok(Connection::new(socket, self.link.clone()));
                 }
                 _ = changes.changed() => {}
-                power = up.changed() => power.map_err(|_| io::ErrorKind::BrokenPipe)?,
+                changed = up.changed() => changed.map_err(|_| io::ErrorKind::BrokenPipe)?,
             }
         }
     }
 }
 
-/// Carries datagrams between gateways: each member is known to the others by an address of the relay's, and what
-/// comes there goes on to the member from the address by which it knows the sender.
+/// Forwards datagrams between gateways. The other members know each member by an address of the relay; a datagram that
+/// arrives there is forwarded to the member from the address by which it knows the sender.
 pub struct Relay {
-    /// By member, the address that the others know.
+    /// Relay address of each member, known to the other members.
     pub addrs: Vec<SocketAddr>,
     sockets: Vec<Arc<UdpSocket>>,
     members: Vec<SocketAddr>,
@@ -427,7 +433,7 @@
     pub counts: Arc<RelayCounts>,
 }
 
-/// Datagrams and bytes that came to the relay, and that it passed on.
+/// Counters of datagrams: received, forwarded, received bytes, and received from unknown senders.
 #[derive(Debug, Default)]
 pub struct RelayCounts {
     pub received: AtomicU64,
@@ -436,14 +442,15 @@
     pub unknown_senders: AtomicU64,
 }
 
-/// Longer than any datagram.
-const DATAGRAM: usize = 65_536;
+/// Length of the receive buffer, in bytes; no datagram is longer.
+const DATAGRAM_BUFFER_BYTES: usize = 65_536;
 
 impl Relay {
-    /// A relay between members that receive at `members`; link `from * members + to` leads from one to the other.
+    /// Creates a relay between members that receive at `members`; the link from one to another has the index
+    /// `from * members.len() + to`.
     ///
     /// # Errors
-    /// No socket is to be had.
+    /// A socket can't be opened.
     pub async fn new(ip: IpAddr, members: Vec<SocketAddr>, links: Vec<Arc<Link>>) -> io::Result<Self> {
         let mut sockets = Vec::new();
         for _ in &members {
@@ -454,18 +461,18 @@
         Ok(Self { addrs, sockets, members, by_addr, links, counts: Arc::default() })
     }
 
-    /// Carries datagrams until it is dropped.
+    /// Forwards datagrams until the returned tasks are dropped.
     #[must_use]
     pub fn run(self: Arc<Self>) -> tokio::task::JoinSet<()> {
         let mut tasks = tokio::task::JoinSet::new();
         for to in 0..self.members.len() {
-            tasks.spawn(self.clone().carry(to));
+            tasks.spawn(self.clone().forward_datagrams(to));
         }
         tasks
     }
 
-    async fn carry(self: Arc<Self>, to: usize) {
-        let mut buffer = vec![0; DATAGRAM];
+    async fn forward_datagrams(self: Arc<Self>, to: usize) {
+        let mut buffer = vec![0; DATAGRAM_BUFFER_BYTES];
         loop {
             let Ok((n, sender)) = self.sockets[to].recv_from(&mut buffer).await else { continue };
             self.counts.received.fetch_add(1, Ordering::Relaxed);
@@ -476,29 +483,29 @@
             };
             let link = &self.links[from * self.members.len() + to];
             let state = link.state();
-            // What one member sends goes out of it, and into the other: a link has one way here.
+            // A link between members has a single direction; its conditions are in `outbound`, and both partitions apply.
             if state.outbound.partitioned || state.inbound.partitioned || link.draw() < state.outbound.loss {
                 continue;
             }
             let duplicates = 1 + usize::from(link.draw() < state.outbound.duplicate);
             for _ in 0..duplicates {
-                let mut wait = link.time(&LinkConditions { loss: 0.0, ..state.outbound }, n);
+                let mut delay = link.transit_time(&LinkConditions { loss: 0.0, ..state.outbound }, n);
                 if link.draw() < state.outbound.reorder {
-                    wait += Duration::from_millis(20).mul_f64(link.draw());
+                    delay += Duration::from_millis(20).mul_f64(link.draw());
                 }
                 let (relay, bytes) = (self.clone(), buffer[..n].to_vec());
-                let pass = async move {
-                    // One that is not there hears nothing, as on any network.
+                let forward = async move {
+                    // A member that is not running receives nothing, as on a real network.
                     if relay.sockets[from].send_to(&bytes, relay.members[to]).await.is_ok() {
                         relay.counts.forwarded.fetch_add(1, Ordering::Relaxed);
                     }
                 };
-                if wait.is_zero() {
-                    pass.await;
+                if delay.is_zero() {
+                    forward.await;
                 } else {
                     tokio::spawn(async move {
-                        sleep(wait).await;
-                        pass.await;
+                        sleep(delay).await;
+                        forward.await;
                     });
                 }
             }
@@ -525,12 +532,12 @@
         }
     }
 
-    /// Accepts connections and hands on what they bring, until it is dropped.
+    /// Accepts connections and sends what they receive to a channel; `None` marks the end of a connection.
     fn serve(
         mut port: LinkListener,
     ) -> (watch::Sender<bool>, tokio::sync::mpsc::UnboundedReceiver<Option<Vec<u8>>>) {
         let (up, mut is_up) = watch::channel(true);
-        let (sender, heard) = tokio::sync::mpsc::unbounded_channel();
+        let (sender, received) = tokio::sync::mpsc::unbounded_channel();
         tokio::spawn(async move {
             while let Ok(mut conn) = port.accept(&mut is_up).await {
                 let sender = sender.clone();
@@ -544,60 +551,60 @@
                 });
             }
         });
-        (up, heard)
+        (up, received)
     }
 
     #[tokio::test]
-    async fn a_cut_link_holds_bytes_back_and_lets_no_connection_up_until_it_heals() {
+    async fn a_partition_delays_bytes_and_blocks_new_connections_until_it_ends() {
         let link = Link::new(Duration::ZERO, 1);
         let port = LinkListener::open(LOCAL, link.clone()).expect("a port");
         let addr = port.addr;
-        let (_up, mut heard) = serve(port);
-        let mut client = TcpStream::connect(addr).await.expect("it is up");
-        client.write_all(b"one").await.expect("up");
-        assert_eq!(heard.recv().await, Some(Some(b"one".to_vec())));
+        let (_up, mut received) = serve(port);
+        let mut client = TcpStream::connect(addr).await.expect("connected");
+        client.write_all(b"one").await.expect("written");
+        assert_eq!(received.recv().await, Some(Some(b"one".to_vec())));
         link.begin_fault(0, link_fault(FaultKind::Cut));
         client.write_all(b"two").await.expect("the sender notices nothing");
-        // The line is full once a connection does not come up any more.
-        let refused = async {
+        // The backlog is full once a connection can't be established any more.
+        let blocked = async {
             loop {
                 match tokio::time::timeout(Duration::from_millis(100), TcpStream::connect(addr)).await {
                     Err(_) => return,
-                    Ok(came) => drop(came),
+                    Ok(connection) => drop(connection),
                 }
             }
         };
-        tokio::time::timeout(LONG, refused).await.expect("none comes up");
-        // Only the ends of connections that came up before the line was full may be told.
-        while let Ok(told) = heard.try_recv() {
-            assert_eq!(told, None, "bytes over a cut link");
+        tokio::time::timeout(LONG, blocked).await.expect("new connections are blocked");
+        // Only the ends of connections established before the backlog was full may be received.
+        while let Ok(entry) = received.try_recv() {
+            assert_eq!(entry, None, "bytes arrived during a partition");
         }
         link.end_fault(0);
-        let two = async { while heard.recv().await != Some(Some(b"two".to_vec())) {} };
-        tokio::time::timeout(LONG, two).await.expect("they come through now");
+        let two = async { while received.recv().await != Some(Some(b"two".to_vec())) {} };
+        tokio::time::timeout(LONG, two).await.expect("the delayed bytes arrive");
         let new = tokio::time::timeout(LONG, TcpStream::connect(addr)).await.expect("in time");
-        let mut new = new.expect("it comes up again");
-        new.write_all(b"three").await.expect("up");
-        let three = async { while heard.recv().await != Some(Some(b"three".to_vec())) {} };
-        tokio::time::timeout(LONG, three).await.expect("and works");
+        let mut new = new.expect("connected again");
+        new.write_all(b"three").await.expect("written");
+        let three = async { while received.recv().await != Some(Some(b"three".to_vec())) {} };
+        tokio::time::timeout(LONG, three).await.expect("the new connection transmits bytes");
     }
 
     #[tokio::test]
-    async fn a_reset_ends_what_is_there_and_a_refused_link_takes_nothing_new() {
+    async fn a_reset_ends_open_connections_and_a_refusing_link_accepts_none() {
         let link = Link::new(Duration::ZERO, 1);
         let port = LinkListener::open(LOCAL, link.clone()).expect("a port");
         let addr = port.addr;
-        let (up, mut heard) = serve(port);
-        let mut client = TcpStream::connect(addr).await.expect("it is up");
-        client.write_all(b"one").await.expect("up");
-        assert_eq!(heard.recv().await, Some(Some(b"one".to_vec())));
+        let (up, mut received) = serve(port);
+        let mut client = TcpStream::connect(addr).await.expect("connected");
+        client.write_all(b"one").await.expect("written");
+        assert_eq!(received.recv().await, Some(Some(b"one".to_vec())));
         link.begin_fault(0, link_fault(FaultKind::Reset));
-        assert_eq!(heard.recv().await, Some(None));
+        assert_eq!(received.recv().await, Some(None));
         let ended = client.read(&mut [0]).await;
-        assert!(ended.is_err(), "a reset, not an end: {ended:?}");
+        assert!(ended.is_err(), "expected a reset: {ended:?}");
         let refused = |addr| async move {
             loop {
-                // One that waited to be accepted when the listener went is reset instead.
+                // A connection in the backlog of a listener that closes is reset instead.
                 match TcpStream::connect(addr).await {
                     Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => return,
                     _ => tokio::task::yield_now().await,
@@ -605,35 +612,41 @@
             }
         };
         link.begin_fault(1, link_fault(FaultKind::Refuse));
-        tokio::time::timeout(LONG, refused(addr)).await.expect("refused");
+        tokio::time::timeout(LONG, refused(addr)).await.expect("connections are refused");
         link.end_fault(1);
         let again = |addr| async move { while TcpStream::connect(addr).await.is_err() {} };
-        tokio::time::timeout(LONG, again(addr)).await.expect("the same address");
-        up.send(false).expect("served");
-        tokio::time::timeout(LONG, refused(addr)).await.expect("refused");
+        tokio::time::timeout(LONG, again(addr))
+            .await
+            .expect("the listener is open again at the same address");
+        up.send(false).expect("the server runs");
+        tokio::time::timeout(LONG, refused(addr)).await.expect("connections are refused");
     }
 
     #[tokio::test]
-    async fn half_open_connections_are_silent_for_good_and_new_ones_work() {
+    async fn half_open_connections_stay_silent_and_new_ones_transmit_bytes() {
         let link = Link::new(Duration::ZERO, 1);
         let port = LinkListener::open(LOCAL, link.clone()).expect("a port");
         let addr = port.addr;
-        let (_up, mut heard) = serve(port);
-        let mut old = TcpStream::connect(addr).await.expect("it is up");
-        old.write_all(b"one").await.expect("up");
-        assert_eq!(heard.recv().await, Some(Some(b"one".to_vec())));
+        let (_up, mut received) = serve(port);
+        let mut old = TcpStream::connect(addr).await.expect("connected");
+        old.write_all(b"one").await.expect("written");
+        assert_eq!(received.recv().await, Some(Some(b"one".to_vec())));
         link.begin_fault(0, link_fault(FaultKind::HalfOpen));
         old.write_all(b"lost").await.expect("the sender notices nothing");
-        let mut new = TcpStream::connect(addr).await.expect("it is up");
-        new.write_all(b"two").await.expect("up");
-        assert_eq!(heard.recv().await, Some(Some(b"two".to_vec())));
+        let mut new = TcpStream::connect(addr).await.expect("connected");
+        new.write_all(b"two").await.expect("written");
+        assert_eq!(received.recv().await, Some(Some(b"two".to_vec())));
         link.end_fault(0);
-        new.write_all(b"three").await.expect("up");
-        assert_eq!(heard.recv().await, Some(Some(b"three".to_vec())), "and the lost ones stay lost");
+        new.write_all(b"three").await.expect("written");
+        assert_eq!(
+            received.recv().await,
+            Some(Some(b"three".to_vec())),
+            "bytes on the half-open connection stay lost"
+        );
     }
 
     #[test]
-    fn faults_on_one_link_add_up_and_each_is_taken_back_by_itself() {
+    fn faults_on_one_link_are_combined_and_end_independently() {
         let link = Link::new(Duration::from_millis(1), 1);
         let base = link.state();
         let slow = |ms| LinkFault {
@@ -644,7 +657,7 @@
         link.begin_fault(0, slow(10));
         link.begin_fault(1, slow(20));
         assert_eq!(link.state().inbound.delay, Duration::from_millis(31));
-        assert_eq!(link.state().outbound, base.outbound, "the other way is whole");
+        assert_eq!(link.state().outbound, base.outbound, "the other direction is unaffected");
         link.begin_fault(2, LinkFault { direction: Direction::Out, ..link_fault(FaultKind::Cut) });
         assert!(link.arrival(FlowDirection::Out, 10).is_none());
         assert!(link.arrival(FlowDirection::In, 10).is_some());
@@ -656,18 +669,18 @@
     }
 
     #[test]
-    fn losses_and_a_narrow_link_cost_time() {
+    fn losses_and_limited_bandwidth_add_delay() {
         let link = Link::new(Duration::ZERO, 1);
         let lossy = LinkConditions { loss: 0.5, ..LinkConditions::default() };
-        let times: Vec<Duration> = (0..400).map(|_| link.time(&lossy, 100)).collect();
-        let late = times.iter().filter(|t| **t >= RETRANSMIT).count();
-        assert!((150..250).contains(&late), "{late} of 400 were lost once or more");
+        let times: Vec<Duration> = (0..400).map(|_| link.transit_time(&lossy, 100)).collect();
+        let late = times.iter().filter(|t| **t >= MIN_RETRANSMIT_TIMEOUT).count();
+        assert!((150..250).contains(&late), "{late} of 400 were lost at least once");
         let narrow = LinkConditions { bytes_per_s: 1000.0, ..LinkConditions::default() };
-        assert_eq!(link.time(&narrow, 500), Duration::from_millis(500));
+        assert_eq!(link.transit_time(&narrow, 500), Duration::from_millis(500));
     }
 
     #[tokio::test]
-    async fn datagrams_are_carried_lost_and_doubled_between_two_members() {
+    async fn datagrams_between_two_members_are_forwarded_lost_and_duplicated() {
         let sockets = [
             UdpSocket::bind((LOCAL, 0)).await.expect("a socket"),
             UdpSocket::bind((LOCAL, 0)).await.expect("a socket"),
@@ -683,12 +696,12 @@
             (buffer[..n].to_vec(), from)
         };
         sockets[0].send_to(b"one", relay.addrs[1]).await.expect("sent");
-        // It comes from where the first is known to the second, so that an answer finds its way.
+        // The sender's address is the relay address of the first member, so that a response reaches it.
         assert_eq!(receive(1).await, (b"one".to_vec(), relay.addrs[0]));
         links[1].begin_fault(0, link_fault(FaultKind::Lose));
         sockets[0].send_to(b"lost", relay.addrs[1]).await.expect("sent");
         sockets[1].send_to(b"back", relay.addrs[0]).await.expect("sent");
-        assert_eq!(receive(0).await.0, b"back", "the other way is whole");
+        assert_eq!(receive(0).await.0, b"back", "the other direction is unaffected");
         while relay.counts.received.load(Ordering::Relaxed) < 3 {
             tokio::task::yield_now().await;
         }
@@ -697,7 +710,7 @@
         sockets[0].send_to(b"twice", relay.addrs[1]).await.expect("sent");
         assert_eq!(receive(1).await.0, b"twice");
         assert_eq!(receive(1).await.0, b"twice");
-        // From nobody's address: passed over, and counted.
+        // A datagram from an unknown address is dropped and counted.
         let stranger = UdpSocket::bind((LOCAL, 0)).await.expect("a socket");
         stranger.send_to(b"hello", relay.addrs[1]).await.expect("sent");
         while relay.counts.unknown_senders.load(Ordering::Relaxed) < 1 {
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! fleetlab: plays scenarios with real gateways, compares builds, and judges recordings again.
+//! fleetlab: runs scenarios with real gateways, compares builds, and judges recordings again.
 
 use clap::{Args, Parser, Subcommand};
 use fleetlab::{
@@ -25,10 +25,10 @@
 use tokio::sync::watch;
 use toml::Table;
 
-/// Plays a fleet of real gateways under faults, and judges what was seen.
+/// Runs a fleet of real gateways under faults, and checks the recorded events against the rules.
 ///
-/// A play ends in one line, PASS or FAIL with the reason. Exit status: 0 passed, 1 failed, 2 wrong use,
-/// 3 void: the lab itself ran late, so the play says nothing.
+/// The last line of the output is PASS, or FAIL or VOID with the reason. Exit status: 0 passed, 1 failed, 2 usage error,
+/// 3 void: the lab itself was delayed, so the run is inconclusive.
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
@@ -38,33 +38,33 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays a scenario, by its name or its file.
+    /// Runs a scenario, given by its name or its file.
     Run {
         scenario: String,
-        /// The seed; without it, the scenario's first.
+        /// Seed of the run; the default is the scenario's first seed.
         #[arg(long)]
         seed: Option<u64>,
-        /// Writes the report and the recording into this folder.
+        /// Folder to which the report and the recording are written.
         #[arg(long)]
         report: Option<PathBuf>,
         #[command(flatten)]
-        with: With,
-        /// The gateway's program.
+        options: ScenarioOptions,
+        /// Path of the gateway executable.
         #[arg(long, default_value = "target/release/opalrun-gateway")]
         build: PathBuf,
     },
-    /// Plays two builds in turn on the same seeds; shows paired differences with their 95% intervals.
+    /// Runs two builds alternately on the same seeds; shows paired differences with their 95% confidence intervals.
     Compare {
         scenario: String,
-        /// A gateway's program; twice.
+        /// Path of a gateway executable; given exactly twice.
         #[arg(long, required = true, num_args = 1)]
         build: Vec<PathBuf>,
         #[arg(long, value_delimiter = ',')]
         seeds: Vec<u64>,
         #[command(flatten)]
-        with: With,
+        options: ScenarioOptions,
     },
-    /// Plays a scenario at several values of one key, such as load.use.
+    /// Runs a scenario with several values of one key, such as load.use.
     Sweep {
         scenario: String,
         #[arg(long)]
@@ -74,49 +74,50 @@
         #[arg(long, value_delimiter = ',')]
         seeds: Vec<u64>,
         #[command(flatten)]
-        with: With,
+        options: ScenarioOptions,
         #[arg(long, default_value = "target/release/opalrun-gateway")]
         build: PathBuf,
     },
-    /// Checks a scenario without playing it; tells every error with its key.
+    /// Checks a scenario without running it; prints every error with its key.
     Check { scenario: String },
-    /// Lists the scenarios that ship with the lab.
+    /// Lists the scenarios that are built into the lab.
     List,
     /// Judges the recording in a report's folder again.
     Replay { folder: PathBuf },
-    /// Plays a short day of the whole serving tier: an owner of control state and a proxy are killed in its middle.
+    /// Runs the whole serving tier for a short time under load and faults; by default the owner of the configuration and a
+    /// gatekeeper are killed, among other faults.
     Tier {
-        /// The program of all roles.
+        /// Path of the executable of all roles.
         #[arg(long, default_value = "target/tier/opalrun")]
         build: PathBuf,
-        /// Seconds for which programs come.
+        /// Seconds during which new agent programs are started.
         #[arg(long, default_value_t = 15, value_parser = clap::value_parser!(u64).range(5..=600))]
         length_s: u64,
-        /// Machines that carry traffic.
+        /// Number of machines that serve client traffic.
         #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u64).range(2..=30))]
         edges: u64,
-        /// Draws what befalls the tier from this seed; may be given several times, for several days.
+        /// Seed of random faults in place of the default ones; may be repeated, for one run per seed.
         #[arg(long = "seed")]
         seeds: Vec<u64>,
-        /// Writes the report into this folder.
+        /// Folder to which the report is written.
         #[arg(long)]
         report: Option<PathBuf>,
     },
 }
 
 #[derive(Args)]
-struct With {
-    /// Times as many gateways and workers, and with that as much load.
+struct ScenarioOptions {
+    /// Factor for the number of gateways and workers, and thereby for the load.
     #[arg(long, default_value_t = 1.0, value_parser = scale)]
     scale: f64,
-    /// Sets a key of the scenario, as KEY=VALUE; may stand several times.
+    /// Sets a key of the scenario, as KEY=VALUE; may be repeated.
     #[arg(long = "set", value_name = "KEY=VALUE")]
     sets: Vec<String>,
 }
 
-/// A scale that no world can have.
+/// The scale is not a number in the permitted range.
 #[derive(Debug, thiserror::Error)]
-#[error("must be from 0.05 to 50")]
+#[error("must be a number from 0.05 to 50")]
 struct ScaleError;
 
 fn scale(text: &str) -> Result<f64, ScaleError> {
@@ -124,9 +125,9 @@
     scale.ok_or(ScaleError)
 }
 
-/// Why nothing could be played or judged.
+/// Why a command could not be executed.
 enum LabError {
-    Use(String),
+    Usage(String),
     World(WorldError),
     Tier(TierError),
     Report(std::io::Error),
@@ -135,36 +136,36 @@
 impl fmt::Display for LabError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Use(why) => f.write_str(why),
+            Self::Usage(why) => f.write_str(why),
             Self::World(e) => e.fmt(f),
             Self::Tier(e) => e.fmt(f),
-            Self::Report(e) => write!(f, "the report: {e}"),
+            Self::Report(e) => write!(f, "can't write the report: {e}"),
         }
     }
 }
 
 impl From<Invalid> for LabError {
     fn from(e: Invalid) -> Self {
-        Self::Use(e.to_string())
+        Self::Usage(e.to_string())
     }
 }
 
-impl With {
-    fn scenario(&self, name: &str, more: &[(&str, &str)]) -> Result<Scenario, LabError> {
+impl ScenarioOptions {
+    fn scenario(&self, name: &str, overrides: &[(&str, &str)]) -> Result<Scenario, LabError> {
         let mut table: Table = Scenario::load(name)?;
-        let sets = self
-            .sets
-            .iter()
-            .map(|s| s.split_once('=').ok_or_else(|| LabError::Use(format!("{s:?} is no KEY=VALUE"))));
+        let sets = self.sets.iter().map(|s| {
+            s.split_once('=').ok_or_else(|| LabError::Usage(format!("{s:?} is not of the form KEY=VALUE")))
+        });
         let sets = sets.collect::<Result<Vec<_>, _>>()?;
-        for (key, text) in sets.iter().chain(more) {
-            set_key(&mut table, key, parse_value(text)).map_err(|error| LabError::Use(error.to_string()))?;
+        for (key, text) in sets.iter().chain(overrides) {
+            set_key(&mut table, key, parse_value(text))
+                .map_err(|error| LabError::Usage(error.to_string()))?;
         }
         Ok(Scenario::from_table(table)?.scaled(self.scale))
     }
 }
 
-/// Whoever plays, and whether it is to stop.
+/// Runtime for runs, and a flag that is set by SIGINT or SIGTERM.
 struct Lab {
     runtime: tokio::runtime::Runtime,
     stop: watch::Receiver<bool>,
@@ -174,7 +175,7 @@
     fn new() -> Result<Self, LabError> {
         let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
         let runtime = runtime.map_err(|e| LabError::World(e.into()))?;
-        let (tell, stop) = watch::channel(false);
+        let (stop_sender, stop) = watch::channel(false);
         runtime.spawn(async move {
             let mut term = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate()).ok();
             let terminated = async {
@@ -187,28 +188,28 @@
                 _ = tokio::signal::ctrl_c() => {}
                 () = terminated => {}
             }
-            tell.send_replace(true);
-            // Held until the runtime goes: whoever looks later sees it, too.
-            tell.closed().await;
+            stop_sender.send_replace(true);
+            // Keeps the sender alive until all receivers are dropped, so that later ones also see the flag.
+            stop_sender.closed().await;
         });
         Ok(Self { runtime, stop })
     }
 
-    fn play(&self, scenario: &Scenario, seed: u64, build: &Path) -> Result<Recording, LabError> {
-        let program = canonical(build)?;
-        let (tell, mut told) = watch::channel(Progress::default());
+    fn run_scenario(&self, scenario: &Scenario, seed: u64, build: &Path) -> Result<Recording, LabError> {
+        let program = canonical_path(build)?;
+        let (progress_sender, mut progress) = watch::channel(Progress::default());
         let style = ProgressStyle::with_template("{msg} {bar:40} {pos}/{len} s")
             .unwrap_or(ProgressStyle::default_bar());
         let bar = ProgressBar::new(scenario.length_s as u64).with_style(style);
         bar.set_message(format!("{} seed {seed}", scenario.name));
         let shown = bar.clone();
         self.runtime.spawn(async move {
-            while told.changed().await.is_ok() {
-                shown.set_position(told.borrow().at_s as u64);
+            while progress.changed().await.is_ok() {
+                shown.set_position(progress.borrow().at_s as u64);
             }
         });
         let play = Play { scenario: scenario.clone(), seed, program, root: std::env::temp_dir() };
-        let recording = self.runtime.block_on(play.run(tell, self.stop.clone()));
+        let recording = self.runtime.block_on(play.run(progress_sender, self.stop.clone()));
         bar.finish_and_clear();
         recording.map_err(LabError::World)
     }
@@ -230,7 +231,7 @@
     }
 }
 
-/// Shows and keeps a play's report; its exit status.
+/// Prints a run's report and writes it to the folder if there is one. Returns the exit status.
 fn conclude(recording: &Recording, folder: Option<&Path>) -> Result<ExitCode, LabError> {
     let report = report(recording);
     print!("{}", report.table());
@@ -243,13 +244,13 @@
     Ok(status(&report.verdict))
 }
 
-/// Plays a day of the whole tier and shows what became of it; whether it passed.
+/// Runs the whole tier once and prints the summary. Returns whether the run passed.
 fn run_tier_once(tier_run: &TierRun, folder: Option<&Path>) -> Result<bool, LabError> {
     let Lab { runtime, mut stop } = Lab::new()?;
     let summary = runtime.block_on(async {
         tokio::select! {
             summary = tier_run.run() => summary.map_err(LabError::Tier),
-            _ = stop.changed() => Err(LabError::Use("stopped".to_owned())),
+            _ = stop.changed() => Err(LabError::Usage("stopped by a signal".to_owned())),
         }
     })?;
     print!("{summary}");
@@ -262,7 +263,7 @@
     Ok(summary.passed())
 }
 
-/// Plays a day for each seed, or the usual one.
+/// Runs the whole tier once for each seed, or once with the standard faults if there is none.
 fn run_tier(tier_run: &TierRun, seeds: &[u64], folder: Option<&Path>) -> Result<ExitCode, LabError> {
     let seeds: Vec<Option<u64>> =
         if seeds.is_empty() { vec![None] } else { seeds.iter().copied().map(Some).collect() };
@@ -273,15 +274,21 @@
     Ok(if passed { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// Plays one row of a comparison and shows its main figures.
-fn row(lab: &Lab, name: &str, scenario: &Scenario, seed: u64, build: &Path) -> Result<Verdict, LabError> {
-    let verdict = judge(&lab.play(scenario, seed, build)?);
+/// Runs a scenario once for a comparison and prints the main metrics.
+fn run_for_comparison(
+    lab: &Lab,
+    name: &str,
+    scenario: &Scenario,
+    seed: u64,
+    build: &Path,
+) -> Result<Verdict, LabError> {
+    let verdict = judge(&lab.run_scenario(scenario, seed, build)?);
     let figures: Vec<String> = FIGURES.iter().map(|(name, f)| format!("{name} {:.3}", f(&verdict))).collect();
     println!("{name}, seed {seed}: {}; {}", figures.join(", "), verdict.line());
     Ok(verdict)
 }
 
-/// What several plays come to together: the worst of their verdicts.
+/// Prints the worst of several verdicts and returns its exit status.
 fn worst(verdicts: &[Verdict]) -> ExitCode {
     if let Some(failed) = verdicts.iter().find(|v| v.void.is_none() && !v.passed()) {
         println!("{}", failed.line());
@@ -296,22 +303,24 @@
     }
 }
 
-/// Carries out a command; returns the exit status.
-fn carry_out(command: Command) -> Result<ExitCode, LabError> {
+/// Executes a command and returns the exit status.
+fn execute(command: Command) -> Result<ExitCode, LabError> {
     match command {
-        Command::Run { scenario, seed, report, with, build } => {
-            let scenario = with.scenario(&scenario, &[])?;
+        Command::Run { scenario, seed, report, options, build } => {
+            let scenario = options.scenario(&scenario, &[])?;
             let seed = seed.unwrap_or(scenario.seeds[0]);
-            let recording = Lab::new()?.play(&scenario, seed, &build)?;
+            let recording = Lab::new()?.run_scenario(&scenario, seed, &build)?;
             conclude(&recording, report.as_deref())
         }
-        Command::Compare { scenario, build, seeds, with } => {
-            let [a, b] = &build[..] else { return Err(LabError::Use("--build is wanted twice".to_owned())) };
-            compare(&with.scenario(&scenario, &[])?, a, b, seeds)
+        Command::Compare { scenario, build, seeds, options } => {
+            let [a, b] = &build[..] else {
+                return Err(LabError::Usage("--build must be given exactly twice".to_owned()));
+            };
+            compare(&options.scenario(&scenario, &[])?, a, b, seeds)
         }
-        Command::Sweep { scenario, key, values, seeds, with, build } => {
-            // All are checked before the first is played.
-            let scenarios = values.iter().map(|v| with.scenario(&scenario, &[(&key, v)]));
+        Command::Sweep { scenario, key, values, seeds, options, build } => {
+            // All scenarios are checked before the first run.
+            let scenarios = values.iter().map(|v| options.scenario(&scenario, &[(&key, v)]));
             let scenarios = scenarios.collect::<Result<Vec<_>, _>>()?;
             sweep(&key, values.iter().zip(&scenarios), &seeds, &build)
         }
@@ -321,7 +330,7 @@
             Ok(ExitCode::SUCCESS)
         }
         Command::Tier { build, length_s, edges, seeds, report } => {
-            let program = canonical(&build)?;
+            let program = canonical_path(&build)?;
             let spec = TierSpec { edges: edges as usize, ..TierSpec::default() };
             let tier_run = TierRun { program, length: Duration::from_secs(length_s), tier: spec, seed: None };
             run_tier(&tier_run, &seeds, report.as_deref())
@@ -329,42 +338,42 @@
         Command::Replay { folder } => {
             let path = folder.join("recording.jsonl");
             let recording =
-                Recording::load(&path).map_err(|e| LabError::Use(format!("{}: {e}", path.display())))?;
+                Recording::load(&path).map_err(|e| LabError::Usage(format!("{}: {e}", path.display())))?;
             conclude(&recording, None)
         }
     }
 }
 
-fn canonical(path: &Path) -> Result<PathBuf, LabError> {
-    path.canonicalize().map_err(|e| LabError::Use(format!("{}: {e}", path.display())))
+fn canonical_path(path: &Path) -> Result<PathBuf, LabError> {
+    path.canonicalize().map_err(|e| LabError::Usage(format!("{}: {e}", path.display())))
 }
 
-/// The verdicts of two builds on one seed.
+/// Verdicts of two builds on one seed.
 struct Pair {
     a: Verdict,
     b: Verdict,
 }
 
 impl Pair {
-    /// Neither play was void.
-    fn counts(&self) -> bool {
+    /// Whether neither run was void.
+    fn is_conclusive(&self) -> bool {
         self.a.void.is_none() && self.b.void.is_none()
     }
 }
 
-/// Plays two builds in turn on the same seeds and shows the differences.
+/// Runs two builds alternately on the same seeds and prints the differences.
 fn compare(scenario: &Scenario, a: &Path, b: &Path, seeds: Vec<u64>) -> Result<ExitCode, LabError> {
     let seeds = if seeds.is_empty() { scenario.seeds.clone() } else { seeds };
     let lab = Lab::new()?;
     let mut pairs = Vec::new();
     for (number, seed) in seeds.iter().enumerate() {
-        // Whichever comes first has the cooler machine: they take turns.
+        // The first run has the cooler machine, so the builds take turns in being first.
         pairs.push(if number % 2 == 0 {
-            let a = row(&lab, "A", scenario, *seed, a)?;
-            Pair { a, b: row(&lab, "B", scenario, *seed, b)? }
+            let a = run_for_comparison(&lab, "A", scenario, *seed, a)?;
+            Pair { a, b: run_for_comparison(&lab, "B", scenario, *seed, b)? }
         } else {
-            let b = row(&lab, "B", scenario, *seed, b)?;
-            Pair { a: row(&lab, "A", scenario, *seed, a)?, b }
+            let b = run_for_comparison(&lab, "B", scenario, *seed, b)?;
+            Pair { a: run_for_comparison(&lab, "A", scenario, *seed, a)?, b }
         });
     }
     show_differences(&pairs);
@@ -372,10 +381,10 @@
     Ok(worst(&verdicts))
 }
 
-/// Shows the mean difference of each metric with its 95% interval.
+/// Prints the mean difference of each metric with its 95% confidence interval.
 fn show_differences(pairs: &[Pair]) {
-    let counted: Vec<&Pair> = pairs.iter().filter(|pair| pair.counts()).collect();
-    println!("B less A over {} pairs:", counted.len());
+    let counted: Vec<&Pair> = pairs.iter().filter(|pair| pair.is_conclusive()).collect();
+    println!("B minus A over {} pairs:", counted.len());
     for (name, metric) in FIGURES {
         let values: Vec<(f64, f64)> = counted.iter().map(|pair| (metric(&pair.a), metric(&pair.b))).collect();
         match Difference::of(&values) {
@@ -383,14 +392,14 @@
                 "{name:<24}{:+.4} ± {:.4}{}",
                 difference.mean,
                 difference.half,
-                if difference.clear() { "  clear" } else { "" }
+                if difference.clear() { "  significant" } else { "" }
             ),
-            None => println!("{name:<24}not seen"),
+            None => println!("{name:<24}no data"),
         }
     }
 }
 
-/// Plays the scenario of each value of a key on all seeds.
+/// Runs the scenario of each value of a key on all seeds.
 fn sweep<'a>(
     key: &str,
     scenarios: impl Iterator<Item = (&'a String, &'a Scenario)>,
@@ -402,7 +411,7 @@
     for (value, scenario) in scenarios {
         let seeds = if seeds.is_empty() { &scenario.seeds } else { seeds };
         for seed in seeds {
-            verdicts.push(row(&lab, &format!("{key} = {value}"), scenario, *seed, build)?);
+            verdicts.push(run_for_comparison(&lab, &format!("{key} = {value}"), scenario, *seed, build)?);
         }
     }
     Ok(worst(&verdicts))
@@ -429,10 +438,10 @@
 }
 
 fn main() -> ExitCode {
-    // Status 2 for wrong use is clap's own.
-    match carry_out(Cli::parse().command) {
+    // clap exits with status 2 on usage errors itself.
+    match execute(Cli::parse().command) {
         Ok(status) => status,
-        Err(LabError::Use(why)) => {
+        Err(LabError::Usage(why)) => {
             eprintln!("fleetlab: {why}");
             ExitCode::from(2)
         }
