--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -16,6 +16,5 @@
 pub mod report;
 pub mod run_delay;
 pub mod scenario;
-
 pub mod tier;
 pub mod world;
--- a/lab/src/link.rs
+++ b/lab/src/link.rs
@@ -158,7 +158,7 @@
                             conditions.jitter += fault.jitter;
                         }
                         FaultKind::Lose => {
-                            conditions.loss = 1.0 - (1.0 - conditions.loss) * (1.0 - fault.share)
+                            conditions.loss = 1.0 - (1.0 - conditions.loss) * (1.0 - fault.share);
                         }
                         FaultKind::Throttle => conditions.bytes_per_s = fault.bytes_per_s,
                         FaultKind::Duplicate => conditions.duplicate = fault.share,
@@ -367,15 +367,15 @@
             self.listener = Some(listen(self.addr)?);
         }
         let Some(listener) = &self.listener else { return Ok(()) };
-        let filled = !matches!(self.filler, BacklogFiller::None);
-        if state.blocks_connections() && !filled {
-            // A backlog of zero, filled by one connection of the lab: the kernel completes no further handshake.
+        let is_blocked = !matches!(self.filler, BacklogFiller::None);
+        if state.blocks_connections() && !is_blocked {
+            // A backlog of zero, is_blocked by one connection of the lab: the kernel completes no further handshake.
             rustix::net::listen(listener, 0)?;
             self.filler = match tokio::time::timeout(FILL_TIMEOUT, TcpStream::connect(self.addr)).await {
                 Ok(filler) => BacklogFiller::Own(filler?),
                 Err(_) => BacklogFiller::Other,
             };
-        } else if !state.blocks_connections() && filled {
+        } else if !state.blocks_connections() && is_blocked {
             rustix::net::listen(listener, BACKLOG.cast_signed())?;
             if matches!(self.filler, BacklogFiller::Other) {
                 self.filler = BacklogFiller::None;
@@ -415,7 +415,7 @@
                     return Ok(Connection::new(socket, self.link.clone()));
                 }
                 _ = changes.changed() => {}
-                changed = up.changed() => changed.map_err(|_| io::ErrorKind::BrokenPipe)?,
+                up_result = up.changed() => up_result.map_err(|_| io::ErrorKind::BrokenPipe)?,
             }
         }
     }
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -250,7 +250,7 @@
     let summary = runtime.block_on(async {
         tokio::select! {
             summary = tier_run.run() => summary.map_err(LabError::Tier),
-            _ = stop.changed() => Err(LabError::Usage("stopped by a signal".to_owned())),
+            _ = stop.changed() => Err(LabError::Usage("stopped".to_owned())),
         }
     })?;
     print!("{summary}");
@@ -283,8 +283,8 @@
     build: &Path,
 ) -> Result<Verdict, LabError> {
     let verdict = judge(&lab.run_scenario(scenario, seed, build)?);
-    let figures: Vec<String> = FIGURES.iter().map(|(name, f)| format!("{name} {:.3}", f(&verdict))).collect();
-    println!("{name}, seed {seed}: {}; {}", figures.join(", "), verdict.line());
+    let metrics: Vec<String> = FIGURES.iter().map(|(name, f)| format!("{name} {:.3}", f(&verdict))).collect();
+    println!("{name}, seed {seed}: {}; {}", metrics.join(", "), verdict.line());
     Ok(verdict)
 }
 
--- a/lab/src/tier/client.rs
+++ b/lab/src/tier/client.rs
@@ -111,18 +111,18 @@
     }
 
     /// Sends a request once, to the gatekeeper that the platform selects.
-    pub async fn attempt(&self, ask: &RequestSpec, until: Instant, may_reuse: bool) -> Reply {
+    pub async fn attempt(&self, spec: &RequestSpec, until: Instant, may_reuse: bool) -> Reply {
         let number = self.sent_count.fetch_add(1, Ordering::Relaxed);
         let id = format!("{:04x}{:06x}", self.hash, NEXT_REQUEST_NUMBER.fetch_add(1, Ordering::Relaxed));
         let Some(entry) = self.platform.choose(&self.zone, self.hash.wrapping_add(number)) else {
             let outcome = Outcome::Closed { request_written: false };
             return Reply { request: id, outcome, events: Vec::new() };
         };
-        let sent = Self::describe(ask, &id, &entry.machine);
+        let sent = Self::describe(spec, &id, &entry.machine);
         self.log.record(Observation::RequestSent(Arc::new(sent.clone())));
         let mut exchange =
             Exchange { log: &self.log, sent: &sent, events: Vec::new(), written: false, status: None };
-        let run = exchange.run(self, entry.frontend, ask, until, may_reuse);
+        let run = exchange.run(self, entry.frontend, spec, until, may_reuse);
         let outcome = match timeout_at(until, run).await {
             Ok(Ok(outcome)) => outcome,
             Ok(Err(error)) => exchange.failed(&error),
@@ -133,18 +133,18 @@
         Reply { request: id, outcome, events }
     }
 
-    fn describe(ask: &RequestSpec, id: &str, machine: &str) -> ClientRequest {
+    fn describe(spec: &RequestSpec, id: &str, machine: &str) -> ClientRequest {
         ClientRequest {
             request: id.to_owned(),
             machine: machine.to_owned(),
-            method: if ask.body.is_empty() { "GET" } else { "POST" }.to_owned(),
-            host: ask.route.host.clone(),
-            path: format!("{}{}", ask.route.path_prefix, ask.path),
-            body: ask.body.clone(),
-            kind: ask.route.kind,
-            max_attempts: ask.route.max_attempts,
-            previous: ask.turn.as_ref().and_then(|t| t.previous.clone()),
-            program: ask.turn.as_ref().map(|t| t.program.clone()),
+            method: if spec.body.is_empty() { "GET" } else { "POST" }.to_owned(),
+            host: spec.route.host.clone(),
+            path: format!("{}{}", spec.route.path_prefix, spec.path),
+            body: spec.body.clone(),
+            kind: spec.route.kind,
+            max_attempts: spec.route.max_attempts,
+            previous: spec.turn.as_ref().and_then(|t| t.previous.clone()),
+            program: spec.turn.as_ref().map(|t| t.program.clone()),
         }
     }
 
@@ -189,7 +189,7 @@
         &mut self,
         client: &Client,
         address: SocketAddr,
-        ask: &RequestSpec,
+        spec: &RequestSpec,
         until: Instant,
         may_reuse: bool,
     ) -> io::Result<Outcome> {
@@ -198,7 +198,7 @@
             Some(peer) => peer,
             None => Peer::connect(address, CONNECT_LIMIT).await?,
         };
-        peer.write(&self.bytes(ask, until)).await?;
+        peer.write(&self.bytes(spec, until)).await?;
         self.written = true;
         let Some(head) = peer.read_head().await? else { return Err(io::ErrorKind::UnexpectedEof.into()) };
         let signature = head.header("server-signature").map(str::to_owned);
@@ -212,14 +212,14 @@
         Ok(Outcome::Answered { status: head.status(), signature, body, retry_after })
     }
 
-    fn bytes(&self, ask: &RequestSpec, until: Instant) -> Vec<u8> {
+    fn bytes(&self, spec: &RequestSpec, until: Instant) -> Vec<u8> {
         let remaining = until.saturating_duration_since(Instant::now()).as_millis();
         let mut headers = vec![
             ("Host", self.sent.host.clone()),
             ("Request-Id", self.sent.request.clone()),
             ("Deadline-Ms", remaining.to_string()),
         ];
-        if let Some(turn) = &ask.turn {
+        if let Some(turn) = &spec.turn {
             headers.push(("Program", turn.program.name.clone()));
             headers.push(("Session", turn.session.clone()));
             headers.push(("Finish-Ms", turn.finish.as_millis().to_string()));
--- a/lab/src/tier/fleet.rs
+++ b/lab/src/tier/fleet.rs
@@ -38,6 +38,7 @@
     pub cores: usize,
     pub storages: usize,
     pub zones: Vec<String>,
+    /// Number of hosts whose simultaneous loss the tier must tolerate.
     pub hosts_lost: usize,
     pub heartbeat: Duration,
     pub bounds: Bounds,
@@ -371,7 +372,7 @@
         Ok(())
     }
 
-    /// Waits until every control process answers a request for the configuration with a status from 200 to 499.
+    /// Waits until every control process answers a request for the configuration with a status from 200 to 499, not 5xx.
     ///
     /// # Errors
     /// One of them did not in time.
--- a/lab/src/tier/judge/control.rs
+++ b/lab/src/tier/judge/control.rs
@@ -1,4 +1,4 @@
-//! Rules DRAIN, CONFIG, and LOST for requests during a planned stop.
+//! Rules DRAIN and CONFIGURATION, and LOST for requests during a planned stop.
 
 use super::{
     Bounds, Rule, Violation,
@@ -159,11 +159,11 @@
         for (id, request) in &index.requests {
             let Some((sent_ms, sent)) = request.sent else { continue };
             let Some((at_ms, outcome)) = request.ended else { continue };
-            let is_cut_off = matches!(outcome, Outcome::Closed { .. } | Outcome::Interrupted { .. });
-            let passed_on = !request.reached.is_empty();
+            let is_interrupted = matches!(outcome, Outcome::Closed { .. } | Outcome::Interrupted { .. });
+            let was_forwarded = !request.reached.is_empty();
             let to_ms = stopped_ms + bounds.grace_ms + AFTER_GRACE_MS;
             let during = at_ms >= *stopped_ms && at_ms <= to_ms;
-            if sent.machine != *machine || !is_cut_off || !passed_on || !during {
+            if sent.machine != *machine || !is_interrupted || !was_forwarded || !during {
                 continue;
             }
             let by_worker = request.runs.iter().any(|r| r.answer.is_some_and(|a| !a.3))
@@ -172,7 +172,7 @@
                 continue;
             }
             let description =
-                format!("{id} was cut off {} ms after SIGTERM of {machine}", at_ms - stopped_ms);
+                format!("{id} was interrupted {} ms after SIGTERM of {machine}", at_ms - stopped_ms);
             violations.push(Violation { rule: Rule::Lost, at_ms, description });
         }
     }
--- a/lab/src/tier/judge/index.rs
+++ b/lab/src/tier/judge/index.rs
@@ -115,7 +115,7 @@
             }
             Observation::WorkerCrashed { worker } => self.crashes.push((at_ms, worker)),
             Observation::DepartureAcknowledged { worker, departure } => {
-                self.departures.push((at_ms, worker, *departure))
+                self.departures.push((at_ms, worker, *departure));
             }
             Observation::ConfigurationSent { generation, body, valid } => {
                 self.configuration_sent(at_ms, *generation, body, *valid);
--- a/lab/src/tier/judge/mod.rs
+++ b/lab/src/tier/judge/mod.rs
@@ -16,16 +16,27 @@
 /// A rule of the tier. Reports show the variants' names in upper case.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
+    /// A response belongs to its request and is unchanged: its signature, status and body are those of a worker's response.
     Mixed,
+    /// Only requests that a client sent run, with the client's method, host, path and body.
     Unasked,
+    /// A request that is not idempotent runs at most once.
     Twice,
+    /// A request that was answered as refused did not run, unless it may be retried.
     Refused,
+    /// Requests keep to the attempts of their route, and programs to their token budget.
     Budget,
+    /// A request runs only at a service that a configuration allows for it.
     Route,
+    /// A worker whose departure was acknowledged gets no new requests after the drain bound.
     Drain,
+    /// Accepted configurations apply within their bound, others never, and the newest is the one that is read back.
     Configuration,
+    /// Stream events arrive in order, without gaps, and complete if the response is.
     Order,
+    /// No retained turn is lost, nor a request during a planned stop.
     Lost,
+    /// Requests that every configuration allows are not denied, apart from a small allowance.
     Denied,
 }
 
@@ -50,11 +61,16 @@
 pub struct Bounds {
     /// How long a machine must have been undisturbed for rules with a time bound to apply to it.
     pub contact_ms: u64,
+    /// Time from the acknowledgement of a worker's departure until it gets no new requests.
     pub drain_ms: u64,
+    /// Time from the acknowledgement of a configuration until it applies everywhere.
     pub config_apply_ms: u64,
     pub downgrade_ms: u64,
+    /// Time from a SIGTERM until the process has exited.
     pub grace_ms: u64,
+    /// How long a completed turn of a conversation is retained.
     pub retention_ms: u64,
+    /// Time from the end of a turn until its actual token usage counts against the budget.
     pub settle_ms: u64,
 }
 
--- a/lab/src/tier/judge/programs.rs
+++ b/lab/src/tier/judge/programs.rs
@@ -104,8 +104,8 @@
             continue;
         };
         let Some(previous) = request.sent.and_then(|(_, sent)| sent.previous.as_deref()) else { continue };
-        let Some(kept) = index.requests.get(previous) else { continue };
-        let Some((ended_ms, outcome)) = kept.ended else { continue };
+        let Some(previous_turn) = index.requests.get(previous) else { continue };
+        let Some((ended_ms, outcome)) = previous_turn.ended else { continue };
         if outcome.is_success() && at_ms < ended_ms + bounds.retention_ms {
             let description = format!(
                 "{id} was answered {status} although the turn {previous} that it continues is still retained"
--- a/lab/src/tier/judge/requests.rs
+++ b/lab/src/tier/judge/requests.rs
@@ -145,7 +145,7 @@
             None
         }
         Outcome::Malformed if !request.runs.iter().any(|r| r.answer.is_none_or(|a| !a.3)) => {
-            report(format!("{id}: bytes that are no answer"))
+            report(format!("{id}: the client received bytes that are not a valid response"))
         }
         _ => None,
     }
--- a/lab/src/tier/judge/tests.rs
+++ b/lab/src/tier/judge/tests.rs
@@ -367,7 +367,7 @@
 }
 
 #[test]
-fn requests_cut_off_by_a_planned_stop_are_lost() {
+fn requests_interrupted_by_a_planned_stop_are_lost() {
     let closed = || Outcome::Closed { request_written: true };
     let stopped = |event: MachineEvent| {
         let mut timeline = Timeline::new();
--- a/lab/src/tier/machine.rs
+++ b/lab/src/tier/machine.rs
@@ -52,7 +52,7 @@
     /// Creates a machine with its own folder, without starting its processes.
     ///
     /// # Errors
-    /// Those of the file system.
+    /// A folder can't be created or deleted.
     pub fn new(
         name: &str,
         class: Class,
@@ -147,7 +147,7 @@
     /// Deletes the data of a machine that is not running.
     ///
     /// # Errors
-    /// Those of the file system.
+    /// A folder can't be created or deleted.
     pub fn wipe(&mut self) -> io::Result<()> {
         fs::remove_dir_all(self.data_dir())?;
         fs::create_dir_all(self.data_dir())
--- a/lab/src/tier/mod.rs
+++ b/lab/src/tier/mod.rs
@@ -4,7 +4,6 @@
 pub mod arrivals;
 pub mod client;
 pub mod configuration;
-
 pub mod deployment;
 pub mod fault;
 pub mod fleet;
--- a/lab/src/tier/page.rs
+++ b/lab/src/tier/page.rs
@@ -1,4 +1,4 @@
-//! The summary of a run as one page of HTML.
+//! Renders the summary of a run as an HTML page.
 
 use super::run::Summary;
 use std::{
--- a/lab/src/tier/program.rs
+++ b/lab/src/tier/program.rs
@@ -105,10 +105,10 @@
                 return report;
             }
         }
-        let mut round = 0;
+        let mut iteration = 0;
         while self.loops && report.outcome == ProgramOutcome::Completed {
-            round += 1;
-            self.sub_agents(client, &history.branch(round), 2, 2, &mut report).await;
+            iteration += 1;
+            self.sub_agents(client, &history.branch(iteration), 2, 2, &mut report).await;
         }
         report
     }
@@ -132,11 +132,11 @@
         number: usize,
         report: &mut ProgramReport,
     ) -> bool {
-        let ask = self.turn_ask(history, number);
+        let request = self.turn_request(history, number);
         let mut refusals = 0;
         let mut failures = 0;
         let reply = loop {
-            let reply = client.send(&ask).await;
+            let reply = client.send(&request).await;
             match reply.status() {
                 402 if self.loops && refusals < RESENDS_AFTER_REFUSAL => refusals += 1,
                 200 | 400..=404 | 413 => break reply,
@@ -145,13 +145,13 @@
             }
             tokio::time::sleep(RESEND_DELAY).await;
         };
-        self.after_turn(history, &ask, &reply, report)
+        self.after_turn(history, &request, &reply, report)
     }
 
     fn after_turn(
         &self,
         history: &mut PromptHistory,
-        ask: &RequestSpec,
+        request: &RequestSpec,
         reply: &Reply,
         report: &mut ProgramReport,
     ) -> bool {
@@ -165,13 +165,13 @@
         }
         report.turns += 1;
         let out = reply.events.len() as u64 * self.chunk_tokens;
-        history.prompt_tokens += ask.body.len() as u64 / 4 + out;
-        history.parts.push(format!("{}:{}", reply.request, ask.body.len() as u64 / 4 + out));
+        history.prompt_tokens += request.body.len() as u64 / 4 + out;
+        history.parts.push(format!("{}:{}", reply.request, request.body.len() as u64 / 4 + out));
         history.previous = Some(reply.request.clone());
         true
     }
 
-    fn turn_ask(&self, history: &PromptHistory, number: usize) -> RequestSpec {
+    fn turn_request(&self, history: &PromptHistory, number: usize) -> RequestSpec {
         let body = format!("{} says {number}: what is next?\n", history.session).into_bytes();
         let retained = self.turns_route.retention.is_some();
         let turn = TurnHeaders {
@@ -200,8 +200,8 @@
     /// Calls all tools concurrently. Returns whether none failed.
     async fn tools(&self, client: &Client, report: &mut ProgramReport) -> bool {
         let calls = self.tools.iter().map(|route| {
-            let (client, ask) = (client.clone(), self.tool_ask(route));
-            tokio::spawn(async move { client.send(&ask).await })
+            let (client, request) = (client.clone(), self.tool_request(route));
+            tokio::spawn(async move { client.send(&request).await })
         });
         let calls: Vec<_> = calls.collect();
         for call in calls {
@@ -214,7 +214,7 @@
         report.outcome == ProgramOutcome::Completed
     }
 
-    fn tool_ask(&self, route: &Route) -> RequestSpec {
+    fn tool_request(&self, route: &Route) -> RequestSpec {
         let program = ProgramDescription {
             name: self.name.clone(),
             budget: None,
--- a/lab/src/tier/run.rs
+++ b/lab/src/tier/run.rs
@@ -46,7 +46,7 @@
     pub calls: usize,
     /// Number of client requests, retries included, by how they ended.
     pub request_outcomes: BTreeMap<String, usize>,
-    /// Latency of successful requests until the end of the response, in milliseconds: median, 99th percentile, maximum.
+    /// Latency of successful requests until the end of the response, in milliseconds: at 50%, at 99%, and the maximum.
     pub latency_ms: [u64; 3],
     /// Events of machines, workers and the configuration, with their times in milliseconds since the log began.
     pub events: Vec<(u64, String)>,
@@ -245,7 +245,7 @@
             Outcome::Interrupted { .. } => ("interrupted".to_owned(), 2),
             Outcome::Closed { .. } => ("connection closed".to_owned(), 2),
             Outcome::TimedOut => ("timed out".to_owned(), 2),
-            Outcome::Malformed => ("malformed response".to_owned(), 2),
+            Outcome::Malformed => ("unreadable".to_owned(), 2),
         };
         if outcome.is_success()
             && let Some(sent_ms) = self.sent.get(request)
--- a/lab/src/tier/tests.rs
+++ b/lab/src/tier/tests.rs
@@ -139,13 +139,13 @@
 async fn a_full_worker_rejects_requests_without_running_them() {
     let world = World::new(RouteKind::Unsafe, PLAIN).await;
     let client = world.client();
-    let asks = (0..6).map(|_| {
-        let (client, ask) = (client.clone(), world.request_spec());
-        tokio::spawn(async move { client.send(&ask).await.status() })
+    let requests = (0..6).map(|_| {
+        let (client, request) = (client.clone(), world.request_spec());
+        tokio::spawn(async move { client.send(&request).await.status() })
     });
     let mut statuses = Vec::new();
-    for ask in asks.collect::<Vec<_>>() {
-        statuses.push(ask.await.expect("a status"));
+    for request in requests.collect::<Vec<_>>() {
+        statuses.push(request.await.expect("a status"));
     }
     assert!(statuses.contains(&200) && statuses.contains(&503), "{statuses:?}");
     assert_eq!(world.rules(), []);
@@ -181,7 +181,7 @@
 #[tokio::test]
 async fn the_platform_uses_all_gatekeepers_of_a_zone_without_a_ready_one() {
     let world = World::new(RouteKind::Safe, PLAIN).await;
-    // A worker has no readiness endpoint, so the check fails.
+    // A worker has no readiness endpoint: it responds 404 or 400, not 200, so the check fails.
     world.platform.check(LIMIT).await;
     assert!(world.platform.ready().is_empty());
     assert!(
--- a/lab/src/tier/worker/engine.rs
+++ b/lab/src/tier/worker/engine.rs
@@ -274,8 +274,8 @@
             let in_use = self.parts_in_use();
             let free: Vec<(&String, &CachedPart)> =
                 self.cached.iter().filter(|(id, _)| !in_use.contains(id.as_str())).collect();
-            let kept: u64 = free.iter().map(|(_, p)| p.tokens).sum();
-            if tokens_in_use + kept + tokens <= self.spec.kv_capacity {
+            let unused_tokens: u64 = free.iter().map(|(_, p)| p.tokens).sum();
+            if tokens_in_use + unused_tokens + tokens <= self.spec.kv_capacity {
                 return true;
             }
             let Some(oldest) = free.iter().min_by_key(|(_, p)| p.last_used_step).map(|(id, _)| (*id).clone())
