--- a/lab/src/link.rs
+++ b/lab/src/link.rs
@@ -369,7 +369,7 @@
         let Some(listener) = &self.listener else { return Ok(()) };
         let is_blocked = !matches!(self.filler, BacklogFiller::None);
         if state.blocks_connections() && !is_blocked {
-            // A backlog of zero, is_blocked by one connection of the lab: the kernel completes no further handshake.
+            // A backlog of zero, filled by one connection of the lab: the kernel completes no further handshake.
             rustix::net::listen(listener, 0)?;
             self.filler = match tokio::time::timeout(FILL_TIMEOUT, TcpStream::connect(self.addr)).await {
                 Ok(filler) => BacklogFiller::Own(filler?),
--- a/lab/src/tier/fault.rs
+++ b/lab/src/tier/fault.rs
@@ -17,7 +17,7 @@
 /// How long a restarted machine with a disk counts as lost while it catches up; no other may be lost meanwhile.
 const CATCH_UP: Duration = Duration::from_millis(4400);
 /// Time-out of a request of the operator or of a worker's departure.
-pub const ORDER_LIMIT: Duration = Duration::from_secs(6);
+pub const OPERATION_TIMEOUT: Duration = Duration::from_secs(6);
 /// Log message of the owner of the configuration when it proposes a command.
 const OWNER_LOG: &str = "proposing a command as the owner of shard 0";
 /// Worker faults from which one is drawn at random.
@@ -152,7 +152,7 @@
             Self::LosePower => tier.lose_power().await,
             Self::ChangeConfiguration => {
                 let routes = deployment.configuration.routes.clone();
-                deployment.configure(routes, ORDER_LIMIT).await;
+                deployment.configure(routes, OPERATION_TIMEOUT).await;
                 Ok(())
             }
             Self::InvalidConfiguration => {
@@ -178,7 +178,7 @@
         let worker = deployment.workers.remove(0);
         deployment.add_worker(&worker.spec.service)?;
         if *self == Self::WorkerLeaves {
-            tokio::spawn(async move { worker.leave(ORDER_LIMIT).await });
+            tokio::spawn(async move { worker.leave(OPERATION_TIMEOUT).await });
         } else {
             worker.crash();
         }
@@ -206,7 +206,7 @@
     if let Some(route) = change.routes.first_mut() {
         route.timeout = Duration::ZERO;
     }
-    deployment.operator.configure(&Arc::new(change.body()), current, false, ORDER_LIMIT).await;
+    deployment.operator.configure(&Arc::new(change.body()), current, false, OPERATION_TIMEOUT).await;
 }
 
 async fn lose_acknowledgement(deployment: &mut Deployment) {
@@ -214,7 +214,7 @@
     let change = deployment.configuration.at(current + 2);
     let body = Arc::new(change.body());
     deployment.operator.configure_and_lose_answer(&body, current).await;
-    if deployment.operator.configure(&body, current, true, ORDER_LIMIT).await == 200 {
+    if deployment.operator.configure(&body, current, true, OPERATION_TIMEOUT).await == 200 {
         deployment.configuration = change;
     }
 }
--- a/lab/src/tier/judge/mod.rs
+++ b/lab/src/tier/judge/mod.rs
@@ -65,6 +65,7 @@
     pub drain_ms: u64,
     /// Time from the acknowledgement of a configuration until it applies everywhere.
     pub config_apply_ms: u64,
+    /// Only written to the settings files; no rule of the judge uses it.
     pub downgrade_ms: u64,
     /// Time from a SIGTERM until the process has exited.
     pub grace_ms: u64,
--- a/lab/src/tier/run.rs
+++ b/lab/src/tier/run.rs
@@ -4,7 +4,7 @@
 use super::{
     arrivals::Arrivals,
     deployment::Deployment,
-    fault::{FaultSequence, ORDER_LIMIT},
+    fault::{FaultSequence, OPERATION_TIMEOUT},
     fleet::{TierError, TierSpec},
     judge::{PrematureRefusal, Violation, premature_refusals},
     observation::{MachineEvent, Observation, Outcome, TimedObservation},
@@ -128,7 +128,7 @@
         let arrivals = Arrivals::start(&deployment);
         let faults = self.inject_faults(&mut deployment).await?;
         let reports = arrivals.end().await;
-        deployment.operator.read(ORDER_LIMIT).await;
+        deployment.operator.read(OPERATION_TIMEOUT).await;
         let observations = deployment.tier.log.observations();
         let mut summary = summary(
             machines,
