--- a/crates/control-load/src/configuration.rs
+++ b/crates/control-load/src/configuration.rs
@@ -13,7 +13,7 @@
 /// Retention of turns on every second route.
 const RETENTION: Duration = Duration::from_mins(1);
 /// Engine properties of all services.
-const ENGINE: EngineFacts = EngineFacts { capacity: 32, kv_capacity: 231_379, chunk_tokens: 3 };
+const ENGINE: EngineDescription = EngineDescription { capacity: 32, kv_capacity: 231_379, chunk_tokens: 3 };
 
 /// Returns the name of the service for a route or worker with this number.
 #[must_use]
--- a/crates/opalrun/tests/tier/acknowledged.rs
+++ b/crates/opalrun/tests/tier/acknowledged.rs
@@ -100,11 +100,11 @@
         deployment.tier.add("edge-3", Class::Edge, "zone-3").expect("added");
         deployment.tier.add("storage-4", Class::Storage, "zone-1").expect("added");
         deployment.tier.add("core-4", Class::Core, "zone-2").expect("added");
-        deployment.tier.gatekeepers_ready(START_LIMIT).await.expect("ready");
-        deployment.tier.control_ready(START_LIMIT).await.expect("control answers");
+        deployment.tier.wait_for_gatekeepers(START_LIMIT).await.expect("ready");
+        deployment.tier.wait_for_control(START_LIMIT).await.expect("control answers");
         // The new gatekeeper is the only one in its zone.
-        let outcome = deployment.program("new", "dispute").play(&deployment.client("zone-3")).await;
-        assert_eq!(outcome.ended, Ended::Completed, "{}", deployment.tier.log_tails());
+        let outcome = deployment.program("new", "dispute").run(&deployment.client("zone-3")).await;
+        assert_eq!(outcome.outcome, ProgramOutcome::Completed, "{}", deployment.tier.log_tails());
         let uses_new_store = |map: &opalrun_wire::feed::StoreMap| {
             let new = map.stores.iter().find(|s| s.node_name == "storage-4").map(|s| s.identity);
             map.partitions.iter().any(|p| p.replicas.iter().any(|r| Some(r.store) == new && r.is_complete))
--- a/crates/opalrun/tests/tier/calm.rs
+++ b/crates/opalrun/tests/tier/calm.rs
@@ -7,9 +7,9 @@
 };
 
 /// Runs a program in zone 1 and asserts how it ends. Returns the number of its turns.
-async fn run_program(deployment: &mut Deployment, program: &Program, ended: Ended) -> usize {
-    let outcome = program.play(&deployment.client("zone-1")).await;
-    assert_eq!(outcome.ended, ended, "{outcome:?}\n{}", deployment.tier.log_tails());
+async fn run_program(deployment: &mut Deployment, program: &Program, ended: ProgramOutcome) -> usize {
+    let outcome = program.run(&deployment.client("zone-1")).await;
+    assert_eq!(outcome.outcome, ended, "{outcome:?}\n{}", deployment.tier.log_tails());
     outcome.turns
 }
 
@@ -19,7 +19,7 @@
         for route in ["dispute", "trace", "resumable"] {
             let tools = deployment.tools();
             let program = Program { tools, sub_agents: Some((1, 2, 2)), ..deployment.program(route, route) };
-            assert_eq!(run_program(&mut deployment, &program, Ended::Completed).await, 4 + 2 * 2);
+            assert_eq!(run_program(&mut deployment, &program, ProgramOutcome::Completed).await, 4 + 2 * 2);
         }
         deployment
     });
@@ -29,7 +29,7 @@
 fn a_looping_program_is_stopped_when_its_budget_is_spent() {
     with_deployment(async |mut deployment| {
         let program = Program { loops: true, budget: 400, ..deployment.program("loop", "dispute") };
-        let turns = run_program(&mut deployment, &program, Ended::Stopped).await;
+        let turns = run_program(&mut deployment, &program, ProgramOutcome::BudgetExhausted).await;
         assert!(turns >= 400 / 30, "only {turns} turns, each of at most 30 units");
         deployment
     });
--- a/crates/opalrun/tests/tier/losses.rs
+++ b/crates/opalrun/tests/tier/losses.rs
@@ -128,7 +128,10 @@
         continue_conversation_after(&mut deployment, async |deployment| {
             assert_eq!(deployment.operator.retire("nobody", LIMIT).await, 404);
             assert_eq!(deployment.operator.retire("storage-1", LIMIT).await, 200);
-            assert!(deployment.operator.retired("storage-1", LIMIT).await, "the data is moved in time");
+            assert!(
+                deployment.operator.wait_until_retired("storage-1", LIMIT).await,
+                "the data is moved in time"
+            );
             deployment.tier.remove("storage-1").await.expect("removed");
             assert_eq!(
                 deployment.operator.retire("storage-2", LIMIT).await,
--- a/crates/opalrun/tests/tier/planned.rs
+++ b/crates/opalrun/tests/tier/planned.rs
@@ -78,7 +78,7 @@
         assert_eq!(deployment.configure(more, LIMIT).await, 200);
         deployment.wait_until_serving().await.expect("the added route is served");
         assert_eq!(deployment.configure(first, LIMIT).await, 200);
-        deployment.serving().await.expect("the remaining routes are served");
+        deployment.wait_until_serving().await.expect("the remaining routes are served");
         deployment
     });
 }
--- a/crates/opalrun/tests/tier/second_losses.rs
+++ b/crates/opalrun/tests/tier/second_losses.rs
@@ -97,7 +97,7 @@
 fn a_terminated_control_process_leaves_its_groups_before_it_exits() {
     with_deployment(async |mut deployment| {
         deployment.tier.add("core-4", Class::Core, "zone-1").expect("added");
-        deployment.tier.logged("core-4", "votes=4 groups=4 voters=4", LIMIT).await.expect("a member");
+        deployment.tier.wait_for_log("core-4", "votes=4 groups=4 voters=4", LIMIT).await.expect("a member");
         assert!(
             deployment.tier.terminate("core-1").await.expect("stopped"),
             "core-1 exits within the grace period"
@@ -131,7 +131,7 @@
             deployment.tier.start_machine(core).expect("started");
             deployment.tier.wait_for_control(START_LIMIT).await.expect("control is back");
             let all = "votes=4 groups=4 voters=4";
-            deployment.tier.logged_since_start(core, all, LIMIT).await.expect("a voter again");
+            deployment.tier.wait_for_log_since_start(core, all, LIMIT).await.expect("a voter again");
             deployment.reconfigure(LIMIT).await;
         }
         deployment
--- a/crates/opalrun/tests/tier/support.rs
+++ b/crates/opalrun/tests/tier/support.rs
@@ -44,7 +44,7 @@
     let mut deployment = runtime.expect("a runtime").block_on(async {
         tokio::time::timeout(TEST_LIMIT, test).await.expect("the test ends within its time limit")
     });
-    let (violations, crashed) = (deployment.broken(), deployment.tier.fallen());
+    let (violations, crashed) = (deployment.violations(), deployment.tier.unexpected_exits());
     let logs =
         if violations.is_empty() && crashed.is_empty() { String::new() } else { deployment.tier.log_tails() };
     assert!(violations.is_empty(), "{violations:#?}\n{logs}");
@@ -54,7 +54,7 @@
 /// A running conversation, whose turns are retained by the tier.
 pub struct Conversation {
     program: Program,
-    line: PromptHistory,
+    history: PromptHistory,
     turns: usize,
 }
 
@@ -62,8 +62,8 @@
 pub async fn start_conversation(deployment: &mut Deployment) -> Conversation {
     let name = format!("talk-{}", deployment.tier.log.now_ms());
     let program = deployment.program(&name, "dispute");
-    let line = PromptHistory::new(&name);
-    let mut conversation = Conversation { program, line, turns: 0 };
+    let history = PromptHistory::new(&name);
+    let mut conversation = Conversation { program, history, turns: 0 };
     conversation.continue_with_turn(deployment).await;
     conversation.continue_with_turn(deployment).await;
     conversation
@@ -75,7 +75,7 @@
         let client = deployment.client("zone-1");
         let until = tokio::time::Instant::now() + LIMIT;
         loop {
-            let ended = self.program.run_turn(&client, &mut self.line, self.turns).await;
+            let ended = self.program.run_turn(&client, &mut self.history, self.turns).await;
             if ended == ProgramOutcome::Completed {
                 self.turns += 1;
                 return;
--- a/crates/opalrun/tests/tier/workers.rs
+++ b/crates/opalrun/tests/tier/workers.rs
@@ -62,7 +62,7 @@
         };
         // Each worker in turn interrupts its next stream; the other workers complete it.
         for failing in model_workers(&deployment) {
-            failing.next_fails(Fault::ResetMidAnswer);
+            failing.inject_fault(Fault::ResetMidAnswer);
             let client = deployment.client("zone-1");
             for _ in 0..4 {
                 let reply = client.send(&ask(&deployment, "resumable")).await;
